--- a/benchmarks/as2_path.py
+++ b/benchmarks/as2_path.py
@@ -35,7 +35,7 @@
 from brassweir.lab.rigs.handle import free_port
 from brassweir.lab.rigs.plan import FleetPlan
 from brassweir.lab.standins.partner import Partner
-from brassweir.net.client import Address, CallFailed, Pool
+from brassweir.net.client import Address, CallFailed, HttpPool
 from brassweir.net.limits import Limits
 
 WORKERS = 4
@@ -81,7 +81,7 @@
     manner = Manner(service=0.02, workers=200, queue=2000)
     partner = Partner(partner_id, hub.certificate, manner, Tape(), offload, number, {}, partner_id)
     await partner.listen("a", port)
-    pool = Pool(Address.of(f"http://127.0.0.1:{sender}/as2"), Limits(), 2000, 30_000.0, 2000.0)
+    pool = HttpPool(Address.parse(f"http://127.0.0.1:{sender}/as2"), Limits(), 2000, 30_000.0, 2000.0)
     results.put("ready")
     count = 0
     while True:
--- a/benchmarks/capacity/probes/backlog.py
+++ b/benchmarks/capacity/probes/backlog.py
@@ -16,10 +16,10 @@
 from brassweir.core.engine import Engine
 from brassweir.core.ledger import Waiter
 from brassweir.core.ports import Submission
-from brassweir.journal.recover import plan
-from brassweir.journal.restart import carry_out
+from brassweir.journal.recover import plan_recovery
+from brassweir.journal.restart import apply_plan
 from brassweir.journal.scan import scan
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.journal.store import JournalStore
 from brassweir.journal.writer import Writer
 from brassweir.lab.simulated.disk import SimIo
@@ -143,10 +143,10 @@
     size = journal.history(folder, count, count)
     gc.collect()
     before = resident(os.getpid())
-    files = Files(folder)
+    files = DirectoryStorage(folder)
     read = time.process_time()
     found = scan(files)
-    made = plan(found.lives, found.holes, journal.CLASSES, WALL, REMEMBER, 0.0)
+    made = plan_recovery(found.state, found.holes, journal.CLASSES, WALL, REMEMBER, 0.0)
     read = time.process_time() - read
     writer = Writer(files, found)
     writer.open()
@@ -157,14 +157,16 @@
     classes = tuple(journal.CLASSES.values())
     settings = api.Settings(classes=classes, slots=SLOTS, max_open=2 * count)
     engine = Engine(settings, 1, clock, lambda _: open_messages.Silent(), store=store)
-    engine.news(api.ListNews(api.ListKind.FULL, (api.EndpointInfo("e", 1, ""),)))
+    engine.update_list(api.ListUpdate(api.ListKind.FULL, (api.EndpointInfo("e", 1, ""),)))
     clock.run(WALL)
     turn = time.process_time()
-    carry_out(made, engine, store, lambda _: 1, _owing)
+    apply_plan(made, engine, store, lambda _: 1, _owing)
     clock.run(WALL)
     turn = time.process_time() - turn
-    if len(engine.ledger.open()) != count:
-        raise RuntimeError(f"{len(engine.ledger.open())} of {count} messages are open after the restart")
+    if len(engine.ledger.open_messages()) != count:
+        raise RuntimeError(
+            f"{len(engine.ledger.open_messages())} of {count} messages are open after the restart"
+        )
     files.close()
     method = f"restart with {SLOTS} slots, process time, least of {RESTARTS}"
     return [
--- a/benchmarks/capacity/probes/connections.py
+++ b/benchmarks/capacity/probes/connections.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.measurement import Axis, Figure, Kind, Measurement, Point, Role
 from benchmarks.capacity.probes.resources import resident
 from brassweir.net.address import Address
-from brassweir.net.client import Pool
+from brassweir.net.client import HttpPool
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 
@@ -91,7 +91,7 @@
 
 async def _memory(port: int, count: int) -> float:
     """MB that so many idle connections take, those of the first call not counted."""
-    address = Address.of(f"http://127.0.0.1:{port}/in")
+    address = Address.parse(f"http://127.0.0.1:{port}/in")
     first = _pool(address)
     await _call(first)
     gc.collect()
@@ -109,9 +109,9 @@
     return grown / 1e6
 
 
-def _pool(address: Address) -> Pool:
-    return Pool(address, Limits(), 1, IDLE, CONNECT)
+def _pool(address: Address) -> HttpPool:
+    return HttpPool(address, Limits(), 1, IDLE, CONNECT)
 
 
-async def _call(pool: Pool) -> None:
+async def _call(pool: HttpPool) -> None:
     await pool.post(Headers([]), b"x", asyncio.get_running_loop().time() + CONNECT / 1000.0)
--- a/benchmarks/capacity/probes/decisions.py
+++ b/benchmarks/capacity/probes/decisions.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.target import CONSTANTS, CPU, MEMORY
 from brassweir import interface as api
 from brassweir.control import Sender
-from brassweir.destinations.intake import STEP, Intake
+from brassweir.destinations.list_updates import MAX_ENTRIES_PER_UPDATE, ListUpdates
 
 PAIR_RATE = (
     CONSTANTS["events_per_second"] / TARGET.senders / TARGET.destinations
@@ -46,7 +46,7 @@
 DIFFERENCE_ONE = _figure("module_difference_one", "ms", "a difference of 1 entry")
 DIFFERENCE_MANY = _figure("module_difference_many", "ms", f"a difference of {MANY:,} entries in one turn")
 LONGEST_STEP = _figure(
-    "module_longest_step", "ms", f"the longest of the turns in which a list is told, {STEP} entries each",
+    "module_longest_step", "ms", f"the longest of the turns in which a list is told, {MAX_ENTRIES_PER_UPDATE} entries each",
     ("1", "table D"),
 )  # fmt: skip
 TURNS = _figure(
@@ -108,7 +108,7 @@
 
 def _told(infos: tuple[api.EndpointInfo, ...]) -> Sender:
     sender = Sender(settings(TARGET.senders), 1, 0.0)
-    sender.handle(0.0, [api.ListNews(api.ListKind.FULL, infos)])
+    sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, infos)])
     return sender
 
 
@@ -121,7 +121,7 @@
 def list_times(destinations: int) -> tuple[float, float]:
     """CPU ms to take a whole list for the first time, and to take it again with one entry missing."""
     infos = endpoints(destinations)
-    shorter = api.ListNews(api.ListKind.FULL, infos[:-1])
+    shorter = api.ListUpdate(api.ListKind.FULL, infos[:-1])
     first = min(cpu_of(partial(_told, infos)) for _ in range(REPEATS))
     again = min(cpu_of(partial(_told(infos).handle, 1.0, [shorter])) for _ in range(REPEATS))
     return first, again
@@ -132,9 +132,9 @@
     infos = endpoints(destinations)
     chosen = Random(1).sample(infos, changed)
     drained = tuple(
-        api.EndpointInfo(one.name, one.destination, one.kind, state=api.State.DRAINING) for one in chosen
+        api.EndpointInfo(one.name, one.destination, one.kind, state=api.EntryState.DRAINING) for one in chosen
     )
-    news = api.ListNews(api.ListKind.DELTA, drained)
+    news = api.ListUpdate(api.ListKind.DELTA, drained)
     return min(cpu_of(partial(_told(infos).handle, 1.0, [news])) for _ in range(REPEATS))
 
 
@@ -145,10 +145,10 @@
 
 
 def _longest_step(infos: tuple[api.EndpointInfo, ...]) -> float:
-    intake, sender = Intake(), Sender(settings(TARGET.senders), 1, 0.0)
-    intake.take(infos)
+    intake, sender = ListUpdates(), Sender(settings(TARGET.senders), 1, 0.0)
+    intake.replace_all(infos)
     longest = 0.0
-    while (news := intake.next()) is not None:
+    while (news := intake.next_update()) is not None:
         longest = max(longest, cpu_of(partial(sender.handle, 0.0, [news]), collect=False))
     return longest
 
--- a/benchmarks/capacity/probes/lists.py
+++ b/benchmarks/capacity/probes/lists.py
@@ -17,8 +17,8 @@
 from brassweir.config import lines
 from brassweir.config.load import load
 from brassweir.config.model import EndpointList
-from brassweir.destinations.intake import Intake
-from brassweir.interface import EndpointInfo, State
+from brassweir.destinations.list_updates import ListUpdates
+from brassweir.interface import EndpointInfo, EntryState
 
 AXES = (Axis.DESTINATIONS,)
 MOST_YAML = 3_000  # entries of a YAML list that are read: some two seconds
@@ -92,7 +92,7 @@
 def infos(listed: Sequence[lines.Entry]) -> list[EndpointInfo]:
     """As the decision module is told them."""
     return [
-        EndpointInfo(one.name, number, one.kind, one.zone, State(one.state), one.rate)
+        EndpointInfo(one.name, number, one.kind, one.zone, EntryState(one.state), one.rate)
         for number, one in enumerate(listed)
     ]
 
@@ -117,7 +117,7 @@
     tracemalloc.stop()
 
     def change() -> None:
-        intake.take(infos(lines.read(path)))
+        intake.replace_all(infos(lines.read(path)))
 
     method = "JSON lines, read and compared, with one entry more than was known"
     return [
@@ -135,12 +135,12 @@
     ]
 
 
-def _known(path: Path) -> tuple[Intake, dict[str, str]]:
+def _known(path: Path) -> tuple[ListUpdates, dict[str, str]]:
     """A list that was told in full, but for its last entry."""
     listed = lines.read(path)
-    intake = Intake()
-    intake.take(infos(listed[:-1]))
-    while intake.next() is not None:
+    intake = ListUpdates()
+    intake.replace_all(infos(listed[:-1]))
+    while intake.next_update() is not None:
         pass
     return intake, {entry.name: entry.url for entry in listed}
 
--- a/benchmarks/capacity/probes/simulated.py
+++ b/benchmarks/capacity/probes/simulated.py
@@ -47,9 +47,9 @@
         self.turns_ms += (time.thread_time() - before) * 1000.0
         return actions
 
-    def _second(self, _: None) -> None:
+    def _every_second(self, _: None) -> None:
         before = time.thread_time()
-        super()._second(_)
+        super()._every_second(_)
         self.sweeps_ms += (time.thread_time() - before) * 1000.0
         self.sweeps += 1
 
@@ -67,7 +67,7 @@
         self.timers = [math.inf] * senders  # the earliest set, of each sender
         self.messages = self.refused_calls = 0
         for number in range(senders):
-            self._turn(number, [api.ListNews(api.ListKind.FULL, infos)])
+            self._turn(number, [api.ListUpdate(api.ListKind.FULL, infos)])
         self._await_message()
 
     def run(self, seconds: float) -> None:
--- a/benchmarks/idle_policies.py
+++ b/benchmarks/idle_policies.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from brassweir.destinations.budget import Budget
+from brassweir.destinations.budget import ConnectionBudget
 
 BUDGET, DESTINATIONS, MESSAGES, SEED = 64, 2000, 60_000, 7
 Trace = list[tuple[float, int]]
@@ -123,7 +123,7 @@
 
 def own(trace: Trace, cost: list[float]) -> float:
     """The project's budget."""
-    budget = Budget(BUDGET)
+    budget = ConnectionBudget(BUDGET)
     total = 0.0
     held: set[str] = set()
     for now, one in trace:
@@ -131,9 +131,9 @@
         if key not in held:
             total += cost[one]
             step = budget.request(key, now)
-            if step.close is not None:
-                budget.closed(step.close)
-                held.discard(step.close)
+            if step.evict is not None:
+                budget.closed(step.evict)
+                held.discard(step.evict)
             budget.opened(key)
             held.add(key)
         budget.busy(key)
--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -22,11 +22,11 @@
 from brassweir.core.ports import Attempt, Fact, Outcome, Payload, Store, Submission
 from brassweir.journal import frame
 from brassweir.journal import store as journal_store
-from brassweir.journal.durability import waits
+from brassweir.journal.durability import waits_for_commit
 from brassweir.journal.records import Ended, Final, Intent, Taken
-from brassweir.journal.recover import plan
+from brassweir.journal.recover import plan_recovery
 from brassweir.journal.scan import scan, segment_name
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.journal.store import JournalStore
 from brassweir.journal.writer import Writer
 from brassweir.lab.simulated.disk import SimIo
@@ -45,7 +45,7 @@
     """Write a journal of so many records; returns its bytes."""
     done = (records - open_messages) // 4
     with (folder / segment_name(1)).open("wb") as file:
-        file.write(frame.header(1, 1))
+        file.write(frame.encode_header(1, 1))
         sequence = 1
         for ident in range(1, done + open_messages + 1):
             taken = Taken(ident, "o", f"m{ident}", "pay", "d", "", 1e6, "a/b", "s", CONTENT)
@@ -57,7 +57,7 @@
                     Final(ident, "delivered", "", 0.0, 3.0),
                 ]
             for record in life:
-                file.write(frame.frame(sequence, record))
+                file.write(frame.encode_frame(sequence, record))
                 sequence += 1
         return file.tell()
 
@@ -68,10 +68,10 @@
         folder = Path(temporary)
         size = history(folder, records, 10_000)
         begun = time.perf_counter()
-        files = Files(folder)
+        files = DirectoryStorage(folder)
         found = scan(files)
         read = time.perf_counter() - begun
-        made = plan(found.lives, found.holes, CLASSES, 10.0, 3_600_000.0, 0.0)
+        made = plan_recovery(found.state, found.holes, CLASSES, 10.0, 3_600_000.0, 0.0)
         planned = time.perf_counter() - begun - read
         writer = Writer(files, found)
         writer.open()
@@ -79,7 +79,7 @@
         store = JournalStore(
             writer, SimIo(clock, 0.0), CLASSES, clock.now, str, lambda error: None, 3_600_000.0
         )
-        longest, run = 0.0, store.disk.run
+        longest, run = 0.0, store.io.run
 
         def timed(work: Any, done: Any, failed: Any) -> None:
             def slice_of(result: object) -> None:
@@ -90,7 +90,7 @@
 
             run(work, slice_of, failed)
 
-        store.disk.run = timed  # type: ignore[method-assign]
+        store.io.run = timed  # type: ignore[method-assign]
         store.compact(10.0)
         clock.run(1e6)
         files.close()
@@ -99,10 +99,10 @@
             "megabytes": round(size / 1e6, 1),
             "read_seconds": round(read, 2),
             "plan_seconds": round(planned, 2),
-            "again": len(made.again),
+            "again": len(made.resumed),
             "answers": len(made.answered),
             "snapshot_longest_on_loop_ms": round(longest * 1000, 1),
-            "snapshot_megabytes": round(writer.total / 1e6, 1),
+            "snapshot_megabytes": round(writer.total_bytes / 1e6, 1),
         }
 
 
@@ -127,7 +127,7 @@
 
     ``waiting`` takes the place of the table of what must be durable before what.
     """
-    with patch.object(journal_store, "waits", waiting or waits):
+    with patch.object(journal_store, "waits_for_commit", waiting or waits_for_commit):
         return _throughput(journal, gap, count, cls)
 
 
@@ -143,7 +143,7 @@
         store: Store | None = None
         writer: Writer | None = None
         if journal:
-            files = Files(Path(temporary))
+            files = DirectoryStorage(Path(temporary))
             writer = Writer(files, scan(files))
             writer.open()
             store = JournalStore(
@@ -151,8 +151,8 @@
             )
         sets = api.Settings(classes=tuple(CLASSES.values()), slots=2000, max_open=20_000)
         engine = Engine(sets, 1, clock, lambda _: Instant(clock), store=store)
-        engine.news(
-            api.ListNews(api.ListKind.FULL, tuple(api.EndpointInfo(f"e{i}", i, "") for i in range(50)))
+        engine.update_list(
+            api.ListUpdate(api.ListKind.FULL, tuple(api.EndpointInfo(f"e{i}", i, "") for i in range(50)))
         )
         latencies: list[float] = []
         for i in range(count):
--- a/benchmarks/open_messages.py
+++ b/benchmarks/open_messages.py
@@ -31,7 +31,7 @@
     settings = api.Settings(classes=(CLASS,), slots=2 * count, max_open=2 * count)
     engine = Engine(settings, 1, clock, lambda _: Silent())
     listed = tuple(api.EndpointInfo(f"e{i}", i, "") for i in range(DESTINATIONS))
-    engine.news(api.ListNews(api.ListKind.FULL, listed))
+    engine.update_list(api.ListUpdate(api.ListKind.FULL, listed))
     clock.run(clock.now() + 1.0)
     return engine
 
@@ -59,7 +59,11 @@
     submit(engine, clock, COUNT)
     gc.collect()
     used = (tracemalloc.get_traced_memory()[0] - before) / COUNT
-    print(json.dumps({"open": len(engine.ledger.open()), "bytes_an_open_message": round(used - CONTENT)}))
+    print(
+        json.dumps(
+            {"open": len(engine.ledger.open_messages()), "bytes_an_open_message": round(used - CONTENT)}
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/brassweir/adapter.py
+++ b/brassweir/adapter.py
@@ -13,14 +13,14 @@
 _RESULTS = {
     "pass": api.Result.OK,
     "fault": api.Result.ERROR,
-    "no_room": api.Result.FULL,
+    "no_room": api.Result.BUSY,
     "too_slow": api.Result.TIMEOUT,
     "no_route": api.Result.NO_CONNECTION,
     "cut": api.Result.RESET,
     "undone": api.Result.CANCELLED,
-    "stale_send": api.Result.MOOT,
+    "stale_send": api.Result.NOT_STARTED,
 }
-_STATES = {"1": api.State.GONE, "2": api.State.READY, "3": api.State.DRAINING}
+_STATES = {"1": api.EntryState.GONE, "2": api.EntryState.READY, "3": api.EntryState.DRAINING}
 _LISTS = {"0": api.ListKind.DELTA, "1": api.ListKind.FULL, "2": api.ListKind.CACHED, "3": api.ListKind.FAILED}
 
 
@@ -65,7 +65,6 @@
         return number
 
     def whole(self, name: str, default: int | None = None) -> int:
-        """A whole number."""
         value = self.pairs.get(name)
         if value is None and default is not None:
             return default
@@ -115,7 +114,9 @@
     apart, batch = words("Specifics.KindApart"), words("Specifics.KindBatch")
     try:
         kinds = tuple(
-            api.Kind(name, i < len(apart) and apart[i] == "true", int(batch[i]) if i < len(batch) else 1)
+            api.DestinationKind(
+                name, i < len(apart) and apart[i] == "true", int(batch[i]) if i < len(batch) else 1
+            )
             for i, name in enumerate(words("Skus"))
         )
     except ValueError:
@@ -132,11 +133,11 @@
         idle_close=num("Allowed.IdleClose", 0.0),
         max_retry_after=num("Allowed.MaxRetryAfter", 0.0) if told else 0.0,
         tick=num("Resolution", 1.0),
-        second_copies=flag("Allowed.SecondCopies"),
-        ask_list=get("RegistryMode", "push") == "ask",
-        ask_within=num("Rules.AskWithin", 10000.0),
+        concurrent_attempts=flag("Allowed.SecondCopies"),
+        request_list=get("RegistryMode", "push") == "ask",
+        request_list_within=num("Rules.AskWithin", 10000.0),
         weights=get("Weights", "none"),
-        by_half=get("Specifics.Decay", "even") == "by_half",
+        worth_halves=get("Specifics.Decay", "even") == "by_half",
         cold=num("Rules.Cold", 0.0),
         start_capacity=num("Rules.StartCapacity", 1.0),
         tip_multiple=num("Rules.TipMultiple", 1.0),
@@ -247,11 +248,11 @@
             if kind is None:
                 raise fields.bad("How")
             if kind is api.ListKind.FAILED:
-                return api.ListNews(kind)
+                return api.ListUpdate(kind)
             entries = self.lists.get(fields.whole("SetId"))
             if entries is None:
                 raise fields.bad("SetId")
-            return api.ListNews(kind, entries)
+            return api.ListUpdate(kind, entries)
         if name in ("ECHO", "FLOWING", "MESSAGE"):
             return None
         raise WireError(f"unknown event {name} in line: {fields.line[:200]}")
@@ -325,7 +326,6 @@
 
 
 def main() -> None:
-    """Entry point."""
     try:
         run(sys.stdin, sys.stdout)
     except (WireError, api.SettingsError, api.MisuseError) as error:
--- a/brassweir/agreed/member.py
+++ b/brassweir/agreed/member.py
@@ -40,7 +40,7 @@
 from brassweir.agreed.status import Port, Status, seen
 from brassweir.agreed.store import Damaged
 from brassweir.agreed.tickets import Tickets
-from brassweir.journal.storage import Files, Locked, Storage
+from brassweir.journal.storage import DirectoryStorage, Storage, StorageLocked
 
 KIND = "log"
 AGAIN, AGAIN_MOST = 1.0, 30.0  # s before a folder that failed is opened again; doubled up to the most
@@ -64,7 +64,9 @@
         self.core_type = core
         self.name, self.machine, self.port, self.founders, self.copies = name, machine, port, founders, copies
         self.blank = machine.snapshot()
-        make: Callable[[], Storage] = (lambda: Files(folder)) if isinstance(folder, Path) else folder
+        make: Callable[[], Storage] = (
+            (lambda: DirectoryStorage(folder)) if isinstance(folder, Path) else folder
+        )
         self.disk = Disk(make, self.take)
         self.on_apply: list[Callable[[int, bytes, bytes], None]] = []  # (index, command, result), once each
         self.on_restore: list[Callable[[int], None]] = []  # the machine became a snapshot's state
@@ -95,7 +97,7 @@
     async def _open(self) -> None:
         try:
             store = await self.disk.open(self._rng)
-        except (Damaged, Locked) as error:
+        except (Damaged, StorageLocked) as error:
             self.trouble = str(error)
             self.log.error("agreed_log_refused", why=self.trouble)
             return
--- a/brassweir/as2/carrier.py
+++ b/brassweir/as2/carrier.py
@@ -13,14 +13,14 @@
 from brassweir.as2.message import Built
 from brassweir.as2.partnership import Partner, Partnerships, onward_id, valid_now
 from brassweir.as2.receipts import Receipts
-from brassweir.core.carrying import Note, TaskCarrier
+from brassweir.core.http_responses import ServerHints, no_answer, read_hints
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Attempt, Outcome, Payload, Urls
-from brassweir.core.reading import Told, no_answer, told
+from brassweir.core.task_carrier import Note, TaskCarrier
 from brassweir.interface import Result
 from brassweir.net.client import CallFailed, Reply, Stage
 from brassweir.net.headers import Headers
-from brassweir.net.limiter import Pools
+from brassweir.net.pool_manager import PoolManager
 
 
 class As2Carrier(TaskCarrier):
@@ -34,7 +34,7 @@
         self,
         book: Partnerships,
         urls: Urls,
-        pools: Pools,
+        pools: PoolManager,
         receipts: Receipts,
         offload: Offload,
         note: Note,
@@ -72,7 +72,9 @@
         expected = endings.Expected(ident, built.mic, built.micalg, partner.signed_receipt, attempt.repeat)
         headers = self._headers(partner, payload, ident, built, self.book.receipt_url)
         last = until + self.linger / 1000.0
-        call = loop.create_task(self.pools.of(url).post(headers, built.body, last, until, attempt.going.go))
+        call = loop.create_task(
+            self.pools.http_pool(url).post(headers, built.body, last, until, attempt.start_guard.begin)
+        )
         try:
             if waiting is None:
                 done(await self._read(call, expected, partner))
@@ -116,7 +118,7 @@
             reply = await call
         except CallFailed as failed:
             return _failed(failed)
-        hints = told(reply.headers.first, time.time())
+        hints = read_hints(reply.headers.first, time.time())
         outcome = endings.status(reply.status, hints, partner.busy)
         if outcome is not None:
             return outcome
@@ -144,7 +146,7 @@
     ) -> None:
         """The receipt decides, come before or after the post's own answer; waits until ``until``."""
         loop = asyncio.get_running_loop()
-        hints = Told()
+        hints = ServerHints()
         either: set[asyncio.Future[Any]] = {call, waiting}
         await asyncio.wait(either, timeout=max(0.0, until - loop.time()), return_when=asyncio.FIRST_COMPLETED)
         if call.done() and not waiting.done():
@@ -156,7 +158,7 @@
                     done(ended)
                     return  # else a receipt may still come for what was written
             else:
-                hints = told(reply.headers.first, time.time())
+                hints = read_hints(reply.headers.first, time.time())
                 outcome = endings.status(reply.status, hints, partner.busy)
                 if outcome is not None:
                     done(outcome)
@@ -165,7 +167,9 @@
         if waiting.done():
             done(endings.receipt(waiting.result(), expected, hints))
         else:
-            done(Outcome(Result.TIMEOUT, "no receipt in time", limit_left=hints.left, limit=hints.limit))
+            done(
+                Outcome(Result.TIMEOUT, "no receipt in time", limit_left=hints.limit_left, limit=hints.limit)
+            )
         if not call.done():
             try:
                 await call  # the connection is good for more once its answer is in
@@ -174,7 +178,7 @@
 
 
 def _failed(failed: CallFailed) -> Outcome:
-    return no_answer(failed.stage is not Stage.CONNECT, True, failed.late, failed.reason)
+    return no_answer(failed.stage is not Stage.CONNECT, True, failed.timed_out, failed.reason)
 
 
 def _giver(waiting: asyncio.Future[mdn.Mdn]) -> Callable[[mdn.Mdn], None]:
--- a/brassweir/as2/endings.py
+++ b/brassweir/as2/endings.py
@@ -11,8 +11,8 @@
 
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.as2.mdn import Mdn
+from brassweir.core.http_responses import ServerHints
 from brassweir.core.ports import Outcome
-from brassweir.core.reading import Told
 from brassweir.interface import Result
 
 # Statuses that speak of the message itself: it would be no other at a later try (RFC 9110, section 15.5).
@@ -33,7 +33,7 @@
 )
 
 
-def status(code: int, hints: Told, busy: frozenset[int]) -> Outcome | None:
+def status(code: int, hints: ServerHints, busy: frozenset[int]) -> Outcome | None:
     """What an HTTP status says, or None for a success, whose receipt then decides.
 
     ``busy`` are statuses by which the partner has agreed to mean "refused unseen". 503 means that too where
@@ -43,10 +43,10 @@
     if 200 <= code < 300:
         return None
     if code in busy or (code == 503 and hints.wait > 0):
-        return Outcome(Result.FULL, reason, wait=hints.wait, limit_left=hints.left, limit=hints.limit)
+        return Outcome(Result.BUSY, reason, wait=hints.wait, limit_left=hints.limit_left, limit=hints.limit)
     if code in ABOUT_THE_MESSAGE:
-        return Outcome(Result.OK, reason, rejected=True, limit_left=hints.left, limit=hints.limit)
-    return Outcome(Result.ERROR, reason, limit_left=hints.left, limit=hints.limit)
+        return Outcome(Result.OK, reason, rejected=True, limit_left=hints.limit_left, limit=hints.limit)
+    return Outcome(Result.ERROR, reason, limit_left=hints.limit_left, limit=hints.limit)
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,11 +60,11 @@
     repeat: bool  # an earlier attempt may have run: a duplicate is then our own
 
 
-def receipt(got: Mdn, expected: Expected, hints: Told) -> Outcome:
+def receipt(got: Mdn, expected: Expected, hints: ServerHints) -> Outcome:
     """What a receipt says; it was parsed, and its signature, if any, held."""
 
     def say(result: Result, reason: str, rejected: bool = False) -> Outcome:
-        return Outcome(result, reason, rejected, limit_left=hints.left, limit=hints.limit)
+        return Outcome(result, reason, rejected, limit_left=hints.limit_left, limit=hints.limit)
 
     if expected.signed and got.signer is None:
         return say(Result.ERROR, "receipt is not signed")
@@ -86,6 +86,6 @@
     return say(Result.ERROR, f"the partner says {disposition.modifier or disposition.kind}")
 
 
-def unreadable(error: As2Error, hints: Told) -> Outcome:
+def unreadable(error: As2Error, hints: ServerHints) -> Outcome:
     """A receipt that cannot be read, or that the wrong key signed: it proves nothing either way."""
-    return Outcome(Result.ERROR, f"receipt: {error.reason}", limit_left=hints.left, limit=hints.limit)
+    return Outcome(Result.ERROR, f"receipt: {error.reason}", limit_left=hints.limit_left, limit=hints.limit)
--- a/brassweir/as2/front.py
+++ b/brassweir/as2/front.py
@@ -22,8 +22,8 @@
 from brassweir.as2.receipts import Receipts
 from brassweir.as2.reply import Note, Reply, plain, turned_away
 from brassweir.core.futures import resolver
-from brassweir.core.ledger import Record, Taken
-from brassweir.core.lines import Lines
+from brassweir.core.key_order import KeyOrder
+from brassweir.core.ledger import MessageRecord, SubmitStatus
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Answer, FinalAnswer, Submission
 from brassweir.net.headers import DuplicateHeader, Headers
@@ -35,10 +35,12 @@
 class Submits(Knows, Protocol):
     """The engine, as far as a front sees it."""
 
-    def submit(self, submission: Submission, waiter: Callable[[FinalAnswer], None]) -> tuple[Taken, Record]:
+    def submit(
+        self, submission: Submission, waiter: Callable[[FinalAnswer], None]
+    ) -> tuple[SubmitStatus, MessageRecord]:
         """Hand in a message."""
 
-    def whole(self, record: Record, keeper: Callable[[], None]) -> None:
+    def when_persisted(self, record: MessageRecord, keeper: Callable[[], None]) -> None:
         """Call ``keeper`` once a message is written down."""
 
 
@@ -67,7 +69,7 @@
         self.book, self.engine, self.owed = book, engine, owed
         self.offload, self.note, self.told = offload, note, told
         self.hold, self.margin = hold, margin
-        self.lines = Lines()
+        self.lines = KeyOrder()
         self.opener = Opener(book, engine, offload, most)
         self.incoming = IncomingReceipts(book, receipts, offload, note)
 
@@ -125,14 +127,14 @@
                     mapped.left,
                     mapped.key,
                     payload=payload,
-                    born=mapped.born,
+                    created_at=mapped.born,
                 )
                 answered: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
                 receipt = Reply(
                     self.book, self.offload, client, receiver, ident, asked, opened.mic, opened.micalg
                 )
                 if asked.wanted and asked.delivery and client.receipt_url:
-                    submission = replace(submission, reply=receipt.note())
+                    submission = replace(submission, reply_to=receipt.note())
                 how, record = self.engine.submit(submission, resolver(answered))
         except As2Error as error:
             return await self._unacceptable(request, client, receiver, ident, asked, error)
@@ -171,8 +173,8 @@
         request: Request,
         receipt: Reply,
         answered: asyncio.Future[FinalAnswer],
-        how: Taken,
-        record: Record,
+        how: SubmitStatus,
+        record: MessageRecord,
     ) -> Response:
         """An asynchronous client: a refusal at once is told by status, all else by a receipt."""
         if not receipt.client.receipt_url:
@@ -181,11 +183,11 @@
         if answered.done() and answered.result().answer is Answer.REFUSED:
             self.told(record.id)  # by this status: no receipt is owed for it any more
             return await receipt.response(answered.result())
-        if how is not Taken.JOINED:  # one that joined is answered by the receipt already owed
+        if how is not SubmitStatus.JOINED:  # one that joined is answered by the receipt already owed
             self.owed.when_ready(self._owe(receipt, answered, record.id))
         # A 202 is a promise: not before the message is written down.
         kept: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.engine.whole(record, lambda: None if kept.done() else kept.set_result(None))
+        self.engine.when_persisted(record, lambda: None if kept.done() else kept.set_result(None))
         either: set[asyncio.Future[Any]] = {answered, kept}
         await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
         return Response(202)
--- a/brassweir/as2/owed.py
+++ b/brassweir/as2/owed.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from brassweir.net.client import CallFailed
-from brassweir.net.limiter import Pools
+from brassweir.net.pool_manager import PoolManager
 from brassweir.net.server import Response
 
 Note = Callable[[str, dict[str, object]], None]
@@ -21,7 +21,7 @@
     """Receipts on their way. ``most`` bounds those held at once; over it the oldest way to learn an answer,
     asking again with the same Message-ID, is what remains to the client."""
 
-    def __init__(self, pools: Pools, note: Note, most: int = 10_000) -> None:
+    def __init__(self, pools: PoolManager, note: Note, most: int = 10_000) -> None:
         self.pools, self.note, self.most = pools, note, most
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -44,7 +44,9 @@
         for pause in AGAIN:
             await asyncio.sleep(pause)
             try:
-                reply = await self.pools.of(url).post(receipt.headers, receipt.body, loop.time() + CALL_TIME)
+                reply = await self.pools.http_pool(url).post(
+                    receipt.headers, receipt.body, loop.time() + CALL_TIME
+                )
             except CallFailed as failed:
                 reason = str(failed)
                 continue
--- a/brassweir/as2/partnership.py
+++ b/brassweir/as2/partnership.py
@@ -12,7 +12,7 @@
 
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.as2.message import Identity, Received, Security
-from brassweir.core.identity import onward
+from brassweir.core.identity import delivery_id
 from brassweir.interface import MessageClass
 
 
@@ -164,4 +164,4 @@
 
     Made from the client's own identity, so that the partner's memory of ids holds whatever becomes of ours.
     """
-    return f"<{onward(owner, identity)}@{re.sub(r'[^A-Za-z0-9.-]', '-', host) or 'brassweir'}>"
+    return f"<{delivery_id(owner, identity)}@{re.sub(r'[^A-Za-z0-9.-]', '-', host) or 'brassweir'}>"
--- a/brassweir/as2/reply.py
+++ b/brassweir/as2/reply.py
@@ -51,7 +51,7 @@
         if client is None or not client.receipt_url:
             return None
         receiver, ident, signed, micalgs, mic, micalg = msgspec.msgpack.decode(
-            submission.reply, type=tuple[str, str, bool, tuple[str, ...], str, str]
+            submission.reply_to, type=tuple[str, str, bool, tuple[str, ...], str, str]
         )
         return Reply(
             book, offload, client, receiver, ident, Asked(True, signed, micalgs, "noted"), mic, micalg
--- a/brassweir/as2/sending.py
+++ b/brassweir/as2/sending.py
@@ -11,10 +11,10 @@
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.as2.mdn import Mdn
 from brassweir.as2.message import Built, Identity, Security
+from brassweir.core.http_responses import read_hints
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Payload
-from brassweir.core.reading import told
-from brassweir.net.client import Pool, Reply
+from brassweir.net.client import HttpPool, Reply
 from brassweir.net.headers import Headers
 
 
@@ -86,7 +86,7 @@
 
 
 async def post(
-    pool: Pool, sent: Letter, trusted: x509.Certificate, deadline: float, offload: Offload
+    pool: HttpPool, sent: Letter, trusted: x509.Certificate, deadline: float, offload: Offload
 ) -> Told:
     """Post it and read the answer. Raises CallFailed."""
     reply = await pool.post(sent.headers, sent.built.body, deadline)
@@ -99,7 +99,7 @@
         return Told(
             "refused",
             reply.body.decode("ascii", "replace").strip(),
-            told(reply.headers.first, 0.0).wait / 1000.0,
+            read_hints(reply.headers.first, 0.0).wait / 1000.0,
         )
     if reply.status == 202:
         return Told("accepted")
--- a/brassweir/cli/as2.py
+++ b/brassweir/cli/as2.py
@@ -23,7 +23,7 @@
 from brassweir.cli.keys import read_certificate
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Payload
-from brassweir.net.client import Address, CallFailed, Pool
+from brassweir.net.client import Address, CallFailed, HttpPool
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 from brassweir.net.server import Request, Response, Server
@@ -83,9 +83,9 @@
     ident = message_id or f"<{secrets.token_hex(16)}@{sender.replace(' ', '-')}>"
     payload = Payload(content_type, file.read_bytes(), subject)
     try:
-        address = Address.of(url)
+        address = Address.parse(url)
         sent = letter(ours, receiver, theirs, payload, ident, security=Security(), wait=wait)
-        pool = Pool(address, Limits(), 1, 1000.0, 5000.0)
+        pool = HttpPool(address, Limits(), 1, 1000.0, 5000.0)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
 
--- a/brassweir/cli/journal.py
+++ b/brassweir/cli/journal.py
@@ -14,10 +14,10 @@
 import click
 
 from brassweir.journal import compact, table
-from brassweir.journal.frame import Damage, FormatError, read
-from brassweir.journal.group import Broken
+from brassweir.journal.frame import Damage, FormatError, read_frames
+from brassweir.journal.group import JournalBroken
 from brassweir.journal.scan import Scan, scan
-from brassweir.journal.storage import Files, Locked
+from brassweir.journal.storage import DirectoryStorage, StorageLocked
 from brassweir.journal.writer import Writer
 
 ROWS = 50_000  # written at a time
@@ -34,7 +34,7 @@
 
 def _scan(folder: Path) -> Scan:
     try:
-        return scan(Files(folder, write=False))
+        return scan(DirectoryStorage(folder, write=False))
     except FormatError as error:
         raise click.ClickException(f"{folder}: {error}") from None
     except OSError as error:
@@ -51,7 +51,7 @@
         "good": not found.problems,
         "records": found.records,
         "bytes": found.size,
-        "torn_bytes": found.torn,
+        "torn_bytes": found.torn_bytes,
         "segments": found.segments,
         "stale": found.stale,
         "problems": found.problems,
@@ -63,7 +63,7 @@
             click.echo(problem)
         click.echo(
             f"{found.records} records in {len(found.segments)} segments, {found.size} bytes, "
-            f"{found.torn} torn at the end, {len(found.problems)} problems"
+            f"{found.torn_bytes} torn at the end, {len(found.problems)} problems"
         )
     sys.exit(0 if not found.problems else 1)
 
@@ -75,17 +75,17 @@
     """Count messages by class and answer, and what a snapshot would keep."""
     found = _scan(folder)
     counts: Counter[str] = Counter()
-    for life in found.lives.by_id.values():
+    for life in found.state.by_id.values():
         name = life.taken.class_name if life.taken is not None else "(lost)"
         counts[f"{name} {life.final.answer if life.final is not None else 'open'}"] += 1
-    kept = list(compact.kept(found.lives, time.time() * 1000.0, float("inf")))
+    kept = list(compact.live_records(found.state, time.time() * 1000.0, float("inf")))
     tree = {
         "messages": dict(sorted(counts.items())),
-        "runs": found.lives.runs,
+        "runs": found.state.runs,
         "bytes": found.size,
         "records": found.records,
         "records_kept_by_a_snapshot": len(kept),
-        "endpoints_with_trouble": len(found.lives.trails),
+        "endpoints_with_trouble": len(found.state.recent_outcomes),
     }
     if as_json:
         click.echo(json.dumps(tree))
@@ -106,7 +106,7 @@
     found = _scan(folder)
     wanted = {
         life.id
-        for life in found.lives.by_id.values()
+        for life in found.state.by_id.values()
         if str(life.id) == message
         or (
             life.taken is not None
@@ -126,7 +126,7 @@
 
 def _lines(path: Path, wanted: set[int]) -> list[dict[str, Any]]:
     found: list[dict[str, Any]] = []
-    for part in read(path.read_bytes()):
+    for part in read_frames(path.read_bytes()):
         if isinstance(part, Damage) or getattr(part.record, "id", 0) not in wanted:
             continue
         record = part.record
@@ -134,7 +134,9 @@
         for name, value in values.items():
             if isinstance(value, bytes):
                 values[name] = f"{len(value)} bytes"
-        found.append({"where": f"{path.name}:{part.at}", "record": type(record).__name__.lower(), **values})
+        found.append(
+            {"where": f"{path.name}:{part.offset}", "record": type(record).__name__.lower(), **values}
+        )
     return found
 
 
@@ -177,7 +179,7 @@
     fresh = path.with_name(path.name + ".new")
     try:
         with pq.ParquetWriter(fresh, schema, compression="zstd") as writer:
-            for part in batched(table.rows(found.lives, found.holes), ROWS):
+            for part in batched(table.rows(found.state, found.holes), ROWS):
                 for row in part:
                     for name, (kind, _) in table.COLUMNS.items():
                         if kind == "timestamp" and row[name] is not None:
@@ -211,8 +213,8 @@
 def compact_command(folder: Path, remember_hours: float) -> None:
     """Rewrite a journal with what still matters. Refused while a process uses it, and on a damaged one."""
     try:
-        storage = Files(folder)
-    except Locked as error:
+        storage = DirectoryStorage(folder)
+    except StorageLocked as error:
         raise click.ClickException(str(error)) from None
     except OSError as error:
         raise click.ClickException(f"{folder}: {error.strerror or error}") from None
@@ -226,10 +228,10 @@
         writer = Writer(storage, found)
         writer.open()
         now = time.time() * 1000.0
-        kept = list(compact.kept(found.lives, now, remember_hours * 3_600_000.0))
+        kept = list(compact.live_records(found.state, now, remember_hours * 3_600_000.0))
         writer.snapshot(kept, writer.close_segment())
-        click.echo(f"{found.size} bytes rewritten as {writer.total}")
-    except (OSError, FormatError, Broken) as error:
+        click.echo(f"{found.size} bytes rewritten as {writer.total_bytes}")
+    except (OSError, FormatError, JournalBroken) as error:
         raise click.ClickException(f"{folder}: {error}") from None
     finally:
         storage.close()
--- a/brassweir/cli/kept.py
+++ b/brassweir/cli/kept.py
@@ -10,7 +10,7 @@
 
 import click
 
-from brassweir.undelivered.item import Item
+from brassweir.undelivered.item import UndeliveredItem
 from brassweir.undelivered.store import read_all
 
 _folder = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
@@ -22,7 +22,7 @@
     """List, read and take out undelivered messages; safe beside a running sender."""
 
 
-def _tree(path: Path, item: Item) -> dict[str, Any]:
+def _tree(path: Path, item: UndeliveredItem) -> dict[str, Any]:
     return {
         "name": path.stem,
         "owner": item.owner,
@@ -58,11 +58,11 @@
     sys.exit(1 if damaged else 0)
 
 
-def _find(folder: Path, name: str) -> tuple[Path, Item]:
+def _find(folder: Path, name: str) -> tuple[Path, UndeliveredItem]:
     found = [
         (path, one)
         for path, one in read_all(folder)
-        if path.name.startswith(name) or (isinstance(one, Item) and name == one.identity)
+        if path.name.startswith(name) or (isinstance(one, UndeliveredItem) and name == one.identity)
     ]
     if len(found) != 1:
         raise click.ClickException(
--- a/brassweir/cli/node.py
+++ b/brassweir/cli/node.py
@@ -8,10 +8,10 @@
 import click
 import uvloop
 
-from brassweir.journal.group import Broken
-from brassweir.observe.lines import Lines
+from brassweir.journal.group import JournalBroken
+from brassweir.observe.json_log import JsonLog
 from brassweir.relay.settings import NodeError
-from brassweir.service.journaling import Unusable
+from brassweir.service.journaling import JournalUnusable
 from brassweir.service.node_run import run
 from brassweir.service.node_trace import FREQUENT
 
@@ -24,11 +24,11 @@
     """
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(run(Lines(frequent=FREQUENT)))
-    except (NodeError, Unusable) as error:
+            runner.run(run(JsonLog(frequent=FREQUENT)))
+    except (NodeError, JournalUnusable) as error:
         click.echo(f"brassweir node: {error}", err=True)
         sys.exit(1)
-    except Broken as error:
+    except JournalBroken as error:
         click.echo(f"journal: {error}; nothing was answered or sent that is not written down", err=True)
         sys.exit(4)
     except OSError as error:
--- a/brassweir/cli/serving.py
+++ b/brassweir/cli/serving.py
@@ -12,8 +12,8 @@
 
 from brassweir.config.load import ConfigError
 from brassweir.config.model import Config, CopyConfig
-from brassweir.journal.group import Broken
-from brassweir.observe.logs import set_up
+from brassweir.journal.group import JournalBroken
+from brassweir.observe.logs import configure_logging
 from brassweir.service.checking import check
 from brassweir.service.serving import serve
 
@@ -25,12 +25,12 @@
     """Run the sender that the settings in FILE describe, until SIGTERM or SIGINT."""
     try:
         config = check(file, edited=False)  # a bad edit must not keep a copy from starting
-        log = set_up(config.sender.log_level, plain_log)
+        log = configure_logging(config.sender.log_level, plain_log)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(file, log))
     except ConfigError as error:
         _complain(error)
-    except Broken as error:
+    except JournalBroken as error:
         click.echo(f"journal: {error}; nothing was answered or sent that is not written down", err=True)
         sys.exit(4)
     except OSError as error:
--- a/brassweir/config/copies.py
+++ b/brassweir/config/copies.py
@@ -47,7 +47,7 @@
     return found
 
 
-def agreed_folder(config: CopyConfig, base: Path) -> Path:
+def agreed_directory(config: CopyConfig, base: Path) -> Path:
     """Where the agreed log is kept."""
     given = config.agreed.folder if config.agreed is not None else None
     return base / (given or f"{config.sender.name}.agreed")
@@ -83,7 +83,7 @@
     return next(one for one in copies if one.name == config.sender.name)
 
 
-def region_fits(copies: tuple[CopyModel, ...], config: CopyConfig) -> list[str]:
+def region_problems(copies: tuple[CopyModel, ...], config: CopyConfig) -> list[str]:
     """The own entry and the settings must name one region."""
     mine = own_entry(copies, config)
     if config.region is not None and config.region.name != mine.region:
--- a/brassweir/config/lines.py
+++ b/brassweir/config/lines.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from brassweir.config.load import LARGEST, ConfigError
+from brassweir.config.load import MAX_FILE_BYTES, ConfigError
 
 _URL = r"^(?:https?://[^\s/?#@]+(?:[/?][^\s#]*)?|forward://[^\s/?#@]+)\Z"
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,120}\Z")]
 _Home = Annotated[str, msgspec.Meta(pattern=r"^[!-~](?:[ -~]{0,126}[!-~])?\Z")]
 _PLAIN = re.compile(r"[a-z]+://[A-Za-z0-9._-]+(?::(\d{1,5}))?(?:[/?]|\Z)")
-MOST_PROBLEMS = 20  # told at once
+MAX_PROBLEMS = 20  # told at once
 
 
 class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -52,8 +52,8 @@
 def read(path: Path) -> list[Entry]:
     """Read a whole list. Raises ConfigError with the first problems, each with its line."""
     try:
-        if path.stat().st_size > LARGEST:
-            raise ConfigError([f"{path}: larger than {LARGEST} bytes"])
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise ConfigError([f"{path}: larger than {MAX_FILE_BYTES} bytes"])
         data = path.read_bytes()
     except OSError as error:
         raise ConfigError([f"{path}: {error.strerror or error}"]) from None
@@ -79,7 +79,7 @@
                 problems.append(f"{name}:{number}: {problem}")
             seen[entry.name] = number
             entries.append(entry)
-        if len(problems) >= MOST_PROBLEMS:
+        if len(problems) >= MAX_PROBLEMS:
             break
     if problems:
         raise ConfigError(problems)
--- a/brassweir/config/load.py
+++ b/brassweir/config/load.py
@@ -11,7 +11,7 @@
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
 _M = TypeVar("_M", bound=BaseModel)
-LARGEST = 64_000_000  # bytes of a settings or list file
+MAX_FILE_BYTES = 64_000_000  # bytes of a settings or list file
 
 
 class ConfigError(ValueError):
@@ -30,8 +30,8 @@
 def read_text(path: Path) -> str:
     """The text of a file that is not too large. Raises ConfigError."""
     try:
-        if path.stat().st_size > LARGEST:
-            raise ConfigError([f"{path}: larger than {LARGEST} bytes"])
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise ConfigError([f"{path}: larger than {MAX_FILE_BYTES} bytes"])
         return path.read_text(encoding="utf-8")
     except OSError as error:
         raise ConfigError([f"{path}: {error.strerror or error}"]) from None
--- a/brassweir/config/model/__init__.py
+++ b/brassweir/config/model/__init__.py
@@ -1,7 +1,8 @@
 """The settings of a sender. Times in milliseconds, sizes in bytes. Unknown fields are errors."""
 
 from brassweir.config.model.as2 import ClientModel, IdentityModel, PartnerModel, RuleModel
-from brassweir.config.model.base import Address, As2Name, CipherName, Digest, Ms, MsOrNone, Strict, Url
+from brassweir.config.model.base import Address, As2Name, CipherName, Digest, Ms, MsOrZero, Strict, Url
+from brassweir.config.model.config import Config
 from brassweir.config.model.copy import ControlConfig, CopyConfig
 from brassweir.config.model.forward import ForwardModel, ForwardSourceModel, TagRuleModel, UserModel
 from brassweir.config.model.listing import EndpointList, EndpointModel
@@ -9,7 +10,6 @@
 from brassweir.config.model.peers import AgreedModel, ConfigurationModel, CopiesFile, CopyModel, PeersModel
 from brassweir.config.model.region import RegionModel
 from brassweir.config.model.sender import LimitsModel, ProcessModel, SenderModel
-from brassweir.config.model.whole import Config
 
 __all__ = [
     "Address",
@@ -33,7 +33,7 @@
     "KindModel",
     "LimitsModel",
     "Ms",
-    "MsOrNone",
+    "MsOrZero",
     "PartnerModel",
     "PeersModel",
     "ProcessModel",
--- a/brassweir/config/model/base.py
+++ b/brassweir/config/model/base.py
@@ -8,7 +8,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
 Ms = Annotated[float, Field(gt=0, le=1e9, allow_inf_nan=False)]
-MsOrNone = Annotated[float, Field(ge=0, le=1e9, allow_inf_nan=False)]
+MsOrZero = Annotated[float, Field(ge=0, le=1e9, allow_inf_nan=False)]
 Digest = Literal["sha1", "sha224", "sha256", "sha384", "sha512"]
 CipherName = Literal[
     "3des", "aes128-cbc", "aes192-cbc", "aes256-cbc", "aes128-gcm", "aes192-gcm", "aes256-gcm"
--- a/brassweir/config/model/whole.py
+++ b/brassweir/config/model/config.py
@@ -9,12 +9,12 @@
 from pydantic import Field, model_validator
 
 from brassweir.config.model.as2 import ClientModel, IdentityModel, PartnerModel
-from brassweir.config.model.copy import DELIVERY, CopyConfig
+from brassweir.config.model.copy import DELIVERY_FIELDS, CopyConfig
 from brassweir.config.model.forward import ForwardModel
 from brassweir.config.model.messages import ClassModel, KindModel
 from brassweir.config.model.sender import SenderModel
 
-IN_LOG = Path("agreed")  # as ``endpoints``, where the settings have ``agreed.configuration``
+ENDPOINTS_IN_LOG = Path("agreed")  # as ``endpoints``, where the settings have ``agreed.configuration``
 
 
 class Config(CopyConfig):
@@ -32,7 +32,7 @@
     @property
     def endpoints_in_log(self) -> bool:
         """Does the endpoint list come from the agreed log?"""
-        return self.endpoints == IN_LOG and self.configuration is not None
+        return self.endpoints == ENDPOINTS_IN_LOG and self.configuration is not None
 
     @model_validator(mode="after")
     def _fits(self) -> Self:
@@ -103,4 +103,4 @@
     def _hint(self) -> str:
         if self.agreed is None:
             return ""
-        return f"; a control machine has none of {', '.join(sorted(DELIVERY & self.model_fields_set))}"
+        return f"; a control machine has none of {', '.join(sorted(DELIVERY_FIELDS & self.model_fields_set))}"
--- a/brassweir/config/model/copy.py
+++ b/brassweir/config/model/copy.py
@@ -12,7 +12,7 @@
 from brassweir.config.model.sender import LimitsModel, ProcessModel
 
 # What only a process that delivers has in its settings.
-DELIVERY = frozenset({"classes", "kinds", "identity", "clients", "forward", "partners", "endpoints"})
+DELIVERY_FIELDS = frozenset({"classes", "kinds", "identity", "clients", "forward", "partners", "endpoints"})
 
 
 class CopyConfig(Strict):
--- a/brassweir/config/model/forward.py
+++ b/brassweir/config/model/forward.py
@@ -8,7 +8,7 @@
 from pydantic import Field, model_validator
 
 from brassweir.config.model.base import Address, Ms, Strict
-from brassweir.config.tags import check_template, matcher
+from brassweir.config.tags import check_template, compile_pattern
 
 
 class TagRuleModel(Strict):
@@ -22,7 +22,7 @@
 
     @model_validator(mode="after")
     def _sound(self) -> Self:
-        matcher(self.tag)
+        compile_pattern(self.tag)
         check_template(self.destination)
         check_template(self.key)
         return self
--- a/brassweir/config/model/messages.py
+++ b/brassweir/config/model/messages.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field, model_validator
 
-from brassweir.config.model.base import Ms, MsOrNone, Strict
+from brassweir.config.model.base import Ms, MsOrZero, Strict
 
 
 class ClassModel(Strict):
@@ -17,7 +17,7 @@
     aim_ms: Ms
     deadline_ms: Ms
     effect: Literal["safe", "keyed", "unsafe"]
-    window_ms: MsOrNone = 0.0
+    window_ms: MsOrZero = 0.0
     late_worth: float = Field(0.0, ge=0, le=1)
     group: Literal["all", "zone"] = "all"
     in_order: bool = False
--- a/brassweir/config/model/peers.py
+++ b/brassweir/config/model/peers.py
@@ -11,7 +11,7 @@
 
 CopyName = Annotated[str, Field(pattern=r"^[A-Za-z0-9._-]{1,60}$")]  # as sender.name
 PlaceName = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,40}$")]  # of a site or a region
-MOST_COPIES = 1024  # in one fleet: three times the largest there is
+MAX_COPIES = 1024  # in one fleet: three times the largest there is
 
 
 def _reachable(value: str) -> str:
@@ -21,7 +21,7 @@
     return value
 
 
-Reachable = Annotated[str, AfterValidator(_reachable)]
+ReachableAddress = Annotated[str, AfterValidator(_reachable)]
 
 
 class CopyModel(Strict):
@@ -30,13 +30,13 @@
     name: CopyName
     site: PlaceName
     region: PlaceName
-    address: Reachable
+    address: ReachableAddress
 
 
 class CopiesFile(Strict):
     """The file that names all copies."""
 
-    copies: tuple[CopyModel, ...] = Field(min_length=1, max_length=MOST_COPIES)
+    copies: tuple[CopyModel, ...] = Field(min_length=1, max_length=MAX_COPIES)
 
 
 class PeersModel(Strict):
@@ -46,7 +46,7 @@
     keys: tuple[Path, ...] = Field(
         min_length=1, max_length=4, description="newest first: the first seals, all open"
     )
-    listen: Reachable | None = Field(None, description="the own entry's address if not given")
+    listen: ReachableAddress | None = Field(None, description="the own entry's address if not given")
 
 
 class ConfigurationModel(Strict):
--- a/brassweir/config/model/region.py
+++ b/brassweir/config/model/region.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field, model_validator
 
-from brassweir.config.model.base import Ms, MsOrNone, Strict
+from brassweir.config.model.base import Ms, MsOrZero, Strict
 
 
 class RegionModel(Strict):
@@ -20,7 +20,7 @@
     longest_deadline_ms: Ms | None = Field(
         None, description="of the whole fleet's messages: for a control machine, which has no classes"
     )
-    asks_on_ms: MsOrNone = Field(3_600_000.0, description="for how long clients ask for an answer")
+    asks_on_ms: MsOrZero = Field(3_600_000.0, description="for how long clients ask for an answer")
 
     @model_validator(mode="after")
     def _one_source(self) -> Self:
--- a/brassweir/config/model/sender.py
+++ b/brassweir/config/model/sender.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field
 
-from brassweir.config.model.base import Address, Ms, MsOrNone, Strict
+from brassweir.config.model.base import Address, Ms, MsOrZero, Strict
 
 
 class ProcessModel(Strict):
@@ -29,10 +29,10 @@
     senders: int = Field(1, ge=1, description="how many senders share the destinations")
     max_attempts: int = Field(6, ge=1, le=100)
     connect_timeout_ms: Ms = 1000.0
-    max_retry_after_ms: MsOrNone = 10_000.0
+    max_retry_after_ms: MsOrZero = 10_000.0
     idle_close_ms: Ms = 20_000.0
-    order_pause_ms: MsOrNone = 0.0
-    cold_ms: MsOrNone = 10_000.0
+    order_pause_ms: MsOrZero = 0.0
+    cold_ms: MsOrZero = 10_000.0
     start_capacity: float = Field(0.2, gt=0, le=1)
     tip_multiple: float = Field(1.5, gt=0, le=100)
     weights: Literal["none", "rate"] = "none"
@@ -40,8 +40,8 @@
     connections: int = Field(4000, ge=1, le=1_000_000, description="open to all endpoints together")
     setups: int = Field(64, ge=1, le=10_000, description="connections being made at once")
     crypto_threads: int = Field(4, ge=1, le=256)
-    answer_margin_ms: MsOrNone = 100.0
-    linger_ms: MsOrNone = 2000.0
+    answer_margin_ms: MsOrZero = 100.0
+    linger_ms: MsOrZero = 2000.0
     journal: Path | None = Field(None, description="its directory; NAME.journal if not given")
     journaled: bool = Field(True, description="false: nothing outlives the process")
     remember_ms: Ms = 3_600_000.0
--- a/brassweir/config/settings.py
+++ b/brassweir/config/settings.py
@@ -8,7 +8,7 @@
 
 from brassweir.config.load import parse_tree, read_text, validate
 from brassweir.config.model import Config, ControlConfig
-from brassweir.config.model.copy import DELIVERY
+from brassweir.config.model.copy import DELIVERY_FIELDS
 
 
 def load_settings(path: Path) -> Config | ControlConfig:
@@ -21,4 +21,4 @@
 
 def _is_control(tree: CommentedMap) -> bool:
     """A control machine takes part in the log and has nothing in its settings to deliver by."""
-    return "agreed" in tree and not DELIVERY & set(tree)
+    return "agreed" in tree and not DELIVERY_FIELDS & set(tree)
--- a/brassweir/config/tags.py
+++ b/brassweir/config/tags.py
@@ -12,7 +12,7 @@
             raise ValueError(f"{{{name}}} stands for nothing: use {{tag}} or the number of a part")
 
 
-def matcher(pattern: str) -> re.Pattern[str]:
+def compile_pattern(pattern: str) -> re.Pattern[str]:
     """A tag pattern as a regular expression. Raises ValueError."""
     words = pattern.split()
     if not words:
--- /dev/null
+++ b/brassweir/control/outcomes.py
@@ -0,0 +1,142 @@
+"""What the end of an attempt means: for its message, and as evidence on its destination."""
+
+from brassweir import interface as api
+from brassweir.control.aggregates import INF
+from brassweir.control.dispatch import PAUSE_FACTOR, SLOW_CALL_FACTOR, Dispatcher
+from brassweir.control.entities import Call, Destination, Endpoint
+from brassweir.control.gate import RECENT_FACTOR
+from brassweir.interface import Result
+
+LOSS_GAIN = 0.05  # weight of a call in that share
+IDLE_KEEP_FACTOR = (
+    3.0  # x idle time / senders: where connections lack, one whose next call comes later is closed
+)
+SHORTAGE_MEMORY_FACTOR = 3.0  # x idle time: a missing connection is remembered for so long
+
+
+class OutcomeHandler(Dispatcher):
+    def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        message = self.messages.get(event.id)
+        call = message.in_flight.pop(event.attempt, None) if message is not None else None
+        if message is None or call is None:
+            return
+        dest = message.destination
+        dest.calls.pop((message.id, event.attempt), None)
+        call.pending_messages -= 1
+        if not call.pending_messages:
+            self._add_load(dest, 0.0, 0, -1)
+            call.endpoint.active_calls -= 1
+            call.endpoint.gate.trial_in_flight &= not call.is_trial
+        if event.result is Result.BUSY:
+            call.endpoint.gate.on_requested_wait(self.now, event.wait)
+        if not call.result_recorded and (not call.pending_messages or event.result is not Result.TIMEOUT):
+            call.result_recorded = True
+            self._record_result(dest, call, event)
+        self._update_degraded(dest)
+        if event.result not in api.NEVER_RAN and message.possible_run_at == INF:
+            message.possible_run_at, message.possible_run_zone = call.sent_at, call.endpoint.info.zone
+        unsure = event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+        if unsure and message.in_order and message.key in self.key_queues:
+            self.key_queues[message.key].paused_until = self.now + self.settings.order_pause
+        if message.ended:
+            self._forget(message)
+        elif event.closed or event.result is Result.OK:
+            self._end(message)
+        elif not message.in_flight:
+            if self._may_retry(message) and message.deadline - self.now > self._expected_call_time(dest):
+                self._enqueue(message)
+            else:
+                self._end_undelivered(message)
+        self._mark_ready(dest)
+        self._close_idle(call.endpoint)
+
+    def _on_past_attempt(self, event: api.PastAttempt) -> None:
+        """What an attempt before a restart told is heeded as if it had just ended, less the time since."""
+        home = self.destination_ids.get(event.endpoint)
+        if home is None or event.result in (
+            Result.OK,
+            Result.CONNECTION_LIMIT,
+            Result.NOT_STARTED,
+            Result.CANCELLED,
+        ):
+            return
+        gate = self._destination(home).endpoints[event.endpoint].gate
+        self.adjusting_gates[gate] = None
+        if event.result is Result.BUSY:
+            gate.on_requested_wait(self.now, event.wait - event.ago)
+            gate.on_busy(self.now, max(event.wait - event.ago, 0.0), False, self.now)
+        else:
+            gate.on_failure(self.now, False)
+
+    def _close_idle(self, endpoint: Endpoint) -> None:
+        """Give back an idle connection that others may lack: guards against a fleet's idle ones filling an
+        endpoint, whose holders meet no lack (so none waits for one where few are held). Costs handshakes."""
+        lacked = (
+            self.now - self.last_shortage.get(endpoint.info.kind, -INF)
+            < SHORTAGE_MEMORY_FACTOR * self.settings.idle_close
+        )
+        few = lacked or self.settings.few_connections
+        keep = min(1.0, IDLE_KEEP_FACTOR / self.settings.senders if few else 1.0) * self.settings.idle_close
+        if not endpoint.active_calls and 0.0 < keep <= endpoint.usual_gap:
+            self.actions.append(api.CloseIdle(endpoint.info.name))
+
+    def _record_result(self, dest: Destination, call: Call, event: api.AttemptEnded) -> None:
+        """Tell the kinds of evidence apart; each has its own place."""
+        result, endpoint, gate = event.result, call.endpoint, call.endpoint.gate
+        self.adjusting_gates[gate] = None
+        newer = call.sent_at >= endpoint.last_success
+        if event.limit is not None:
+            gate.set_limit(event.limit, True)
+            gate.allowance_left = (
+                event.limit_left if event.limit > 0 and event.limit_left is not None else 1.0
+            )
+        if result is Result.CONNECTION_LIMIT:
+            gate.on_connection_limit(self.now, call.is_trial)
+        if result in api.CONNECTION_SHORTAGE:
+            self.last_shortage[endpoint.info.kind] = self.now
+        dest.timeout_streak += result is Result.TIMEOUT
+        if result is Result.OK:
+            # Unanswered calls before one that passes at the usual pace were lost, not slow or hung.
+            lost = dest.timeout_streak if event.latency < SLOW_CALL_FACTOR * dest.call_times.baseline else 0
+            self.lost_share = 1.0 - (1.0 - self.lost_share * (1.0 - LOSS_GAIN)) * (1.0 - LOSS_GAIN) ** lost
+            dest.timeout_streak = 0
+            dest.call_times.add(event.latency)
+            if not dest.degraded:
+                self.call_times.add(
+                    event.latency
+                )  # what healthy destinations need: the ill must not move costs
+            dest.last_success = endpoint.last_success = self.now
+            if (
+                call.other_calls >= endpoint.calls_at_shortage
+            ):  # as many stand at once as when one was missing
+                endpoint.calls_at_shortage = endpoint.max_calls = INF
+                self.connection_limited.pop(endpoint, None)
+            endpoint.failure_streak = 0
+            gate.on_success(self.now)
+        elif result is Result.BUSY:
+            gate.on_busy(self.now, event.wait, call.is_trial, call.sent_at)
+        elif (
+            result in api.CONNECTION_SHORTAGE
+            and not call.is_trial
+            and (
+                result is Result.CONNECTION_LIMIT
+                or endpoint.active_calls
+                or self.now - endpoint.last_success < RECENT_FACTOR * self.settings.connect_timeout
+            )
+        ):
+            endpoint.failure_streak += newer
+            # Other calls pass. If one is missing twice before as many stood, its connections are all taken;
+            # once may be an accident: guards against a path that loses some for ever seeming short of them.
+            again, endpoint.calls_at_shortage = endpoint.calls_at_shortage < INF, float(endpoint.active_calls)
+            endpoint.max_calls = max(1.0, endpoint.calls_at_shortage) + (not again)
+            self.connection_limited[endpoint] = None
+            if again or (newer and endpoint.failure_streak > 1):
+                endpoint.avoid_until = self.now + PAUSE_FACTOR * self.settings.connect_timeout
+        elif result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.NO_CONNECTION):
+            if result is Result.TIMEOUT and dest.last_success < call.sent_at:
+                # Slow as a whole, not one lost call: lost calls must not lengthen the time-outs of all.
+                dest.call_times.add(max(event.latency, dest.call_times.mean))
+            endpoint.failure_streak += newer
+            if newer and endpoint.failure_streak > 1:
+                endpoint.avoid_until = self.now + PAUSE_FACTOR * self.settings.connect_timeout
+            gate.on_failure(self.now, call.is_trial, call.is_trial or call.sent_at >= dest.last_success)
--- a/brassweir/core/recall.py
+++ b/brassweir/core/cancel.py
@@ -11,13 +11,13 @@
 from collections.abc import Iterable
 
 from brassweir.core.ports import Attempt, Outcome
-from brassweir.interface import EndpointInfo, State
+from brassweir.interface import EndpointInfo, EntryState
 
-TOLD_TO_WAIT = "its destination told another call to wait before anything was written"
-TOLD_OFF = "its endpoint was told off before anything was written"
+MUST_WAIT = "its destination told another call to wait before anything was written"
+NOT_READY = "its endpoint was told off before anything was written"
 
 
-def waits(
+def cancelled_by_wait(
     ended: Attempt, outcome: Outcome, waiting: Iterable[Attempt], apart: frozenset[str]
 ) -> list[Attempt]:
     """Attempts that a told wait calls back: those to the same destination, or where the kind's routes have
@@ -33,12 +33,12 @@
     ]
 
 
-def news(entries: Iterable[EndpointInfo], waiting: Iterable[Attempt]) -> list[Attempt]:
+def cancelled_by_list(entries: Iterable[EndpointInfo], waiting: Iterable[Attempt]) -> list[Attempt]:
     """Attempts that news of the list calls back: to endpoints not ready, or of another destination now."""
     told = {info.name: info for info in entries}
     return [
         one
         for one in waiting
         if (info := told.get(one.endpoint.name)) is not None
-        and (info.state is not State.READY or info.destination != one.submission.destination)
+        and (info.state is not EntryState.READY or info.destination != one.submission.destination)
     ]
--- a/brassweir/core/engine.py
+++ b/brassweir/core/engine.py
@@ -12,9 +12,10 @@
 
 from brassweir import interface as api
 from brassweir.control import Sender
-from brassweir.core import recall
+from brassweir.core import cancel
 from brassweir.core.first_byte import FirstByteCheck
-from brassweir.core.ledger import Ledger, Record, Taken, Waiter
+from brassweir.core.ledger import Ledger, MessageRecord, SubmitStatus, Waiter
+from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import (
     Answer,
     Attempt,
@@ -22,15 +23,14 @@
     Clock,
     Fact,
     FinalAnswer,
-    Going,
     Handle,
     MemoryStore,
     Outcome,
+    StartGuard,
     Store,
     Submission,
 )
-from brassweir.core.unbegun import Unbegun
-from brassweir.core.watcher import Watcher
+from brassweir.core.unstarted import UnstartedAttempts
 
 LATE = 5.0  # ms: a time-out that comes later than this shows that the loop stood still
 READ_FIRST = 2.0  # ms until it counts then: the sockets are read before that
@@ -51,53 +51,53 @@
         carrier_for: Callable[[api.EndpointInfo], Carrier],
         *,
         store: Store | None = None,
-        watcher: Watcher | None = None,
-        remember: float = 3_600_000.0,
-        most: int = 200_000,
+        observer: EngineObserver | None = None,
+        retention_ms: float = 3_600_000.0,
+        max_ended: int = 200_000,
         watch_list: Callable[[], None] = lambda: None,
     ) -> None:
         self.clock, self.carrier_for, self.watch_list = clock, carrier_for, watch_list
         self.store: Store = store or MemoryStore()
-        self.watcher: Watcher = watcher or Watcher()
+        self.observer: EngineObserver = observer or EngineObserver()
         self.settings = settings
         self.sender = Sender(settings, seed, clock.now())
-        self.ledger = Ledger({cls.name: cls for cls in settings.classes}, remember, most)
+        self.ledger = Ledger({cls.name: cls for cls in settings.classes}, retention_ms, max_ended)
         self.first_byte = FirstByteCheck()
         self.endpoints = self.first_byte.endpoints
-        self.facts: list[api.Event | Record] = []  # a record: a message that the module is to hold
-        self.apart = frozenset(kind.name for kind in settings.kinds if kind.apart)
-        self.unbegun = Unbegun(self.apart)
+        self.facts: list[api.Event | MessageRecord] = []  # a record: a message that the module is to hold
+        self.apart = frozenset(kind.name for kind in settings.kinds if kind.separate_routes)
+        self.unstarted = UnstartedAttempts(self.apart)
         self.recalls: list[Callable[[], None]] = []  # by what the module hears in the next turn
-        self.promises: dict[int, Callable[[], None]] = {}  # see :meth:`held`
+        self.admission_callbacks: dict[int, Callable[[], None]] = {}  # see :meth:`when_admitted`
         self.turning = False
         self.stopping = False
         # Asked of each new message before anything is kept of it: a refusal, if it is not to be taken here.
-        self.admits: Callable[[Submission], FinalAnswer | None] = lambda _: None
-        self.traced: Callable[[float, list[api.Event], list[api.Action]], None] | None = None
+        self.admission_check: Callable[[Submission], FinalAnswer | None] = lambda _: None
+        self.on_turn: Callable[[float, list[api.Event], list[api.Action]], None] | None = None
         self._turn_soon()  # the first turn lets the module set its first timer
 
     # ---- facts in
 
-    def submit(self, submission: Submission, waiter: Waiter) -> tuple[Taken, Record]:
+    def submit(self, submission: Submission, waiter: Waiter) -> tuple[SubmitStatus, MessageRecord]:
         """Take one message; ``waiter`` gets its one final answer, never from inside this call.
 
         Raises ValueError if the class is unknown or the time left is no positive number.
         """
         if submission.class_name not in self.ledger.classes:
             raise ValueError(f"unknown class {submission.class_name!r}")
-        if not 0.0 < submission.left < float("inf"):
-            raise ValueError(f"time left {submission.left!r} is no positive number")
-        how, record = self.ledger.take(submission, self.clock.now(), waiter)
-        self.watcher.taken(record, how)
-        if how is Taken.ENDED:
+        if not 0.0 < submission.time_left < float("inf"):
+            raise ValueError(f"time left {submission.time_left!r} is no positive number")
+        how, record = self.ledger.accept(submission, self.clock.now(), waiter)
+        self.observer.submitted(record, how)
+        if how is SubmitStatus.ENDED:
             answer = record.answer
             assert answer is not None
             self.clock.call_soon(lambda: waiter(answer))
-        elif how is Taken.NEW:
+        elif how is SubmitStatus.NEW:
             if self.stopping:
                 self._finish(record, FinalAnswer(Answer.REFUSED, "the sender is stopping"))
                 return how, record
-            refusal = self.admits(record.submission)
+            refusal = self.admission_check(record.submission)
             if refusal is not None:
                 self._finish(record, refusal)
                 return how, record
@@ -105,13 +105,13 @@
             def kept() -> None:
                 if record.answer is not None:
                     return  # withdrawn before it was written down: the module is not to hear of it
-                record.kept = True
-                for keeper in record.keepers:
+                record.persisted = True
+                for keeper in record.persist_callbacks:
                     keeper()
-                record.keepers.clear()
+                record.persist_callbacks.clear()
                 self._fact(record)
 
-            self.store.keep(
+            self.store.persist(
                 Fact.TAKEN,
                 record.id,
                 record.submission,
@@ -124,29 +124,29 @@
 
     def knows(self, owner: str, identity: str) -> bool:
         """Would a hand-in of this message join it or be told its answer, rather than be taken as new?"""
-        record = self.ledger.by_name.get((owner, identity))
+        record = self.ledger.by_identity.get((owner, identity))
         return record is not None and (
-            record.answer is None or self.ledger.reopens(record, self.clock.now()) <= 0.0
+            record.answer is None or self.ledger.retry_window(record, self.clock.now()) <= 0.0
         )
 
-    def past(self, known: Iterable[api.Past]) -> None:
+    def restore_past_attempts(self, known: Iterable[api.PastAttempt]) -> None:
         """Tell what was known of endpoints before a restart; after the list, before any message."""
         for one in known:
             self._fact(one)
 
-    def resume(self, record: Record) -> None:
+    def resume(self, record: MessageRecord) -> None:
         """Go on with a message from before a restart, under its old id, without writing it down again."""
         self.ledger.put(record)
-        record.kept = record.resumed = True
-        self.watcher.taken(record, Taken.NEW)
+        record.persisted = record.resumed = True
+        self.observer.submitted(record, SubmitStatus.NEW)
         self._fact(record)
 
-    def news(self, news: api.ListNews) -> None:
+    def update_list(self, news: api.ListUpdate) -> None:
         """Pass on news of the endpoint list."""
-        self.first_byte.learn(news)
-        self._tell(news, lambda: self.unbegun.called_back_by_news(news.entries), recall.TOLD_OFF)
+        self.first_byte.update(news)
+        self._tell(news, lambda: self.unstarted.cancelled_by_list(news.entries), cancel.NOT_READY)
 
-    def _fact(self, event: api.Event | Record) -> None:
+    def _fact(self, event: api.Event | MessageRecord) -> None:
         self.facts.append(event)
         self._turn_soon()
 
@@ -162,27 +162,27 @@
         recalls, self.recalls = self.recalls, []
         before = thread_time()  # for the watcher only: nothing is decided by it
         now = self.clock.now()
-        events = [one.told(now) if isinstance(one, Record) else one for one in self.facts]
+        events = [one.new_message(now) if isinstance(one, MessageRecord) else one for one in self.facts]
         self.facts = []
         actions = self.sender.handle(now, events)
-        self.watcher.turn(len(events), len(actions), thread_time() - before)
-        if self.traced is not None:
-            self.traced(now, events, actions)
-        if self.promises:
+        self.observer.turn(len(events), len(actions), thread_time() - before)
+        if self.on_turn is not None:
+            self.on_turn(now, events, actions)
+        if self.admission_callbacks:
             self._promise(events, actions)
         for action in actions:
             self._carry_out(action)
         for again in recalls:
             again()
         for event in events:
-            if isinstance(event, api.ListNews):
+            if isinstance(event, api.ListUpdate):
                 self._forget(event)
 
-    def _forget(self, news: api.ListNews) -> None:
+    def _forget(self, news: api.ListUpdate) -> None:
         """Let go of endpoints that the module now knows to be gone: it names them no more."""
         for info in news.entries:
             known = self.endpoints.get(info.name)
-            if info.state is api.State.GONE and known is not None and known.state is api.State.GONE:
+            if info.state is api.EntryState.GONE and known is not None and known.state is api.EntryState.GONE:
                 del self.endpoints[info.name]
 
     def _promise(self, events: list[api.Event], actions: list[api.Action]) -> None:
@@ -190,7 +190,7 @@
         ended = {one.id for one in actions if isinstance(one, api.Refuse | api.Fail)}
         for event in events:
             if isinstance(event, api.NewMessage):
-                promise = self.promises.pop(event.id, None)
+                promise = self.admission_callbacks.pop(event.id, None)
                 if promise is not None and event.id not in ended:
                     promise()
 
@@ -213,8 +213,8 @@
     def _send(self, action: api.Send) -> None:
         record = self.ledger.by_id[action.id]
         info = self.endpoints[action.endpoint]
-        until, repeat = self.ledger.repeats_until(record), record.ran is not None
-        number = self.ledger.sent(action.id, action.endpoint, self.clock.now())
+        until, repeat = self.ledger.repeat_deadline(record), record.first_run_at is not None
+        number = self.ledger.add_attempt(action.id, action.endpoint, self.clock.now())
         attempt = Attempt(
             action.id,
             number,
@@ -222,9 +222,9 @@
             info,
             action.abandon_at,
             repeat,
-            Going(
-                lambda: self.first_byte.bar(record, action.endpoint, self.clock.now(), until),
-                lambda: self.watcher.began(record, number),  # not of the attempt: that would be a cycle
+            StartGuard(
+                lambda: self.first_byte.block(record, action.endpoint, self.clock.now(), until),
+                lambda: self.observer.began(record, number),  # not of the attempt: that would be a cycle
             ),
         )
         started = self.clock.now()
@@ -233,10 +233,10 @@
         def done(outcome: Outcome) -> None:
             if limit is not None:
                 limit.cancel()
-            if attempt.going.bar is not None:
-                outcome = Outcome(api.Result.MOOT, attempt.going.bar.value)
-            self.unbegun.remove(attempt)
-            self.unbegun.recall(self.unbegun.called_back_by_wait(attempt, outcome), recall.TOLD_TO_WAIT)
+            if attempt.start_guard.block is not None:
+                outcome = Outcome(api.Result.NOT_STARTED, attempt.start_guard.block.value)
+            self.unstarted.remove(attempt)
+            self.unstarted.cancel(self.unstarted.cancelled_by_wait(attempt, outcome), cancel.MUST_WAIT)
             self._ended(attempt, started, outcome)
 
         def over() -> None:
@@ -249,16 +249,16 @@
                 end()
 
         def end() -> None:
-            if attempt.going.recall():  # not a byte was written, so nothing can have run
+            if attempt.start_guard.cancel():  # not a byte was written, so nothing can have run
                 done(Outcome(api.Result.NO_CONNECTION, "no connection in time"))
             else:
                 done(Outcome(api.Result.TIMEOUT, "no whole answer in time"))
 
         def go() -> None:
             nonlocal limit
-            if attempt.going.recalled:
+            if attempt.start_guard.cancelled:
                 return  # while its intent was kept
-            self.watcher.sent(attempt)
+            self.observer.sent(attempt)
             # Kept here and not by the carrier: one that hangs must not hold an answer back.
             limit = self.clock.call_at(attempt.abandon_at, over)
             self.carrier_for(info).start(attempt, done)
@@ -266,14 +266,14 @@
         def unable(why: str) -> None:
             done(Outcome(api.Result.NO_CONNECTION, why))
 
-        self.unbegun.add(attempt, done)
-        self.store.keep(Fact.INTENT, action.id, attempt, go, unable)
+        self.unstarted.add(attempt, done)
+        self.store.persist(Fact.INTENT, action.id, attempt, go, unable)
 
     def _tell(self, event: api.Event, which: Callable[[], list[Attempt]], why: str) -> None:
         """Tell what may call attempts back: now, and after the turn that hears it and may not heed it yet."""
 
         def again() -> None:
-            self.unbegun.recall(which(), why)
+            self.unstarted.cancel(which(), why)
 
         again()
         self.recalls.append(again)
@@ -281,13 +281,13 @@
 
     def _ended(self, attempt: Attempt, started: float, outcome: Outcome) -> None:
         record = self.ledger.by_id.get(attempt.id)
-        if record is not None and not self.ledger.outcome(attempt.id, attempt.number, outcome):
+        if record is not None and not self.ledger.record_outcome(attempt.id, attempt.number, outcome):
             self._afterwards(record, attempt, outcome)
             return
         latency = max(0.0, self.clock.now() - started)
         served = outcome.result is api.Result.OK
         if record is not None:
-            self.watcher.outcome(record, attempt.number, outcome, record.answer is not None)
+            self.observer.outcome(record, attempt.number, outcome, record.answer is not None)
 
         def tell() -> None:
             closed = True
@@ -295,7 +295,7 @@
                 if (served or outcome.rejected) and record.answer is None:
                     answer = Answer.FAILED if outcome.rejected else Answer.DELIVERED
                     self._finish(record, FinalAnswer(answer, outcome.reason))
-                self.ledger.shed(record)
+                self.ledger.drop_content(record)
                 closed = record.answer is not None
             ended = api.AttemptEnded(
                 attempt.id,
@@ -308,19 +308,19 @@
                 outcome.limit_left,
                 outcome.limit,
             )
-            self._tell(ended, lambda: self.unbegun.called_back_by_wait(attempt, outcome), recall.TOLD_TO_WAIT)
+            self._tell(ended, lambda: self.unstarted.cancelled_by_wait(attempt, outcome), cancel.MUST_WAIT)
 
-        self.store.keep(Fact.OUTCOME, attempt.id, (attempt, outcome), tell, lambda _: tell())
+        self.store.persist(Fact.OUTCOME, attempt.id, (attempt, outcome), tell, lambda _: tell())
 
-    def _afterwards(self, record: Record, attempt: Attempt, outcome: Outcome) -> None:
+    def _afterwards(self, record: MessageRecord, attempt: Attempt, outcome: Outcome) -> None:
         """An attempt that had its outcome has another one: after its time, or a second receipt.
 
         It is recorded. If it says that the message was delivered after all, and no answer was given yet, that
         is the answer: another attempt could only do the work twice.
         """
-        if outcome.result is api.Result.TIMEOUT or attempt.going.recalled:
+        if outcome.result is api.Result.TIMEOUT or attempt.start_guard.cancelled:
             return  # the two clocks of one time-out; or what a carrier makes of having been called back
-        self.watcher.late(record, attempt.number, outcome)
+        self.observer.late_outcome(record, attempt.number, outcome)
         if outcome.result is api.Result.OK and not outcome.rejected and record.answer is None:
             self._finish(record, FinalAnswer(Answer.DELIVERED, "the receipt came late"))
             self._fact(api.Withdrawn(record.id))
@@ -332,56 +332,56 @@
         if record is not None:
             self._finish(record, answer)
 
-    def _finish(self, record: Record, answer: FinalAnswer) -> None:
+    def _finish(self, record: MessageRecord, answer: FinalAnswer) -> None:
         waiters = self.ledger.finish(record.id, answer, self.clock.now())
         if waiters is None:
             return  # it had one: the first stays
-        self.promises.pop(record.id, None)
-        self.ledger.shed(record)
-        self.watcher.final(record)
+        self.admission_callbacks.pop(record.id, None)
+        self.ledger.drop_content(record)
+        self.observer.final(record)
 
         def give() -> None:
             for waiter in waiters:
                 self.clock.call_soon(lambda waiter=waiter: waiter(answer))  # type: ignore[misc]
 
         # An answer there is no room to keep is given all the same: it was promised in time.
-        self.store.keep(Fact.FINAL, record.id, answer, give, lambda _: give())
+        self.store.persist(Fact.FINAL, record.id, answer, give, lambda _: give())
 
     # ---- stopping
 
-    def leaving(self, at: float) -> None:
+    def announce_exit(self, at: float) -> None:
         """Tell that this process ends at a time (engine clock), and another goes on from its journal."""
-        self._fact(api.Leaving(at))
+        self._fact(api.StopScheduled(at))
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """From now on new messages are refused; open ones go on."""
         self.stopping = True
 
-    def whole(self, record: Record, keeper: Callable[[], None]) -> None:
+    def when_persisted(self, record: MessageRecord, keeper: Callable[[], None]) -> None:
         """Call ``keeper`` once a message is written down, perhaps at once."""
-        if record.kept:
+        if record.persisted:
             keeper()
         else:
-            record.keepers.append(keeper)
+            record.persist_callbacks.append(keeper)
 
-    def held(self, record: Record, promise: Callable[[], None]) -> None:
+    def when_admitted(self, record: MessageRecord, promise: Callable[[], None]) -> None:
         """Call ``promise`` once a message just handed in is written down and the module holds it: before any
         attempt goes out, and never if its first turn ends it."""
         if record.answer is None:
-            self.promises[record.id] = promise
+            self.admission_callbacks[record.id] = promise
 
-    def withdraw(self, record: Record) -> None:
+    def withdraw(self, record: MessageRecord) -> None:
         """Nobody waits for a message any more, and nobody was told that it is taken on."""
         if record.answer is None:
             self._fact(api.Withdrawn(record.id))
-            self._finish(record, self.ledger.closing(record))
+            self._finish(record, self.ledger.closing_answer(record))
 
     def close(self) -> int:
         """Answer everything still open with what can be promised, and return how many that were."""
-        left: Iterable[Record] = self.ledger.open()
+        left: Iterable[MessageRecord] = self.ledger.open_messages()
         count = 0
         for record in left:
             self._fact(api.Withdrawn(record.id))
-            self._finish(record, self.ledger.closing(record))
+            self._finish(record, self.ledger.closing_answer(record))
             count += 1
         return count
--- a/brassweir/core/first_byte.py
+++ b/brassweir/core/first_byte.py
@@ -8,9 +8,9 @@
 
 from __future__ import annotations
 
-from brassweir.core.ledger import Record
-from brassweir.core.ports import Bar
-from brassweir.interface import EndpointInfo, ListKind, ListNews, State
+from brassweir.core.ledger import MessageRecord
+from brassweir.core.ports import BlockReason
+from brassweir.interface import EndpointInfo, EntryState, ListKind, ListUpdate
 
 
 class FirstByteCheck:
@@ -20,7 +20,7 @@
         self.endpoints: dict[str, EndpointInfo] = {}
         self.list_usable = True
 
-    def learn(self, news: ListNews) -> None:
+    def update(self, news: ListUpdate) -> None:
         """News of the list; from now on it counts, whatever was decided before."""
         if news.kind is ListKind.UNCONFIRMED:
             self.list_usable = False
@@ -29,17 +29,19 @@
         for info in news.entries:
             self.endpoints[info.name] = info
 
-    def bar(self, record: Record, endpoint: str, now: float, repeat_until: float) -> Bar | None:
+    def block(
+        self, record: MessageRecord, endpoint: str, now: float, repeat_until: float
+    ) -> BlockReason | None:
         """What bars an attempt at a message from beginning ``now`` (ms), or None."""
         if record.answer is not None:
-            return Bar.MESSAGE_OVER
+            return BlockReason.MESSAGE_OVER
         if now > repeat_until:
-            return Bar.WINDOW_OVER
+            return BlockReason.WINDOW_OVER
         if not self.list_usable:
-            return Bar.LIST_UNCONFIRMED
+            return BlockReason.LIST_UNCONFIRMED
         info = self.endpoints.get(endpoint)
-        if info is None or info.state is not State.READY:
-            return Bar.ENDPOINT_NOT_READY
+        if info is None or info.state is not EntryState.READY:
+            return BlockReason.ENDPOINT_NOT_READY
         if info.destination != record.submission.destination:
-            return Bar.ENDPOINT_NOT_READY
+            return BlockReason.ENDPOINT_NOT_READY
         return None
--- a/brassweir/core/reading.py
+++ b/brassweir/core/http_responses.py
@@ -23,15 +23,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ServerHints:
     """What headers tell of waits and limits: ``wait`` in ms, ``limit`` in calls a second, share ``left``."""
 
     wait: float = 0.0
     limit: float | None = None
-    left: float | None = None
+    limit_left: float | None = None
 
 
-def told(field: Callable[[str], str], wall: float) -> Told:
+def read_hints(field: Callable[[str], str], wall: float) -> ServerHints:
     """Read Retry-After (RFC 9110, section 10.2.3) and RateLimit fields; ``wall`` is the time in seconds.
 
     The RateLimit fields are read in both of the forms that the drafts of httpapi-ratelimit-headers gave
@@ -47,7 +47,7 @@
         except (ValueError, TypeError, OverflowError):
             wait = 0.0
     limit, left = _rate(field)
-    return Told(wait, limit, left)
+    return ServerHints(wait, limit, left)
 
 
 def _rate(field: Callable[[str], str]) -> tuple[float | None, float | None]:
--- a/brassweir/core/identity.py
+++ b/brassweir/core/identity.py
@@ -5,6 +5,6 @@
 import hashlib
 
 
-def onward(owner: str, identity: str) -> str:
+def delivery_id(owner: str, identity: str) -> str:
     """The same for every attempt, hand-in and restart; 40 hexadecimal digits."""
     return hashlib.sha256(f"{owner}\0{identity}".encode()).hexdigest()[:40]
--- a/brassweir/core/lines.py
+++ b/brassweir/core/key_order.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 
 
-class Lines:
+class KeyOrder:
     """One line for each key that has hand-ins being opened."""
 
     def __init__(self) -> None:
--- a/brassweir/core/ports.py
+++ b/brassweir/core/ports.py
@@ -51,16 +51,16 @@
     identity: str
     class_name: str
     destination: int
-    left: float
+    time_left: float
     key: str = ""
     resent: bool = False
     payload: object = field(default=None, repr=False)
-    reply: bytes = field(default=b"", repr=False)  # the front's note of how to bring a receipt owed
+    reply_to: bytes = field(default=b"", repr=False)  # the front's note of how to bring a receipt owed
     ran_ago: float | None = None  # ms since an attempt of an earlier hand-in may first have run
-    born: float | None = None  # when its client made it (wall ms), where its protocol tells
+    created_at: float | None = None  # when its client made it (wall ms), where its protocol tells
 
 
-class Bar(Enum):
+class BlockReason(Enum):
     """Why an attempt may not begin any more; its value is the reason told."""
 
     MESSAGE_OVER = "its message was over before it began"
@@ -69,37 +69,39 @@
     LIST_UNCONFIRMED = "nobody vouched for the endpoint list before it began"
 
 
-class Going:
+class StartGuard:
     """Has an attempt's first byte gone out, or was it called back before? One of the two, never both.
 
     ``check`` is asked right before the first byte, and before the last where that is held back: what bars the
     attempt, or None. ``bar`` is what barred it. ``began`` is called once, as it begins.
     """
 
-    __slots__ = ("bar", "began", "begun", "check", "recalled")
+    __slots__ = ("block", "on_begin", "begun", "check", "cancelled")
 
     def __init__(
-        self, check: Callable[[], Bar | None] = lambda: None, began: Callable[[], None] = lambda: None
+        self,
+        check: Callable[[], BlockReason | None] = lambda: None,
+        on_begin: Callable[[], None] = lambda: None,
     ) -> None:
-        self.begun = self.recalled = False
-        self.bar: Bar | None = None
-        self.check, self.began = check, began
+        self.begun = self.cancelled = False
+        self.block: BlockReason | None = None
+        self.check, self.on_begin = check, on_begin
 
-    def go(self) -> bool:
+    def begin(self) -> bool:
         """The carrier is about to write the first byte, or the last where that is held back; false if it must
         not any more."""
-        if self.bar is None:
-            self.bar = self.check()
-        goes = not self.recalled and self.bar is None
+        if self.block is None:
+            self.block = self.check()
+        goes = not self.cancelled and self.block is None
         if goes and not self.begun:
-            self.began()
+            self.on_begin()
         self.begun = goes
         return goes
 
-    def recall(self) -> bool:
+    def cancel(self) -> bool:
         """Call it back; false if it is under way."""
-        self.recalled = not self.begun
-        return self.recalled
+        self.cancelled = not self.begun
+        return self.cancelled
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +118,7 @@
     endpoint: EndpointInfo
     abandon_at: float
     repeat: bool  # an earlier attempt at this message may have run
-    going: Going = field(default_factory=Going, compare=False, repr=False)
+    start_guard: StartGuard = field(default_factory=StartGuard, compare=False, repr=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -194,13 +196,13 @@
 class Store(Protocol):
     """Keeps facts; ``then`` runs once the fact is as durable as the store makes it."""
 
-    def keep(
+    def persist(
         self,
         fact: Fact,
         message: int,
         detail: object,
-        then: Callable[[], None],
-        unable: Callable[[str], None],
+        on_durable: Callable[[], None],
+        on_rejected: Callable[[str], None],
     ) -> None:
         """Keep one fact of one message: its Submission, Attempt, (Attempt, Outcome) or FinalAnswer.
 
@@ -212,13 +214,13 @@
 class MemoryStore:
     """Keeps nothing beyond the process: every fact counts as kept at once."""
 
-    def keep(
+    def persist(
         self,
         fact: Fact,
         message: int,
         detail: object,
-        then: Callable[[], None],
-        unable: Callable[[str], None],
+        on_durable: Callable[[], None],
+        on_rejected: Callable[[str], None],
     ) -> None:
         """Go on at once."""
-        then()
+        on_durable()
--- a/brassweir/core/carrying.py
+++ b/brassweir/core/task_carrier.py
@@ -12,7 +12,7 @@
 Note = Callable[[str, dict[str, object]], None]
 
 
-class Closes(Protocol):
+class IdleCloser(Protocol):
     """Pools of connections, as far as this module needs them."""
 
     def close_idle(self, url: str) -> int:
@@ -23,8 +23,8 @@
     """Runs :meth:`call` for each attempt. ``name`` goes into User-Agent, so that a partner's staff can tell
     senders apart."""
 
-    def __init__(self, urls: Urls, closes: Closes, note: Note, name: str) -> None:
-        self.urls, self.closes, self.note = urls, closes, note
+    def __init__(self, urls: Urls, idle_closer: IdleCloser, note: Note, name: str) -> None:
+        self.urls, self.idle_closer, self.note = urls, idle_closer, note
         self.agent = f"brassweir ({name})" if name else "brassweir"
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -38,7 +38,7 @@
         """Close idle connections to an endpoint."""
         url = self.urls.url(endpoint)
         if url is not None:
-            self.closes.close_idle(url)
+            self.idle_closer.close_idle(url)
 
     async def call(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
         """Make the attempt and tell how it ended."""
--- a/brassweir/core/unbegun.py
+++ b/brassweir/core/unstarted.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable, Iterable
 
-from brassweir.core import recall
+from brassweir.core import cancel
 from brassweir.core.ports import Attempt, Outcome
 from brassweir.interface import EndpointInfo, Result
 
 Done = Callable[[Outcome], None]
 
 
-class Unbegun:
+class UnstartedAttempts:
     """Attempts from their decision to their outcome, by destination, each with the call that ends it.
 
     ``apart`` names the kinds of destination whose routes have limits of their own.
@@ -33,27 +33,29 @@
         if line is not None and line.pop((attempt.id, attempt.number), None) is not None and not line:
             del self.by_destination[home]
 
-    def called_back_by_wait(self, ended: Attempt, outcome: Outcome) -> list[Attempt]:
+    def cancelled_by_wait(self, ended: Attempt, outcome: Outcome) -> list[Attempt]:
         """Those that a wait told to another attempt calls back."""
         if outcome.wait <= 0.0:
             return []
-        return recall.waits(ended, outcome, self._not_begun(ended.endpoint.destination), self.apart)
+        return cancel.cancelled_by_wait(
+            ended, outcome, self._not_begun(ended.endpoint.destination), self.apart
+        )
 
-    def called_back_by_news(self, entries: Iterable[EndpointInfo]) -> list[Attempt]:
+    def cancelled_by_list(self, entries: Iterable[EndpointInfo]) -> list[Attempt]:
         """Those that news of the endpoint list calls back."""
-        return recall.news(entries, self._not_begun(*self.by_destination))
+        return cancel.cancelled_by_list(entries, self._not_begun(*self.by_destination))
 
-    def recall(self, attempts: Iterable[Attempt], why: str) -> None:
+    def cancel(self, attempts: Iterable[Attempt], why: str) -> None:
         """End those of which no byte was written as moot."""
         for attempt in attempts:
-            if attempt.going.recall():
+            if attempt.start_guard.cancel():
                 _, done = self.by_destination[attempt.endpoint.destination][attempt.id, attempt.number]
-                done(Outcome(Result.MOOT, why))
+                done(Outcome(Result.NOT_STARTED, why))
 
     def _not_begun(self, *destinations: int) -> list[Attempt]:
         return [
             attempt
             for destination in destinations
             for attempt, _ in self.by_destination.get(destination, {}).values()
-            if not attempt.going.begun
+            if not attempt.start_guard.begun
         ]
--- a/brassweir/destinations/budget.py
+++ b/brassweir/destinations/budget.py
@@ -28,29 +28,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class Permit:
     """What to do about one request: may it connect now, and whose idle connection is to be closed first."""
 
-    go: bool
-    close: str | None = None
+    granted: bool
+    evict: str | None = None
 
 
-class Budget:
+class ConnectionBudget:
     """Connections of all destinations under one limit. Keys are pools; times in ms."""
 
-    def __init__(self, most: int) -> None:
-        if most < 1:
-            raise ValueError(f"a budget of {most} connections serves nobody")
-        self.configured = self.most = most
+    def __init__(self, max_connections: int) -> None:
+        if max_connections < 1:
+            raise ValueError(f"a budget of {max_connections} connections serves nobody")
+        self.configured = self.max_connections = max_connections
         self.holders: dict[str, _Holder] = {}
         self.open = 0
         self.age = 0.0  # rank of the last one that gave way: what came later ranks above it
         self.heap: list[tuple[float, int, str]] = []  # idle holders by rank, with stale entries
         self.stamps = 0
         self.short_at = -float("inf")
-        self.given_way = 0
+        self.evictions = 0
 
-    def request(self, key: str, now: float) -> Step:
+    def request(self, key: str, now: float) -> Permit:
         """A destination wants one more connection.
 
         A first one may use all of the budget, a further one only what the waking do not need. If there is no
@@ -59,14 +59,14 @@
         self._regrow(now)
         holder = self.holders.get(key)
         first = holder is None or holder.open == 0
-        limit = self.most if first else max(1, int(self.most * (1.0 - ROOM)))
+        limit = self.max_connections if first else max(1, int(self.max_connections * (1.0 - ROOM)))
         if self.open < limit:
-            return Step(True)
+            return Permit(True)
         victim = self._victim(key)
         if victim is None:
-            return Step(False)
-        self.given_way += 1
-        return Step(True, victim)
+            return Permit(False)
+        self.evictions += 1
+        return Permit(True, victim)
 
     def opened(self, key: str) -> None:
         """A connection is being made."""
@@ -106,13 +106,15 @@
 
     def shortage(self, now: float) -> str | None:
         """The system has no more descriptors or ports: live with less from now on. Returns who gives way."""
-        self.most = max(1, min(self.most, int(self.open * SHRINK)))
+        self.max_connections = max(1, min(self.max_connections, int(self.open * SHRINK)))
         self.short_at = now
         return self._victim(None)
 
     def _regrow(self, now: float) -> None:
-        if self.most < self.configured and now - self.short_at >= REGROW:
-            self.most = min(self.configured, max(self.most + 1, int(self.most * GROWTH)))
+        if self.max_connections < self.configured and now - self.short_at >= REGROW:
+            self.max_connections = min(
+                self.configured, max(self.max_connections + 1, int(self.max_connections * GROWTH))
+            )
             self.short_at = now
 
     def _forget(self, key: str, holder: _Holder) -> None:
--- a/brassweir/forward/carrier.py
+++ b/brassweir/forward/carrier.py
@@ -6,10 +6,10 @@
 import time
 from collections.abc import Callable
 
-from brassweir.core.carrying import Note, TaskCarrier
-from brassweir.core.identity import onward
+from brassweir.core.identity import delivery_id
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Attempt, Outcome, Payload, Urls
+from brassweir.core.task_carrier import Note, TaskCarrier
 from brassweir.forward import endings, events, message
 from brassweir.forward.decide.joining import Joining
 from brassweir.forward.errors import ForwardError
@@ -17,8 +17,8 @@
 from brassweir.interface import Result
 from brassweir.net.address import Address
 from brassweir.net.connection import CallFailed, Stage
-from brassweir.net.limiter import Pools
 from brassweir.net.pool import ConnectionPool
+from brassweir.net.pool_manager import PoolManager
 
 INLINE = 16_384  # bytes: what is built in less time than a thread takes to hear of it
 Done = Callable[[Outcome], None]
@@ -31,7 +31,7 @@
     def __init__(
         self,
         urls: Urls,
-        pools: Pools,
+        pools: PoolManager,
         credentials: Credentials,
         offload: Offload,
         note: Note,
@@ -105,7 +105,7 @@
             if url is None or not isinstance(given.payload, Payload):
                 done(Outcome(Result.NO_CONNECTION, "no address for this endpoint"))
                 continue
-            chunk = onward(given.owner, given.identity)
+            chunk = delivery_id(given.owner, given.identity)
             content = given.payload
 
             def build(content: Payload = content, chunk: str = chunk) -> bytes:
@@ -120,11 +120,11 @@
             ready.append((attempt, chunk, data, done))
         if not ready or url is None:
             return
-        links = self.pools.links(url, self._make)
+        links = self.pools.pool(url, self._make)
         last = (max(attempt.abandon_at for attempt, _, _, _ in ready) + self.linger) / 1000.0
         begin = min(attempt.abandon_at for attempt, _ in calls) / 1000.0
         try:
-            async with links.link(last, begin) as link:
+            async with links.acquire(last, begin) as link:
                 assert isinstance(link, ForwardLink)
                 try:
                     out = [self._send(link, *one) for one in ready]
@@ -135,13 +135,13 @@
             for _, _, _, done in ready:
                 done(endings.failed(failed))
 
-    def _make(self, address: Address, pools: Pools) -> ConnectionPool:
+    def _make(self, address: Address, pools: PoolManager) -> ConnectionPool:
         return ForwardLinks(address, pools, self.credentials)
 
     async def _send(self, link: ForwardLink, attempt: Attempt, chunk: str, data: bytes, done: Done) -> None:
         """One chunk of a call, to its own ending."""
         until = (attempt.abandon_at + self.linger) / 1000.0
-        if not attempt.going.go():
+        if not attempt.start_guard.begin():
             done(Outcome(Result.NO_CONNECTION, "called back before anything was written"))
             return
         try:
@@ -153,7 +153,7 @@
             async with asyncio.timeout_at(until):
                 await asyncio.shield(waiting)
         except TimeoutError:
-            done(endings.failed(CallFailed(Stage.SENT, "no ack in time", late=True)))
+            done(endings.failed(CallFailed(Stage.SENT, "no ack in time", timed_out=True)))
         except CallFailed as failed:
             done(endings.failed(failed))
         else:
--- a/brassweir/forward/chunks.py
+++ b/brassweir/forward/chunks.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from brassweir.core.futures import resolver
-from brassweir.core.lines import Lines
+from brassweir.core.key_order import KeyOrder
 from brassweir.core.offload import Offload
 from brassweir.core.ports import FinalAnswer, Payload, Submission
 from brassweir.forward import events
@@ -19,7 +19,7 @@
 from brassweir.forward.message import Message
 from brassweir.forward.ports import Bounds, Counts, Note, Source, Submits
 from brassweir.interface import MessageClass
-from brassweir.undelivered.item import Item
+from brassweir.undelivered.item import UndeliveredItem
 
 INLINE = 16_384  # bytes: what is unpacked in less time than a thread takes to hear of it
 _OWN = "unasked"  # names of chunks whose sources ask for no ack
@@ -42,15 +42,17 @@
     ) -> None:
         self.classes, self.number_of, self.engine, self.offload = classes, number_of, engine, offload
         self.note, self.bounds, self.margin, self.counts, self.turns = note, bounds, margin, counts, turns
-        self.lines = Lines()
+        self.lines = KeyOrder()
 
-    async def deliver(self, source: Source, given: Message, grew: Callable[[int], None]) -> tuple[Told, Item]:
+    async def deliver(
+        self, source: Source, given: Message, grew: Callable[[int], None]
+    ) -> tuple[Told, UndeliveredItem]:
         """What its source is to be told, and what is kept if need be. ``grew`` hears its size once open."""
         asked = bool(given.chunk)
         identity = given.chunk or f"{_OWN}-{secrets.token_hex(12)}"
         placed = place(source.rules, source.name, given.tag)
         number = self.number_of(placed.destination) if placed is not None else None
-        nowhere = Item(
+        nowhere = UndeliveredItem(
             source.name,
             identity,
             placed.destination if placed else "",
@@ -102,7 +104,7 @@
         if told.tell is Tell.KEEP and payload is None:
             payload = await self._opened(given, placed)
         kept = payload or Payload(events.PACKED, given.data, given.tag)
-        return told, Item(
+        return told, UndeliveredItem(
             source.name,
             identity,
             placed.destination,
--- a/brassweir/forward/decide/rules.py
+++ b/brassweir/forward/decide/rules.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brassweir.config.tags import check_template, matcher
+from brassweir.config.tags import check_template, compile_pattern
 
 
 class Body(Enum):
@@ -35,7 +35,7 @@
     matcher: re.Pattern[str] = field(init=False, compare=False, repr=False)
 
     def __post_init__(self) -> None:
-        object.__setattr__(self, "matcher", matcher(self.pattern))
+        object.__setattr__(self, "matcher", compile_pattern(self.pattern))
         check_template(self.destination)
         check_template(self.key)
 
--- a/brassweir/forward/endings.py
+++ b/brassweir/forward/endings.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
+from brassweir.core.http_responses import no_answer
 from brassweir.core.ports import Outcome
-from brassweir.core.reading import no_answer
 from brassweir.interface import Result
 from brassweir.net.connection import CallFailed, Stage
 
@@ -18,4 +18,4 @@
     """A call without its ack."""
     if error.stage is Stage.GARBLED:
         return Outcome(Result.ERROR, error.reason)
-    return no_answer(error.stage is not Stage.CONNECT, True, error.late, error.reason)
+    return no_answer(error.stage is not Stage.CONNECT, True, error.timed_out, error.reason)
--- a/brassweir/forward/front.py
+++ b/brassweir/forward/front.py
@@ -23,7 +23,7 @@
 from brassweir.forward.session import Gatekeeper, Session
 from brassweir.forward.undelivered import UndeliveredChunks
 from brassweir.interface import MessageClass
-from brassweir.undelivered.item import Item
+from brassweir.undelivered.item import UndeliveredItem
 
 
 class ForwardFront:
@@ -154,7 +154,9 @@
             else:
                 self.look_later()
 
-    async def _tell(self, connection: Connection, given: Message, outcome: tuple[Told, Item]) -> None:
+    async def _tell(
+        self, connection: Connection, given: Message, outcome: tuple[Told, UndeliveredItem]
+    ) -> None:
         told, item = outcome
         name = connection.source
         if told.tell is Tell.KEEP:
--- a/brassweir/forward/link.py
+++ b/brassweir/forward/link.py
@@ -11,8 +11,8 @@
 from brassweir.forward.frames import Frames
 from brassweir.net.address import Address
 from brassweir.net.connection import CallFailed, Connection, Stage
-from brassweir.net.limiter import Pools
 from brassweir.net.pool import ConnectionPool
+from brassweir.net.pool_manager import PoolManager
 
 ANSWER = 4096  # bytes of anything a destination says
 
@@ -30,11 +30,18 @@
 class ForwardLinks(ConnectionPool):
     """Connections to one forward endpoint."""
 
-    def __init__(self, address: Address, pools: Pools, credentials: Credentials) -> None:
-        super().__init__(address, pools.limits, pools.cap, pools.idle_time, pools.connect_time, limiter=pools)
+    def __init__(self, address: Address, pools: PoolManager, credentials: Credentials) -> None:
+        super().__init__(
+            address,
+            pools.limits,
+            pools.connections_per_endpoint,
+            pools.idle_ms,
+            pools.connect_ms,
+            limiter=pools,
+        )
         self.credentials = credentials
 
-    def make(self, loop: asyncio.AbstractEventLoop) -> Connection:
+    def new_connection(self, loop: asyncio.AbstractEventLoop) -> Connection:
         """A forward connection."""
         return ForwardLink(self, loop, self.credentials)
 
@@ -55,7 +62,7 @@
 
     # ---- the handshake
 
-    async def greet(self) -> None:
+    async def perform_handshake(self) -> None:
         """Prove that both sides know the key; raises CallFailed where they do not."""
         own = self.credentials
         if not own.key:
--- a/brassweir/forward/ports.py
+++ b/brassweir/forward/ports.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from brassweir.core.ledger import Record, Taken
+from brassweir.core.ledger import MessageRecord, SubmitStatus
 from brassweir.core.ports import FinalAnswer, Submission
 from brassweir.forward.decide.rules import TagRule
-from brassweir.undelivered.item import Item
+from brassweir.undelivered.item import UndeliveredItem
 
 Note = Callable[[str, dict[str, object]], None]
 
@@ -42,7 +42,9 @@
 class Submits(Protocol):
     """The engine, as far as a front sees it."""
 
-    def submit(self, submission: Submission, waiter: Callable[[FinalAnswer], None]) -> tuple[Taken, Record]:
+    def submit(
+        self, submission: Submission, waiter: Callable[[FinalAnswer], None]
+    ) -> tuple[SubmitStatus, MessageRecord]:
         """Hand in a message."""
 
     def knows(self, owner: str, identity: str) -> bool:
@@ -52,7 +54,7 @@
 class Keeps(Protocol):
     """The undelivered store."""
 
-    def __call__(self, item: Item) -> Awaitable[None]:
+    def __call__(self, item: UndeliveredItem) -> Awaitable[None]:
         """Keep a message; returns once it is on disk. Raises OSError."""
 
 
--- a/brassweir/forward/undelivered.py
+++ b/brassweir/forward/undelivered.py
@@ -7,7 +7,7 @@
 from brassweir.forward.decide import answers
 from brassweir.forward.decide.answers import Tell, Told
 from brassweir.forward.ports import Counts, Keeps, Note
-from brassweir.undelivered.item import Item
+from brassweir.undelivered.item import UndeliveredItem
 
 
 class UndeliveredChunks:
@@ -16,9 +16,9 @@
     def __init__(self, keeps: Keeps, note: Note, counts: Counts) -> None:
         self.keeps, self.note, self.counts = keeps, note, counts
 
-    async def keep(self, told: Told, item: Item, asked: bool) -> Told:
+    async def keep(self, told: Told, item: UndeliveredItem, asked: bool) -> Told:
         """Keep a chunk for the operator; where that fails its source keeps it, if it can."""
-        kept = Item(
+        kept = UndeliveredItem(
             item.owner,
             item.identity,
             item.destination,
--- a/brassweir/interface.py
+++ b/brassweir/interface.py
@@ -34,20 +34,20 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    BUSY = "full"
     TIMEOUT = "timeout"
     NO_CONNECTION = "no_connection"
-    CROWDED = "crowded"  # answered on a new connection: the endpoint is well, and holds no more of them
+    CONNECTION_LIMIT = "crowded"  # answered on a new connection: the endpoint takes no more of them
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
 
-NEVER_RAN = frozenset({Result.FULL, Result.NO_CONNECTION, Result.CROWDED, Result.MOOT})  # proofs of it
-LACKING = frozenset({Result.NO_CONNECTION, Result.CROWDED})  # endings for want of a connection
+NEVER_RAN = frozenset({Result.BUSY, Result.NO_CONNECTION, Result.CONNECTION_LIMIT, Result.NOT_STARTED})
+CONNECTION_SHORTAGE = frozenset({Result.NO_CONNECTION, Result.CONNECTION_LIMIT})
 
 
-class State(Enum):
+class EntryState(Enum):
     """What the endpoint list says of an endpoint."""
 
     READY = "ready"
@@ -81,11 +81,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class DestinationKind:
     """A kind of destination: separate routes or one limit, messages in one call."""
 
     name: str
-    apart: bool = False
+    separate_routes: bool = False
     batch: int = 1
 
 
@@ -97,18 +97,18 @@
     slots: int
     max_open: int
     senders: int = 1
-    kinds: tuple[Kind, ...] = ()
+    kinds: tuple[DestinationKind, ...] = ()
     max_attempts: int = 6
     connect_timeout: float = 1000.0
     idle_close: float = 0.0  # idle connections close by themselves after this; 0 if unknown
     few_connections: bool = False  # the protocol says that endpoints hold only so many
     max_retry_after: float = 0.0
     tick: float = 1.0
-    second_copies: bool = False
-    ask_list: bool = False
-    ask_within: float = 10000.0
+    concurrent_attempts: bool = False
+    request_list: bool = False
+    request_list_within: float = 10000.0
     weights: str = "none"
-    by_half: bool = False  # worth halves with each further aim; else it falls evenly
+    worth_halves: bool = False  # worth halves with each further aim; else it falls evenly
     cold: float = 10000.0
     start_capacity: float = 0.2
     tip_multiple: float = 1.5
@@ -120,7 +120,7 @@
             _check(name, getattr(self, name), getattr(self, name) >= 1)
         for name in ("connect_timeout", "tick", "start_capacity", "tip_multiple"):
             _check(name, getattr(self, name), 0 < getattr(self, name) < math.inf)
-        for name in ("idle_close", "cold", "order_pause", "max_retry_after", "ask_within"):
+        for name in ("idle_close", "cold", "order_pause", "max_retry_after", "request_list_within"):
             _check(name, getattr(self, name), 0 <= getattr(self, name) < math.inf)
         _check("classes", names := [cls.name for cls in self.classes], len({*names}) == len(names) >= 1)
         _check("kinds", names := [kind.name for kind in self.kinds], len({*names}) == len(names))
@@ -140,12 +140,12 @@
     destination: int
     kind: str
     zone: str = ""
-    state: State = State.READY
+    state: EntryState = EntryState.READY
     rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
+class ListUpdate:
     """News of the endpoint list."""
 
     kind: ListKind
@@ -194,7 +194,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
+class PastAttempt:
     """How an attempt ended before a restart, so long ago; told once, oldest first, after the list."""
 
     endpoint: str
@@ -204,13 +204,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class StopScheduled:
     """This sender ends at a time; what it holds goes on after a restart, and a call out then is cut."""
 
     at: float
 
 
-Event = ListNews | NewMessage | AttemptEnded | Withdrawn | TimerDue | Past | Leaving
+Event = ListUpdate | NewMessage | AttemptEnded | Withdrawn | TimerDue | PastAttempt | StopScheduled
 
 
 @dataclass(frozen=True, slots=True)
--- a/brassweir/journal/durability.py
+++ b/brassweir/journal/durability.py
@@ -17,7 +17,7 @@
 from brassweir.interface import Effect
 
 
-def waits(fact: Fact, effect: Effect) -> bool:
+def waits_for_commit(fact: Fact, effect: Effect) -> bool:
     """Must this fact be durable before what follows it?"""
     if fact is Fact.OUTCOME:
         return False
--- a/brassweir/journal/frame.py
+++ b/brassweir/journal/frame.py
@@ -19,16 +19,16 @@
 MAGIC = b"BRWSJRN\n"
 _HEAD = struct.Struct("<8sHQQ")  # magic, version, segment, first sequence number
 _FRAME = struct.Struct("<4sQII")
-HEADER = _HEAD.size + 4
-FRAME = _FRAME.size
-LARGEST = 256 * 1024 * 1024  # bytes of one record
+HEADER_BYTES = _HEAD.size + 4
+FRAME_HEADER_BYTES = _FRAME.size
+MAX_RECORD_BYTES = 256 * 1024 * 1024  # bytes of one record
 
 
 class FormatError(ValueError):
     """A segment is none of ours, or of a later format than this program knows."""
 
 
-def header(segment: int, first: int) -> bytes:
+def encode_header(segment: int, first: int) -> bytes:
     """The header of a segment."""
     head = _HEAD.pack(MAGIC, VERSION, segment, first)
     return head + struct.pack("<I", google_crc32c.value(head))
@@ -36,7 +36,7 @@
 
 def read_header(data: bytes) -> tuple[int, int] | None:
     """Segment and first sequence number; None if it is cut or damaged. Raises FormatError."""
-    if len(data) < HEADER or not data.startswith(MAGIC):
+    if len(data) < HEADER_BYTES or not data.startswith(MAGIC):
         return None
     _, version, segment, first = _HEAD.unpack_from(data)
     if version > VERSION:
@@ -46,7 +46,7 @@
     return segment, first
 
 
-def frame(sequence: int, record: Record) -> bytes:
+def encode_frame(sequence: int, record: Record) -> bytes:
     """One framed record."""
     payload = encode(record)
     checked = struct.pack("<QI", sequence, len(payload)) + payload
@@ -54,12 +54,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class FramedRecord:
     """A record that holds, and where."""
 
     sequence: int
     record: Record
-    at: int
+    offset: int
     end: int
 
 
@@ -67,52 +67,52 @@
 class Damage:
     """Bytes that are no record. ``tail`` says that nothing good follows in the segment."""
 
-    at: int
+    offset: int
     end: int
     why: str
     tail: bool
 
 
-def read(data: bytes, start: int = HEADER) -> Iterator[Found | Damage]:
+def read_frames(data: bytes, start: int = HEADER_BYTES) -> Iterator[FramedRecord | Damage]:
     """All records of a segment in order, and every stretch of damage between them."""
     at = start
     while at < len(data):
         found = _one(data, at)
-        if isinstance(found, Found):
+        if isinstance(found, FramedRecord):
             yield found
             at = found.end
             continue
         after = _next(data, at + 1)
-        end = after.at if after is not None else len(data)
+        end = after.offset if after is not None else len(data)
         yield Damage(at, end, found, after is None)
         at = end
 
 
-def _one(data: bytes, at: int) -> Found | str:
-    if len(data) - at < FRAME:
+def _one(data: bytes, at: int) -> FramedRecord | str:
+    if len(data) - at < FRAME_HEADER_BYTES:
         return "cut within a frame"
     mark, sequence, length, crc = _FRAME.unpack_from(data, at)
     if mark != MARK:
         return "no record begins here"
-    if length > LARGEST:
+    if length > MAX_RECORD_BYTES:
         return f"a record of {length} bytes"
-    end = at + FRAME + length
+    end = at + FRAME_HEADER_BYTES + length
     if end > len(data):
         return "cut within a record"
-    payload = data[at + FRAME : end]
+    payload = data[at + FRAME_HEADER_BYTES : end]
     if google_crc32c.value(struct.pack("<QI", sequence, length) + payload) != crc:
         return "checksum differs"
     try:
-        return Found(sequence, decode(payload), at, end)
+        return FramedRecord(sequence, decode(payload), at, end)
     except ValueError as error:
         return str(error)
 
 
-def _next(data: bytes, at: int) -> Found | None:
+def _next(data: bytes, at: int) -> FramedRecord | None:
     """The next record that holds, from ``at`` on."""
     while (at := data.find(MARK, at)) >= 0:
         found = _one(data, at)
-        if isinstance(found, Found):
+        if isinstance(found, FramedRecord):
             return found
         at += 1
     return None
--- a/brassweir/journal/group.py
+++ b/brassweir/journal/group.py
@@ -8,11 +8,11 @@
 from brassweir.journal.records import Record
 
 
-class Broken(Exception):
+class JournalBroken(Exception):
     """The disk did not do what it must: the process has to end without going on as if it had."""
 
 
-class Stalled(Exception):
+class JournalStalled(Exception):
     """The disk took no write; what it left behind the last good one is cut off before the next.
 
     The same group may be tried again, but only in a folder that is not synced: after a failed sync no try can
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Group:
+class CommitGroup:
     """Records of one commit; ``admits`` are those that take a message on, which a full disk refuses."""
 
     records: list[Record] = field(default_factory=list)
--- a/brassweir/journal/real_time.py
+++ b/brassweir/journal/real_time.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-NAME = "clock"
+CLOCK_FILE = "clock"
 BOOT = Path("/proc/sys/kernel/random/boot_id")  # another one after each start of the machine
 
 
@@ -26,7 +26,7 @@
     ahead: float
 
 
-class RealTime:
+class JournalClock:
     """The clock of one process."""
 
     def __init__(self, ahead: float) -> None:
@@ -42,14 +42,14 @@
     return time.monotonic() * 1000.0
 
 
-def opened(folder: Path, latest: float) -> RealTime:
+def open_clock(folder: Path, latest: float) -> JournalClock:
     """The clock of a folder whose journal holds nothing later than ``latest`` (ms)."""
     boot = _boot()
-    anchor = _read(folder / NAME)
+    anchor = _read(folder / CLOCK_FILE)
     if anchor is None or anchor.boot != boot or anchor.ahead + monotonic() < latest:
         anchor = Anchor(boot, time.time() * 1000.0 - monotonic())
-        _write(folder / NAME, anchor)
-    return RealTime(anchor.ahead)
+        _write(folder / CLOCK_FILE, anchor)
+    return JournalClock(anchor.ahead)
 
 
 def _boot() -> str:
--- a/brassweir/journal/recover.py
+++ b/brassweir/journal/recover.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable, Hashable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from brassweir.interface import Effect, MessageClass, Past, Result
-from brassweir.journal.life import Life, Lives
+from brassweir.interface import Effect, MessageClass, PastAttempt, Result
 from brassweir.journal.records import Final, Taken
+from brassweir.journal.state import JournalState, MessageState
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Again:
+class ResumedMessage:
     """A message that goes on. ``left`` (ms) is what remains of its time, ``ran_ago`` how long ago an attempt
     may first have run, or None."""
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class AnsweredMessage:
     """A message with its answer, whether from before or made now, ``ago`` ms old. ``owed`` says that its
     receipt may not have been brought. ``fresh`` ones are still to be written down."""
 
@@ -45,8 +45,8 @@
     final: Final
     ago: float
     ran_ago: float | None
-    owed: bool
-    fresh: bool
+    receipt_pending: bool
+    unpersisted: bool
 
 
 @dataclass(slots=True)
@@ -55,17 +55,17 @@
     ``at`` (wall ms) is the moment that all its times count from."""
 
     at: float
-    past: list[Past] = field(default_factory=list)
+    past: list[PastAttempt] = field(default_factory=list)
     passed: dict[str, float] = field(default_factory=dict)  # by endpoint: ms since a call last passed
-    answered: list[Answered] = field(default_factory=list)
-    again: list[Again] = field(default_factory=list)
+    answered: list[AnsweredMessage] = field(default_factory=list)
+    resumed: list[ResumedMessage] = field(default_factory=list)
     dropped: int = 0  # ended messages whose memory is over, and records without a message
     pause: float = 0.0  # ms to wait before anything goes out: keys with an attempt out at the end rest
     last_id: int = 0
 
 
-def plan(
-    lives: Lives,
+def plan_recovery(
+    lives: JournalState,
     holes: Sequence[Hole],
     classes: Mapping[str, MessageClass],
     wall: float,
@@ -96,14 +96,16 @@
             cls = classes.get(life.taken.class_name)
             if life.out and cls is not None and cls.in_order and life.taken.key:
                 made.pause = order_pause
-    for endpoint, trail in lives.trails.items():
-        made.past += [Past(endpoint, Result(one.result), max(0.0, now - one.at), one.wait) for one in trail]
+    for endpoint, trail in lives.recent_outcomes.items():
+        made.past += [
+            PastAttempt(endpoint, Result(one.result), max(0.0, now - one.at), one.wait) for one in trail
+        ]
     made.past.sort(key=lambda one: -one.ago)
     made.passed = {endpoint: max(0.0, now - at) for endpoint, at in lives.passed.items()}
     return made
 
 
-def standing(plan: Plan, place: Callable[[str], Hashable]) -> list[Past]:
+def relevant_past(plan: Plan, place: Callable[[str], Hashable]) -> list[PastAttempt]:
     """What of the past still stands, where ``place`` says which endpoints fare as one.
 
     A pass at any of them ends a row of failures, but no wait told before it, as while the process ran: one
@@ -115,18 +117,20 @@
     return [one for one in plan.past if one.ago - one.wait < last.get(place(one.endpoint), math.inf)]
 
 
-def _ended(life: Life, taken: Taken, final: Final, now: float, remember: float, made: Plan) -> None:
+def _ended(life: MessageState, taken: Taken, final: Final, now: float, remember: float, made: Plan) -> None:
     ago = max(0.0, now - final.at)
-    owed = bool(taken.reply) and not life.told
+    owed = bool(taken.reply) and not life.receipt_delivered
     if ago > remember and not owed:
         made.dropped += 1
         return
     first = life.first
-    made.answered.append(Answered(taken, final, ago, None if first is None else now - first, owed, False))
+    made.answered.append(
+        AnsweredMessage(taken, final, ago, None if first is None else now - first, owed, False)
+    )
 
 
 def _open(
-    life: Life,
+    life: MessageState,
     taken: Taken,
     classes: Mapping[str, MessageClass],
     now: float,
@@ -150,20 +154,22 @@
         harmless = first is None or effect is Effect.SAFE
         final = Final(life.id, "refused" if harmless else "failed", _why(cls, unknown, left), 0.0, now)
         made.answered.append(
-            Answered(taken, final, 0.0, None if first is None else now - first, bool(taken.reply), True)
+            AnsweredMessage(
+                taken, final, 0.0, None if first is None else now - first, bool(taken.reply), True
+            )
         )
         return
     number = max([*life.intents, *life.ended], default=-1) + 1  # damage may have taken some: none goes twice
-    made.again.append(Again(taken, left, None if first is None else now - first, number))
+    made.resumed.append(ResumedMessage(taken, left, None if first is None else now - first, number))
 
 
-def keyless(made: Plan, classes: Mapping[str, MessageClass], wall: float) -> None:
+def end_keyless_messages(made: Plan, classes: Mapping[str, MessageClass], wall: float) -> None:
     """End what is in a keyed class now and came when it was none, so without the key (the subject) that makes
     a repeat harmless: refused if nothing can have run, else failed. For senders that take no other such
     message."""
-    for one in made.again[:]:
+    for one in made.resumed[:]:
         if classes[one.taken.class_name].effect is Effect.KEYED and not one.taken.subject:
-            made.again.remove(one)
+            made.resumed.remove(one)
             final = Final(
                 one.taken.id,
                 "refused" if one.ran_ago is None else "failed",
@@ -171,7 +177,9 @@
                 0.0,
                 wall,
             )
-            made.answered.append(Answered(one.taken, final, 0.0, one.ran_ago, bool(one.taken.reply), True))
+            made.answered.append(
+                AnsweredMessage(one.taken, final, 0.0, one.ran_ago, bool(one.taken.reply), True)
+            )
 
 
 def _why(cls: MessageClass | None, unknown: bool, left: float) -> str:
--- a/brassweir/journal/restart.py
+++ b/brassweir/journal/restart.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Hashable
 
 from brassweir.core.engine import Engine
-from brassweir.core.ledger import Record, Waiter
+from brassweir.core.ledger import MessageRecord, Waiter
 from brassweir.core.ports import Answer, Fact, FinalAnswer, Payload, Submission
 from brassweir.journal.records import Taken
-from brassweir.journal.recover import Plan, standing
+from brassweir.journal.recover import Plan, relevant_past
 from brassweir.journal.store import JournalStore
 
-Owing = Callable[[int, Submission], Waiter | None]
+ReceiptWaiterFactory = Callable[[int, Submission], Waiter | None]
 
 
 def _submission(taken: Taken, destination: int, left: float) -> Submission:
@@ -29,8 +29,12 @@
     )
 
 
-def carry_out(
-    plan: Plan, engine: Engine, store: JournalStore, number_of: Callable[[str], int | None], owing: Owing
+def apply_plan(
+    plan: Plan,
+    engine: Engine,
+    store: JournalStore,
+    number_of: Callable[[str], int | None],
+    owing: ReceiptWaiterFactory,
 ) -> None:
     """Tell the engine the past, put back what ended, and go on with the rest, in the order taken.
 
@@ -44,24 +48,24 @@
         return name if info is None or info.kind in engine.apart else info.destination
 
     now = engine.clock.now() - max(0.0, store.wall() - plan.at)
-    engine.past(standing(plan, place))
+    engine.restore_past_attempts(relevant_past(plan, place))
     engine.ledger.last_id = max(engine.ledger.last_id, plan.last_id)
     for one in sorted(plan.answered, key=lambda one: -one.ago):
         taken, final = one.taken, one.final
         submission = _submission(taken, number_of(taken.destination) or 0, 1.0)
-        record = Record(taken.id, submission, now - one.ago, now - one.ago)
-        record.ran = None if one.ran_ago is None else now - one.ran_ago
+        record = MessageRecord(taken.id, submission, now - one.ago, now - one.ago)
+        record.first_run_at = None if one.ran_ago is None else now - one.ran_ago
         record.answer = FinalAnswer(Answer(final.answer), final.reason, final.retry_after)
-        record.answered = now - one.ago
+        record.answered_at = now - one.ago
         engine.ledger.restore(record)
-        waiter = owing(taken.id, submission) if one.owed else None
-        _give(engine, store, record, waiter, one.fresh)
-    for again in plan.again:
+        waiter = owing(taken.id, submission) if one.receipt_pending else None
+        _give(engine, store, record, waiter, one.unpersisted)
+    for again in plan.resumed:
         number = number_of(again.taken.destination)
         assert number is not None  # the plan was made knowing which destinations are gone
         submission = _submission(again.taken, number, again.left)
-        record = Record(again.taken.id, submission, now, now + again.left)
-        record.ran = None if again.ran_ago is None else now - again.ran_ago
+        record = MessageRecord(again.taken.id, submission, now, now + again.left)
+        record.first_run_at = None if again.ran_ago is None else now - again.ran_ago
         waiter = owing(again.taken.id, submission) if again.taken.reply else None
         if waiter is not None:
             record.waiters.append(waiter)
@@ -69,7 +73,9 @@
         engine.resume(record)
 
 
-def _give(engine: Engine, store: JournalStore, record: Record, waiter: Waiter | None, fresh: bool) -> None:
+def _give(
+    engine: Engine, store: JournalStore, record: MessageRecord, waiter: Waiter | None, fresh: bool
+) -> None:
     answer = record.answer
     assert answer is not None
 
@@ -78,6 +84,6 @@
             engine.clock.call_soon(lambda: waiter(answer))
 
     if fresh:
-        store.keep(Fact.FINAL, record.id, answer, tell, lambda _: tell())
+        store.persist(Fact.FINAL, record.id, answer, tell, lambda _: tell())
     else:
         tell()
--- a/brassweir/journal/scan.py
+++ b/brassweir/journal/scan.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 
 from brassweir.journal import frame
-from brassweir.journal.frame import Damage, FormatError, Found
-from brassweir.journal.life import Lives
+from brassweir.journal.frame import Damage, FormatError, FramedRecord
 from brassweir.journal.records import Record, Whole
 from brassweir.journal.recover import Hole
+from brassweir.journal.state import JournalState
 from brassweir.journal.storage import Storage
 
 _NAME = re.compile(r"(\d{10})\.(log|snap)")
@@ -24,7 +24,7 @@
 class Scan:
     """What a journal holds. ``stale`` are files that a snapshot has replaced, or that were never finished."""
 
-    lives: Lives = field(default_factory=Lives)
+    state: JournalState = field(default_factory=JournalState)
     holes: list[Hole] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
     stale: list[str] = field(default_factory=list)
@@ -33,7 +33,7 @@
     next_sequence: int = 1
     records: int = 0
     size: int = 0
-    torn: int = 0  # bytes at ends of segments that were being written when a process died
+    torn_bytes: int = 0  # bytes at ends of segments that were being written when a process died
     tail: tuple[str, int] | None = None  # where such bytes may stand, until the next segment tells
 
 
@@ -64,7 +64,7 @@
         before = key[0]
         expected = _segment(storage.read(name), name, expected, found)
     if found.tail is not None:
-        found.torn += found.tail[1]  # the very end: never synced, and nobody relied on it
+        found.torn_bytes += found.tail[1]  # the very end: never synced, and nobody relied on it
     return found
 
 
@@ -75,8 +75,8 @@
         if not key[1]:
             continue
         data = storage.read(named[key])
-        parts = list(frame.read(data)) if frame.read_header(data) is not None else []
-        records = [part.record for part in parts if isinstance(part, Found)]
+        parts = list(frame.read_frames(data)) if frame.read_header(data) is not None else []
+        records = [part.record for part in parts if isinstance(part, FramedRecord)]
         whole = records[-1] if records else None
         if isinstance(whole, Whole) and whole.records == len(records) - 1 and len(parts) == len(records):
             return key
@@ -94,7 +94,7 @@
     found.segments.append(name)
     found.size += len(data)
     head, snapshot = frame.read_header(data), name.endswith(".snap")
-    if head is None and len(data) < frame.HEADER:
+    if head is None and len(data) < frame.HEADER_BYTES:
         where, size = found.tail or (f"{name}:0: header is damaged", 0)
         found.tail = where, size + len(data)
         return expected
@@ -106,19 +106,19 @@
             _problem(f"{name}:0: record {head[1]} where {expected} was due", found)
         expected = head[1]  # behind a snapshot nothing is due: its records have numbers of their own
         found.next_sequence = max(found.next_sequence, expected)
-    for part in frame.read(data, min(frame.HEADER, len(data))):
+    for part in frame.read_frames(data, min(frame.HEADER_BYTES, len(data))):
         if isinstance(part, Damage):
-            where = f"{name}:{part.at}: {part.end - part.at} bytes: {part.why}"
+            where = f"{name}:{part.offset}: {part.end - part.offset} bytes: {part.why}"
             if part.tail:
-                found.tail = where, part.end - part.at
+                found.tail = where, part.end - part.offset
                 continue
             _problem(where, found)
             expected = None
             continue
         if expected is not None and part.sequence != expected and not snapshot:
-            _problem(f"{name}:{part.at}: record {part.sequence} where {expected} was due", found)
+            _problem(f"{name}:{part.offset}: record {part.sequence} where {expected} was due", found)
         record: Record = part.record
-        found.lives.apply(record)
+        found.state.apply(record)
         found.records += 1
         expected = part.sequence + 1
         found.next_sequence = max(found.next_sequence, expected)
@@ -132,14 +132,14 @@
         where, size = found.tail
         found.tail = None
         if begins is not None and begins == expected:
-            found.torn += size
+            found.torn_bytes += size
         else:
             _problem(where, found)
 
 
 def _problem(where: str, found: Scan) -> None:
     found.problems.append(where)
-    found.holes.append(Hole(where, found.lives.last_id))
+    found.holes.append(Hole(where, found.state.last_id))
 
 
 __all__ = ["FormatError", "Scan", "scan", "segment_name"]
--- a/brassweir/journal/snapshot.py
+++ b/brassweir/journal/snapshot.py
@@ -13,9 +13,9 @@
     """Write records as the snapshot of the segments up to ``number``; returns its bytes. Raises OSError."""
     storage.create(name)
     size = 0
-    chunk = [frame.header(number, 0)]
+    chunk = [frame.encode_header(number, 0)]
     for i, record in enumerate([*records, Whole(len(records))]):
-        chunk.append(frame.frame(i, record))
+        chunk.append(frame.encode_frame(i, record))
         if len(chunk) >= CHUNK:
             size += _append(storage, name, chunk)
     size += _append(storage, name, chunk)
--- a/brassweir/journal/life.py
+++ b/brassweir/journal/state.py
@@ -14,7 +14,7 @@
 from brassweir.journal.records import Began, Ended, Final, Intent, Record, Taken, Told, Whole
 
 OWN = (
-    Result.MOOT.value,
+    Result.NOT_STARTED.value,
     Result.CANCELLED.value,
 )  # endings that are our doing, and tell nothing of an endpoint
 TRAIL = 8  # endings since the last pass that are kept of an endpoint: enough to see an outage
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class MessageState:
     """One message. ``first`` is when the first attempt that may have run was to go out (wall ms), or None."""
 
     id: int
@@ -47,7 +47,7 @@
     intents: dict[int, Intent] = field(default_factory=dict)
     ended: dict[int, Ended] = field(default_factory=dict)
     final: Final | None = None
-    told: bool = False
+    receipt_delivered: bool = False
 
     @property
     def first(self) -> float | None:
@@ -73,12 +73,14 @@
         return any(number not in self.ended for number in self.intents)
 
 
-class Lives:
+class JournalState:
     """All that the records tell."""
 
     def __init__(self) -> None:
-        self.by_id: OrderedDict[int, Life] = OrderedDict()
-        self.trails: dict[str, list[Ended]] = {}  # by endpoint: endings since its last pass, oldest first
+        self.by_id: OrderedDict[int, MessageState] = OrderedDict()
+        self.recent_outcomes: dict[
+            str, list[Ended]
+        ] = {}  # by endpoint: endings since its last pass, oldest first
         self.passed: dict[str, float] = {}  # by endpoint: when a call last passed
         self.last_id = 0
         self.last_at = 0.0  # latest wall time seen in a record
@@ -100,7 +102,7 @@
             return
         life = self.by_id.get(record.id)
         if life is None:
-            life = self.by_id[record.id] = Life(record.id)
+            life = self.by_id[record.id] = MessageState(record.id)
             self.last_id = max(self.last_id, record.id)
         if isinstance(record, Taken):
             life.taken = life.taken or (record if life.final is None else bare(record, life.first))
@@ -122,7 +124,7 @@
             life.final = life.final or record
             self.last_at = max(self.last_at, record.at)
         elif isinstance(record, Told):
-            life.told = True
+            life.receipt_delivered = True
 
     def _trail(self, record: Ended) -> None:
         if record.result in OWN:
@@ -130,11 +132,13 @@
         if record.result == Result.OK.value:
             # A pass ends a row of failures, but no told wait: the call may have gone out before it was told.
             self.passed[record.endpoint] = max(record.at, self.passed.get(record.endpoint, 0.0))
-            waits = [one for one in self.trails.pop(record.endpoint, []) if one.at + one.wait > record.at]
+            waits = [
+                one for one in self.recent_outcomes.pop(record.endpoint, []) if one.at + one.wait > record.at
+            ]
             if waits:
-                self.trails[record.endpoint] = waits
+                self.recent_outcomes[record.endpoint] = waits
             return
-        trail = self.trails.setdefault(record.endpoint, [])
+        trail = self.recent_outcomes.setdefault(record.endpoint, [])
         if any((one.at, one.result) == (record.at, record.result) for one in trail):
             return  # a snapshot told it, and the segment behind it does again
         trail.append(record)
--- a/brassweir/journal/storage.py
+++ b/brassweir/journal/storage.py
@@ -16,7 +16,7 @@
 LOCK_NAME = "lock"
 
 
-class Locked(Exception):
+class StorageLocked(Exception):
     """Another process writes this journal."""
 
 
@@ -35,7 +35,7 @@
     def append(self, name: str, data: bytes) -> None:
         """Add to its end. After an error any part of ``data`` may stand there."""
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Take away what stands behind ``size``."""
 
     def sync(self, name: str) -> None:
@@ -51,7 +51,7 @@
         """Let go of everything."""
 
 
-class Files:
+class DirectoryStorage:
     """A directory. One process at a time may write it; ``write=False`` reads a live or damaged one.
 
     ``synced=False`` leaves out fsync. What is written then outlives the process, also one killed outright,
@@ -72,7 +72,7 @@
         except OSError as error:
             os.close(self.lock)
             if error.errno in (errno.EAGAIN, errno.EACCES):
-                raise Locked(f"{folder} is in use by another process") from None
+                raise StorageLocked(f"{folder} is in use by another process") from None
             raise
 
     def names(self) -> list[str]:
@@ -98,7 +98,7 @@
             written = os.write(self.open[name], view)
             view = view[written:]
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Take away the end."""
         os.truncate(self.folder / name, size)
 
--- a/brassweir/journal/store.py
+++ b/brassweir/journal/store.py
@@ -8,15 +8,15 @@
 from brassweir.core.ports import Attempt, Fact, FinalAnswer, Outcome, Payload, Submission
 from brassweir.interface import MessageClass
 from brassweir.journal import compact
-from brassweir.journal.durability import waits
-from brassweir.journal.group import Broken, Group, Stalled
+from brassweir.journal.durability import waits_for_commit
+from brassweir.journal.group import CommitGroup, JournalBroken, JournalStalled
 from brassweir.journal.records import Began, Ended, Final, Intent, Record, Taken, Told
 from brassweir.journal.writer import Writer
 
 SLICE = 2000  # lives gone through in one turn of the loop: a millisecond or two
 
 
-class Disk(Protocol):
+class IoRunner(Protocol):
     """Runs I/O on the one thread that may, and tells the loop's side when it is done."""
 
     def run(
@@ -42,7 +42,7 @@
     def __init__(
         self,
         writer: Writer,
-        disk: Disk,
+        io: IoRunner,
         classes: Mapping[str, MessageClass],
         wall: Callable[[], float],
         name_of: Callable[[int], str],
@@ -53,7 +53,7 @@
         self.note = note
         self.stalled = False  # the disk takes no write now: nothing new is taken on
         self.unkept: set[int] = set()  # refused messages of which nothing was written
-        self.writer, self.disk, self.classes, self.wall = writer, disk, classes, wall
+        self.writer, self.io, self.classes, self.wall = writer, io, classes, wall
         self.name_of, self.broken, self.remember = name_of, broken, remember
         self.effects = {cls.name: cls.effect for cls in classes.values()}
         self.classed: dict[int, str] = {}  # open messages' classes
@@ -61,7 +61,7 @@
         self.dead = self.compacting = False
         self.looked = 0.0
 
-    def begin(self, sender: str) -> None:
+    def record_start(self, sender: str) -> None:
         """Note that a process begins to write."""
         self.writer.add(Began(self.wall(), sender), None)
         self._pump()
@@ -70,7 +70,7 @@
         """A message from before goes on under its id."""
         self.classed[ident], self.before[ident] = class_name, attempts
 
-    def keep(
+    def persist(
         self,
         fact: Fact,
         message: int,
@@ -100,11 +100,11 @@
                 detail.class_name,
                 self.name_of(detail.destination),
                 detail.key,
-                now + detail.left,
+                now + detail.time_left,
                 payload.content_type,
                 payload.subject,
                 payload.content,
-                detail.reply,
+                detail.reply_to,
                 0.0 if detail.ran_ago is None else now - detail.ran_ago,
             )
             self._add(record, fact, then, unable)
@@ -124,7 +124,7 @@
             self._add(ended, fact, then)
         self._pump()
 
-    def told(self, message: int) -> None:
+    def receipt_delivered(self, message: int) -> None:
         """The receipt owed for a message was brought."""
         if not self.dead:
             self.writer.add(Told(message), None)
@@ -141,7 +141,7 @@
         unable: Callable[[str], None] | None = None,
     ) -> None:
         effect = self.effects.get(self.classed.get(record.id, ""))
-        if effect is None or waits(fact, effect):
+        if effect is None or waits_for_commit(fact, effect):
             self.writer.add(record, then, unable)
         else:
             self.writer.add(record, None, unable)
@@ -150,50 +150,54 @@
     # ---- groups
 
     def _pump(self) -> None:
-        group = self.writer.take()
+        group = self.writer.next_group()
         if group is not None:
             self._commit(group)
 
-    def _commit(self, group: Group) -> None:
-        self.disk.run(
+    def _commit(self, group: CommitGroup) -> None:
+        self.io.run(
             lambda: self.writer.commit(group),
             lambda refused: self._done(group, refused),
             lambda error: self._stall(group, error),
         )
 
-    def _stall(self, group: Group, error: BaseException) -> None:
+    def _stall(self, group: CommitGroup, error: BaseException) -> None:
         """The disk took no write: the group is tried again, and what waits for it waits on."""
-        if not isinstance(error, Stalled):
+        if not isinstance(error, JournalStalled):
             self._failed(error)
             return
         if not self.stalled:
             self.stalled = True
             self.note("journal_stalled", {"error": str(error)})
-        self.disk.later(lambda: self._commit(group))
+        self.io.later(lambda: self._commit(group))
 
-    def _done(self, group: Group, refused: object) -> None:
+    def _done(self, group: CommitGroup, refused: object) -> None:
         if self.dead:
             return
         if self.stalled:
             self.stalled = False
             self.note("journal_goes_on", {"refused": len(self.unkept)})
         assert isinstance(refused, list)
-        self.writer.done(group, refused)
+        self.writer.group_committed(group, refused)
         self._pump()
         self._snapshot()
 
     def _failed(self, error: BaseException) -> None:
         if not self.dead:
             self.dead = True
-            self.broken(error if isinstance(error, Broken) else Broken(f"{type(error).__name__}: {error}"))
+            self.broken(
+                error
+                if isinstance(error, JournalBroken)
+                else JournalBroken(f"{type(error).__name__}: {error}")
+            )
 
     def _snapshot(self) -> None:
         """Rewrite the journal if it is time; looked at once a second."""
         now = self.wall()
-        if self.compacting or abs(now - self.looked) < self.writer.limits.look:
+        if self.compacting or abs(now - self.looked) < self.writer.limits.check_interval_ms:
             return
         self.looked = now
-        if self.writer.due():
+        if self.writer.should_compact():
             self.compact(now)
 
     def compact(self, now: float) -> None:
@@ -203,21 +207,21 @@
         are gone through by slices, each in a turn of the loop of its own; one that learns more after its
         slice has that in the new segment.
         """
-        lives, self.compacting = self.writer.lives, True
+        lives, self.compacting = self.writer.state, True
         ids, found = list(lives.by_id), list[Record]()
 
         def slices(number: int, at: int) -> None:
             for ident in ids[at : at + SLICE]:
                 life = lives.by_id.get(ident)
-                if life is not None and compact.matters(life, now, self.remember):
-                    found.extend(compact.kept_of(life))
+                if life is not None and compact.is_live(life, now, self.remember):
+                    found.extend(compact.message_records(life))
                 elif life is not None:
                     lives.forget(ident)
             if at + SLICE < len(ids):
-                self.disk.run(_nothing, lambda _: slices(number, at + SLICE), self._failed)
+                self.io.run(_nothing, lambda _: slices(number, at + SLICE), self._failed)
                 return
-            found.extend(compact.trails(lives))
-            self.disk.run(lambda: self.writer.snapshot(found, number), done, self._failed)
+            found.extend(compact.endpoint_records(lives))
+            self.io.run(lambda: self.writer.snapshot(found, number), done, self._failed)
 
         def begun(number: object) -> None:
             assert isinstance(number, int)
@@ -228,10 +232,10 @@
 
         def not_now(error: BaseException) -> None:
             self.compacting = False
-            if not isinstance(error, Stalled):
+            if not isinstance(error, JournalStalled):
                 self._failed(error)
 
-        self.disk.run(self.writer.close_segment, begun, not_now)
+        self.io.run(self.writer.close_segment, begun, not_now)
 
 
 def _nothing() -> None:
--- a/brassweir/journal/table.py
+++ b/brassweir/journal/table.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from brassweir.journal.life import Life, Lives
 from brassweir.journal.recover import Hole
+from brassweir.journal.state import JournalState, MessageState
 
 # Column: (type of the file, meaning). docs/journal-format.md has the same list.
 COLUMNS: dict[str, tuple[str, str]] = {
@@ -29,14 +29,14 @@
 }
 
 
-def rows(lives: Lives, holes: Iterable[Hole]) -> Iterator[dict[str, Any]]:
+def rows(lives: JournalState, holes: Iterable[Hole]) -> Iterator[dict[str, Any]]:
     """One row for each message, in the order taken."""
     hidden = max((hole.known for hole in holes), default=0)
     for life in lives.by_id.values():
         yield _row(life, hidden)
 
 
-def _row(life: Life, hidden: int) -> dict[str, Any]:
+def _row(life: MessageState, hidden: int) -> dict[str, Any]:
     taken, final = life.taken, life.final
     numbers = sorted(life.intents.keys() | life.ended.keys())
     return {
@@ -54,6 +54,6 @@
         "answer": final.answer if final else None,
         "reason": final.reason if final else None,
         "answered": final.at if final else None,
-        "receipt_owed": bool(taken and taken.reply and not life.told),
+        "receipt_owed": bool(taken and taken.reply and not life.receipt_delivered),
         "behind_hole": life.id <= hidden and final is None,
     }
--- a/brassweir/journal/writer.py
+++ b/brassweir/journal/writer.py
@@ -11,11 +11,11 @@
 from contextlib import suppress
 
 from brassweir.journal import compact, frame, snapshot
-from brassweir.journal.group import Broken, Group, Stalled
-from brassweir.journal.life import Lives
+from brassweir.journal.group import CommitGroup, JournalBroken, JournalStalled
 from brassweir.journal.records import Record, Taken
 from brassweir.journal.scan import Scan, segment_name
-from brassweir.journal.sizes import Sizes
+from brassweir.journal.sizes import SizeLimits
+from brassweir.journal.state import JournalState
 from brassweir.journal.storage import RESERVE_NAME, Storage
 
 NO_ROOM = frozenset({errno.ENOSPC, errno.EDQUOT})
@@ -25,18 +25,18 @@
     """The end of one journal; a ``patient`` one raises Stalled, not Broken, where a write may pass later."""
 
     def __init__(
-        self, storage: Storage, found: Scan, sizes: Sizes | None = None, patient: bool = False
+        self, storage: Storage, found: Scan, sizes: SizeLimits | None = None, patient: bool = False
     ) -> None:
-        self.storage, self.limits, self.patient = storage, sizes or Sizes(), patient
+        self.storage, self.limits, self.patient = storage, sizes or SizeLimits(), patient
         self.torn = False  # a write that failed may have left bytes behind ``size``
-        self.lives: Lives = found.lives
+        self.state: JournalState = found.state
         self.sequence, self.segment = found.next_sequence, found.next_segment
         self.name = ""
         self.size = 0  # of the segment being written
         self.older = [*found.segments]  # segments that a snapshot would replace
-        self.total = found.size
+        self.total_bytes = found.size
         self.sizes: dict[str, int] = dict.fromkeys(self.older[:1], found.size)
-        self.group = Group()
+        self.group = CommitGroup()
         self.writing = False
         self.full = False  # the reserve is in use: nothing new is taken on
         self.records = self.commits = self.bytes = 0
@@ -57,7 +57,7 @@
         With ``unable`` it is one that may be refused for want of room.
         """
         self.records += 1
-        self.lives.apply(record)
+        self.state.apply(record)
         if unable is not None and isinstance(record, Taken):
             self.group.admits.append((record, then or (lambda: None), unable))
             return
@@ -65,15 +65,15 @@
         if then is not None:
             self.group.then.append(then)
 
-    def take(self) -> Group | None:
+    def next_group(self) -> CommitGroup | None:
         """The group to commit now, or None if one is being written or there is nothing to write."""
         if self.writing or not self.group:
             return None
         self.writing = True
-        group, self.group = self.group, Group()
+        group, self.group = self.group, CommitGroup()
         return group
 
-    def done(self, group: Group, refused: list[Callable[[str], None]]) -> None:
+    def group_committed(self, group: CommitGroup, refused: list[Callable[[str], None]]) -> None:
         """A group is durable: run what waited for it."""
         self.writing = False
         for unable in refused:
@@ -83,7 +83,7 @@
 
     # ---- the I/O side
 
-    def commit(self, group: Group) -> list[Callable[[str], None]]:
+    def commit(self, group: CommitGroup) -> list[Callable[[str], None]]:
         """Write and sync one group; returns what to tell those that found no room. Raises Broken and, with
         nothing of the group written, Stalled."""
         self._mend()
@@ -103,18 +103,18 @@
             refused += [unable for _, _, unable in admits]
             try:
                 self.storage.remove(RESERVE_NAME)
-                self.storage.cut(self.name, self.size)
+                self.storage.truncate(self.name, self.size)
                 self._write(group.records)
             except OSError as again:
                 raise self._failed("write failed on a full disk", again) from again
-        if self.size >= self.limits.segment:
+        if self.size >= self.limits.segment_bytes:
             self._rotate_in_time()
         return refused
 
-    def _failed(self, what: str, error: OSError) -> Broken | Stalled:
+    def _failed(self, what: str, error: OSError) -> JournalBroken | JournalStalled:
         """What a failed write amounts to."""
         self.torn = True
-        return Stalled(f"{what}: {error}") if self.patient else Broken(f"{what}: {error}")
+        return JournalStalled(f"{what}: {error}") if self.patient else JournalBroken(f"{what}: {error}")
 
     def _mend(self) -> None:
         """Cut off what a failed write left, and see that there is a segment. Raises Stalled."""
@@ -122,72 +122,72 @@
             self._rotate()
         if self.torn:
             try:
-                self.storage.cut(self.name, self.size)
+                self.storage.truncate(self.name, self.size)
             except OSError as error:
-                raise Stalled(f"cut failed: {error}") from error
+                raise JournalStalled(f"cut failed: {error}") from error
             self.torn = False
 
     def _rotate_in_time(self) -> None:
         """Begin the next segment; a patient writer goes on in this one where that fails."""
-        with suppress(Stalled):  # it is tried again with the next group
+        with suppress(JournalStalled):  # it is tried again with the next group
             self._rotate()
 
-    def _fits(self, group: Group) -> bool:
+    def _fits(self, group: CommitGroup) -> bool:
         """Is there room for what a group takes on, where the folder has a bound?"""
-        if not self.limits.most or not group.admits:
+        if not self.limits.max_bytes or not group.admits:
             return True
         wanted = sum(
             len(one.content) + compact.ANSWER for one, _, _ in group.admits if isinstance(one, Taken)
         )
-        return self.total + wanted <= self.limits.most
+        return self.total_bytes + wanted <= self.limits.max_bytes
 
     def _write(self, records: list[Record]) -> None:
         if not records:
             return
         # Numbered here, so that what a full disk refuses leaves no gap.
-        data = b"".join(frame.frame(self.sequence + i, record) for i, record in enumerate(records))
+        data = b"".join(frame.encode_frame(self.sequence + i, record) for i, record in enumerate(records))
         self.storage.append(self.name, data)
         try:
             self.storage.sync(self.name)
         except OSError as error:
             # After a failed sync nothing is known of what the system holds: no second try can be trusted.
-            raise Broken(f"sync failed: {error}") from error
+            raise JournalBroken(f"sync failed: {error}") from error
         self.sequence += len(records)
         self.size += len(data)
-        self.total += len(data)
+        self.total_bytes += len(data)
         self.bytes += len(data)
         self.commits += 1
 
     def _rotate(self) -> None:
         """Close the segment and begin the next. Raises Broken, or Stalled with the old one still open."""
         name = segment_name(self.segment)
-        head = frame.header(self.segment, self.sequence)
+        head = frame.encode_header(self.segment, self.sequence)
         try:
             self.storage.create(name)
             self.storage.append(name, head)
             self.storage.sync(name)
         except OSError as error:
             if not self.patient:
-                raise Broken(f"no new segment: {error}") from error
-            raise Stalled(f"no new segment: {error}") from error
+                raise JournalBroken(f"no new segment: {error}") from error
+            raise JournalStalled(f"no new segment: {error}") from error
         if self.name:
             self.older.append(self.name)
             self.sizes[self.name] = self.size
         self.name = name
         self.segment += 1
         self.size = len(head)
-        self.total += len(head)
+        self.total_bytes += len(head)
 
     def _reserve(self) -> None:
         try:
             self.storage.create(RESERVE_NAME)
-            self.storage.append(RESERVE_NAME, b"\0" * self.limits.reserve)
+            self.storage.append(RESERVE_NAME, b"\0" * self.limits.reserve_bytes)
             self.storage.sync(RESERVE_NAME)
             self.full = False
         except OSError as error:
             if error.errno not in NO_ROOM:
                 raise
-            self.let_go(RESERVE_NAME)
+            self.remove_file(RESERVE_NAME)
             self.full = True
 
     def _try_room(self) -> None:
@@ -196,19 +196,19 @@
         except OSError as error:
             self.full = True
             if not self.patient:
-                raise Broken(f"the reserve cannot be made: {error}") from error
+                raise JournalBroken(f"the reserve cannot be made: {error}") from error
 
     # ---- compaction
 
-    def due(self) -> bool:
+    def should_compact(self) -> bool:
         """Is it time for a snapshot?"""
-        if self.total <= self.limits.least:
+        if self.total_bytes <= self.limits.min_compact_bytes:
             return False
-        lives = self.lives.by_id.values()
+        lives = self.state.by_id.values()
         live = sum(
             len(life.taken.content) if life.taken is not None and life.final is None else 0 for life in lives
         ) + compact.ANSWER * len(lives)
-        return compact.due(self.total, live, self.limits.least) and not self.full
+        return compact.should_compact(self.total_bytes, live, self.limits.min_compact_bytes) and not self.full
 
     def close_segment(self) -> int:
         """Begin a segment; what is added from now on stands behind a snapshot of all before. Returns the
@@ -230,18 +230,18 @@
             self.storage.rename(temporary, name)
         except OSError as error:
             if error.errno in NO_ROOM or self.patient:
-                self.let_go(temporary)
+                self.remove_file(temporary)
                 return
-            raise Broken(f"snapshot failed: {error}") from error
+            raise JournalBroken(f"snapshot failed: {error}") from error
         replaced = [one for one in self.older if int(one.partition(".")[0]) <= number]
         for one in replaced:
-            self.let_go(one)
-            self.total -= self.sizes.pop(one, 0)
+            self.remove_file(one)
+            self.total_bytes -= self.sizes.pop(one, 0)
         self.older = [name, *(one for one in self.older if one not in replaced)]
         self.sizes[name] = size
-        self.total += size
+        self.total_bytes += size
 
-    def let_go(self, name: str) -> None:
+    def remove_file(self, name: str) -> None:
         """Remove a file that is of no further use. One that stays is stale to the next process."""
         try:
             self.storage.remove(name)
--- a/brassweir/lab/models/coldworld.py
+++ b/brassweir/lab/models/coldworld.py
@@ -45,10 +45,10 @@
         self.due = math.inf
         self.out.clear()
         self.tries.clear()
-        events: list[api.Event] = [api.ListNews(api.ListKind.FULL, (world.info,))]
+        events: list[api.Event] = [api.ListUpdate(api.ListKind.FULL, (world.info,))]
         self.met &= told
         if told:
-            events += [api.Past("e", one.result, now - at, one.wait) for at, one in self.past]
+            events += [api.PastAttempt("e", one.result, now - at, one.wait) for at, one in self.past]
         self.past.clear()
         self.turn(events)
         for ident, (deadline, _) in [*self.held.items()]:
@@ -204,16 +204,16 @@
             if plan.trouble == "refuse":
                 say(api.Result.NO_CONNECTION, REFUSED)
             elif plan.trouble == "crowded":
-                say(api.Result.CROWDED, REFUSED)
+                say(api.Result.CONNECTION_LIMIT, REFUSED)
             elif plan.trouble == "full":
-                say(api.Result.FULL, REFUSED)
+                say(api.Result.BUSY, REFUSED)
             elif plan.trouble == "told":
-                say(api.Result.FULL, REFUSED, plan.back - now)
+                say(api.Result.BUSY, REFUSED, plan.back - now)
             return
         self.calls.append((now, copy))
         self.busy_until = max(self.busy_until, now)
         if self.busy_until - now > 1_000.0:
-            say(api.Result.FULL, REFUSED)
+            say(api.Result.BUSY, REFUSED)
             return
         self.busy_until += 1000.0 / (plan.rate * plan.capacity(now))
         say(api.Result.OK, self.busy_until - now + CALL_TIME / plan.capacity(now))
--- a/brassweir/lab/models/partner.py
+++ b/brassweir/lab/models/partner.py
@@ -135,7 +135,7 @@
 
     def _full(self, say: Callable[..., None], wait: float, tells: bool) -> None:
         told = float(max(1, int(wait + 0.999))) if tells and wait > 0.0 else 0.0
-        say(Outcome(Result.FULL, "status 429", wait=told * 1000.0), "full", told)
+        say(Outcome(Result.BUSY, "status 429", wait=told * 1000.0), "full", told)
 
     def _next(self) -> None:
         pause = self.struck("pause")
--- a/brassweir/lab/rigs/fleet.py
+++ b/brassweir/lab/rigs/fleet.py
@@ -30,7 +30,7 @@
 from brassweir.lab.standins.shipper import Shipper
 from brassweir.lab.standins.sink import Sink
 from brassweir.lab.standins.works import Works
-from brassweir.undelivered.item import Item
+from brassweir.undelivered.item import UndeliveredItem
 from brassweir.undelivered.store import read_all
 
 HUB = "brassweir-hub"
@@ -146,7 +146,7 @@
             for folder in folders
             if folder.exists()
             for _, item in read_all(folder)
-            if isinstance(item, Item)
+            if isinstance(item, UndeliveredItem)
         }
 
     def settings(self, name: str, port: int, metrics: int, made: dict[str, Identity]) -> dict[str, Any]:
--- a/brassweir/lab/rigs/idle.py
+++ b/brassweir/lab/rigs/idle.py
@@ -13,7 +13,7 @@
 
 from brassweir.config.load import load
 from brassweir.config.model import Config
-from brassweir.core.identity import onward
+from brassweir.core.identity import delivery_id
 from brassweir.core.ports import Answer, FinalAnswer, Payload, Submission
 from brassweir.lab.judges.tape import (
     Answered,
@@ -25,7 +25,7 @@
 from brassweir.lab.rigs.idle_setup import KEY, Plan, Quiet, publish, rss, write
 from brassweir.lab.rigs.load import Arrivals, draw
 from brassweir.lab.standins import hooks
-from brassweir.net.client import Address, Pool
+from brassweir.net.client import Address, HttpPool
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 from brassweir.service.process import SenderProcess
@@ -58,16 +58,16 @@
     gc.collect()
     loaded = rss()
     seen = Seen()
-    right = sender.pools.short
+    right = sender.pools.report_shortage
 
     def short() -> None:
         seen.short += 1
         right()
 
-    sender.pools.short = short  # type: ignore[method-assign]
+    sender.pools.report_shortage = short  # type: ignore[method-assign]
 
     arrivals = draw(plan.mix, plan.seed)
-    plain = Pool(Address.of(f"http://127.0.0.1:{port}/begin"), Limits(), 1, 1000.0, 1000.0)
+    plain = HttpPool(Address.parse(f"http://127.0.0.1:{port}/begin"), Limits(), 1, 1000.0, 1000.0)
     await plain.post(Headers(), b"", loop.time() + 5.0)
     watch = loop.create_task(_stalls(seen))
     seen.tape.add(Published(time.time(), {f"hook-{i}-a": "ready" for i in range(total)}))
@@ -82,7 +82,9 @@
     watch.cancel()
     for swap in swaps:
         swap.cancel()
-    reader = Pool(Address.of(f"http://127.0.0.1:{port}/report"), Limits(body=500_000_000), 1, 1000.0, 1000.0)
+    reader = HttpPool(
+        Address.parse(f"http://127.0.0.1:{port}/report"), Limits(body_bytes=500_000_000), 1, 1000.0, 1000.0
+    )
     report = json.loads((await reader.post(Headers(), b"", loop.time() + 30.0)).body)
     budget = sender.pools.budget
     tree = {
@@ -97,7 +99,7 @@
         "bytes_per_destination": round((loaded - before) / total),
         "cpu_ms_per_message": round(spent / len(arrivals.at) * 1000, 3),
         "descriptor_shortages_met": seen.short,
-        "connections": {"open": budget.open, "gave_way": budget.given_way, "budget": budget.most},
+        "connections": {"open": budget.open, "gave_way": budget.evictions, "budget": budget.max_connections},
         **judge_run(plan, seen, report),
     }
     for pool in (plain, reader):
@@ -122,7 +124,10 @@
         name, identity = classes[index % 3], f"m{index}"
         deadline = sender.engine.ledger.classes[name].deadline / 1000.0
         told = False
-        ident, key = onward("office", identity), f"{destination} {index % KEYS}" if name == "order" else ""
+        ident, key = (
+            delivery_id("office", identity),
+            f"{destination} {index % KEYS}" if name == "order" else "",
+        )
         seen.tape.add(
             HandIn(time.time(), "office", "idle", ident, ident, name, key, f"hook-{destination}", 0, deadline)
         )
--- a/brassweir/lab/simulated/crash.py
+++ b/brassweir/lab/simulated/crash.py
@@ -15,8 +15,8 @@
 from brassweir.core.clock import SimClock
 from brassweir.core.engine import Engine
 from brassweir.core.ports import Clock, FinalAnswer, Payload, Submission
-from brassweir.journal.recover import plan
-from brassweir.journal.restart import carry_out
+from brassweir.journal.recover import plan_recovery
+from brassweir.journal.restart import apply_plan
 from brassweir.journal.scan import scan
 from brassweir.journal.store import JournalStore
 from brassweir.journal.writer import Writer
@@ -100,7 +100,7 @@
                 self.world.answers[name].append((clock.now(), answer))
                 self.world.receipts[name] += 1
                 if rng.random() < CONFIRMED:
-                    store.told(ident)
+                    store.receipt_delivered(ident)
 
             clock.call_at(clock.now() + rng.uniform(1.0, 30.0), brought)
 
@@ -118,12 +118,12 @@
     ) -> Callable[[], None]:
         def later(left: float, payload: Payload) -> None:
             given = Submission(
-                "client", name, cls, destination, max(left, 1.0), key, payload=payload, reply=b"r"
+                "client", name, cls, destination, max(left, 1.0), key, payload=payload, reply_to=b"r"
             )
             bring: list[Callable[[FinalAnswer], None]] = []
             _, record = engine.submit(given, lambda answer: bring[0](answer))
             bring.append(self._owing(engine.clock, store, alive, record.id, name))
-            engine.whole(record, lambda: self.world.accepted.add(name))
+            engine.when_persisted(record, lambda: self.world.accepted.add(name))
 
         def go() -> None:
             world, now = self.world, engine.clock.now()
@@ -150,14 +150,16 @@
         if self.tamper is not None:
             self.tamper(store)
         world = self.world
-        made = plan(found.lives, found.holes, BY_NAME, clock.now(), self.remember, SETTINGS.order_pause)
+        made = plan_recovery(
+            found.state, found.holes, BY_NAME, clock.now(), self.remember, SETTINGS.order_pause
+        )
         partners = Partners(world, clock, self.seed, alive)
         engine = Engine(SETTINGS, self.seed, clock, lambda _: partners, store=store)
-        engine.news(api.ListNews(api.ListKind.FULL, ENDPOINTS))
-        store.begin("sim")
+        engine.update_list(api.ListUpdate(api.ListKind.FULL, ENDPOINTS))
+        store.record_start("sim")
         if made.pause:
             clock.run(clock.now() + made.pause)
-        carry_out(
+        apply_plan(
             made,
             engine,
             store,
--- a/brassweir/lab/simulated/crash_world.py
+++ b/brassweir/lab/simulated/crash_world.py
@@ -43,7 +43,7 @@
 
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
         """One call."""
-        if not attempt.going.go():
+        if not attempt.start_guard.begin():
             return
         world, now = self.world, self.clock.now()
         name = attempt.submission.identity
@@ -61,10 +61,10 @@
         draw, took = rng.random(), 5.0 + rng.expovariate(1 / 40.0)
         result, wait = api.Result.OK, 0.0
         if draw < 0.08:
-            result, wait = api.Result.FULL, rng.choice([0.0, 400.0, 1500.0])
+            result, wait = api.Result.BUSY, rng.choice([0.0, 400.0, 1500.0])
         elif draw < 0.2:
             result = rng.choice([api.Result.ERROR, api.Result.RESET, api.Result.TIMEOUT])
-        if result is not api.Result.FULL:
+        if result is not api.Result.BUSY:
             world.maybe[name].append(now)
             if result is api.Result.OK or rng.random() < 0.7:  # also where the answer is lost
                 world.effects[name] += not (cls.effect is api.Effect.KEYED and world.effects[name])
--- a/brassweir/lab/simulated/disk.py
+++ b/brassweir/lab/simulated/disk.py
@@ -66,7 +66,7 @@
             raise OSError(errno.ENOSPC, "No space left on device")
         self.loose.setdefault(name, []).append(data)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Take away the end."""
         self._step()
         whole = self.read(name)[:size]
--- a/brassweir/lab/simulated/links.py
+++ b/brassweir/lab/simulated/links.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from brassweir.core.clock import SimClock, SimHandle
-from brassweir.core.identity import onward
+from brassweir.core.identity import delivery_id
 from brassweir.core.ports import Attempt, Outcome
 from brassweir.forward.decide.joining import Joining
 from brassweir.interface import Result
@@ -112,13 +112,13 @@
         connect = links.take(clock.now())
         if connect is None:
             said = partner.home.says_crowded and partner.struck("crash") is None
-            lack = Outcome(Result.CROWDED if said else Result.NO_CONNECTION, "no connection left")
+            lack = Outcome(Result.CONNECTION_LIMIT if said else Result.NO_CONNECTION, "no connection left")
             clock.call_at(clock.now() + 2.0 * way, lambda: self._tell(calls, [lack] * len(calls)))
             return
         parcels = [
             Parcel(
                 attempt.submission.identity,
-                onward(attempt.submission.owner, attempt.submission.identity),
+                delivery_id(attempt.submission.owner, attempt.submission.identity),
                 stage.effects[attempt.submission.class_name],
             )
             for attempt, _ in calls
@@ -154,23 +154,23 @@
                     partner.unheard(numbers)
                     links.back(0.0, False)
                     return
-                links.back(clock.now(), outcomes[0].result in (Result.OK, Result.FULL, Result.ERROR))
+                links.back(clock.now(), outcomes[0].result in (Result.OK, Result.BUSY, Result.ERROR))
                 self._tell(calls, outcomes)
 
             stage.clock.call_at(stage.clock.now() + way, heard)
 
         def go() -> None:
             late = clock.now() >= begin and bool(setup)
-            going = [not late and attempt.going.go() for attempt, _ in calls]
+            start_guard = [not late and attempt.start_guard.begin() for attempt, _ in calls]
             if late:
                 self._tell(calls, [Outcome(Result.NO_CONNECTION, "its time was over")] * len(calls))
-            if not any(going):
+            if not any(start_guard):
                 links.back(clock.now(), True)
                 return
             # Those called back meanwhile are not among them; what is on the wire arrives, whatever becomes
             # of its sender.
-            parcels[:] = [parcel for parcel, still in zip(parcels, going, strict=True) if still]
-            calls[:] = [call for call, still in zip(calls, going, strict=True) if still]
+            parcels[:] = [parcel for parcel, still in zip(parcels, start_guard, strict=True) if still]
+            calls[:] = [call for call, still in zip(calls, start_guard, strict=True) if still]
             nonlocal expiry
             expiry = stage.clock.call_at(max(attempt.abandon_at for attempt, _ in calls), expire)
             stage.clock.call_at(clock.now() + way, arrive)
--- a/brassweir/lab/simulated/sender.py
+++ b/brassweir/lab/simulated/sender.py
@@ -8,12 +8,12 @@
 
 from brassweir import interface as api
 from brassweir.core.engine import Engine
-from brassweir.core.ledger import Record
+from brassweir.core.ledger import MessageRecord
+from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import Outcome
-from brassweir.core.watcher import Watcher
 from brassweir.interface import Result
-from brassweir.journal.recover import plan
-from brassweir.journal.restart import carry_out
+from brassweir.journal.recover import plan_recovery
+from brassweir.journal.restart import apply_plan
 from brassweir.journal.scan import scan
 from brassweir.journal.store import JournalStore
 from brassweir.journal.writer import Writer
@@ -28,7 +28,7 @@
 DOWN, ROLL_GRACE = 400.0, 4000.0  # ms from a kill to the next start; from a drain to its end
 
 
-class SimSender(Watcher):
+class SimSender(EngineObserver):
     """One sender over all its lives."""
 
     def __init__(self, stage: Stage, number: int) -> None:
@@ -74,26 +74,26 @@
             clock,
             lambda _: carrier,
             store=self.store,
-            watcher=self,
-            remember=REMEMBER,
-            most=1_000_000,
+            observer=self,
+            retention_ms=REMEMBER,
+            max_ended=1_000_000,
         )
         if stage.trace is not None and stage.trace[0] == self.name and self.lives == 1:
             recorder = Recorder(stage.trace[1], stage.settings, seed, clock.now())
             self.engine_trace(engine, recorder)
-        listed = tuple(info for info in stage.infos.values() if info.state is not api.State.GONE)
-        engine.news(api.ListNews(api.ListKind.FULL, listed))
+        listed = tuple(info for info in stage.infos.values() if info.state is not api.EntryState.GONE)
+        engine.update_list(api.ListUpdate(api.ListKind.FULL, listed))
         if found is None or self.store is None:
             self.engine = engine
             return
         store = self.store
-        store.begin(self.name)
-        made = plan(
-            found.lives, found.holes, stage.classes, clock.now(), REMEMBER, stage.settings.order_pause
+        store.record_start(self.name)
+        made = plan_recovery(
+            found.state, found.holes, stage.classes, clock.now(), REMEMBER, stage.settings.order_pause
         )
 
         def recover() -> None:
-            carry_out(made, engine, store, int, lambda ident, submission: None)
+            apply_plan(made, engine, store, int, lambda ident, submission: None)
             self.engine = engine  # nobody is listened to before
 
         clock.call_at(clock.now() + made.pause, recover)
@@ -101,7 +101,7 @@
     def engine_trace(self, engine: Engine, recorder: Recorder) -> None:
         """Write down what the module is told and what it says."""
         self.recorder = recorder
-        engine.traced = recorder.turn
+        engine.on_turn = recorder.turn
 
     def end(self) -> None:
         """The process is gone, whatever it was doing."""
@@ -123,7 +123,7 @@
         engine = self.engine
         if engine is None:
             return
-        engine.stop_taking()
+        engine.stop_accepting()
 
         def close() -> None:
             if self.engine is engine:
@@ -139,7 +139,7 @@
 
     # ---- what it lets be seen
 
-    def outcome(self, record: Record, number: int, outcome: Outcome, late: bool) -> None:
+    def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
         """Note how attempts ended, for the reasons that a report gives."""
         fate = self.stage.fates.get(record.submission.identity)
         if fate is not None:
--- a/brassweir/lab/simulated/stage.py
+++ b/brassweir/lab/simulated/stage.py
@@ -62,7 +62,9 @@
             slots=sets.slots,
             max_open=sets.max_open,
             senders=sets.count,
-            kinds=tuple(api.Kind(name, name in day.apart, batch) for name, batch in day.batches.items()),
+            kinds=tuple(
+                api.DestinationKind(name, name in day.apart, batch) for name, batch in day.batches.items()
+            ),
             max_attempts=sets.max_attempts,
             connect_timeout=sets.connect_timeout,
             idle_close=sets.idle or IDLE,
@@ -134,17 +136,17 @@
             for target in strike.targets:
                 self.senders[target].stale_until = max(self.senders[target].stale_until, strike.end)
         elif strike.kind in ("drain", "gone"):
-            state = api.State.DRAINING if strike.kind == "drain" else api.State.GONE
+            state = api.EntryState.DRAINING if strike.kind == "drain" else api.EntryState.GONE
             names = [self.day.homes[target - 1].endpoints[0] for target in strike.targets]
             call_at(strike.start, lambda: self._publish(names, state))
-            call_at(strike.end, lambda: self._publish(names, api.State.READY))
+            call_at(strike.end, lambda: self._publish(names, api.EntryState.READY))
 
     def _kill(self, sender: SimSender) -> None:
         if not sender.down:  # one that is dead already cannot be killed
             sender.end()
             self.clock.call_at(self.clock.now() + DOWN, sender.start)
 
-    def _publish(self, names: list[str], state: api.State) -> None:
+    def _publish(self, names: list[str], state: api.EntryState) -> None:
         for name in names:
             old = self.infos[name]
             self.infos[name] = api.EndpointInfo(name, old.destination, old.kind, old.zone, state)
@@ -155,13 +157,13 @@
                 {
                     name: info.state.value
                     for name, info in self.infos.items()
-                    if info.state is not api.State.GONE
+                    if info.state is not api.EntryState.GONE
                 },
             )
         )
         for sender in self.senders:
             when = now + self.day.list_delays[sender.number]
-            if now < sender.stale_until and state is api.State.READY:
+            if now < sender.stale_until and state is api.EntryState.READY:
                 when = max(
                     when, sender.stale_until
                 )  # what forbids is never late: a stale list lacks what is new
@@ -170,7 +172,7 @@
                 if sender.engine is not None:
                     # As it is by then: a list that comes late never takes back a newer one.
                     entries = tuple(self.infos[name] for name in names)
-                    sender.engine.news(api.ListNews(api.ListKind.DELTA, entries))
+                    sender.engine.update_list(api.ListUpdate(api.ListKind.DELTA, entries))
 
             self.clock.call_at(when, tell)
 
@@ -181,13 +183,13 @@
         self.samples.append(
             Sample(
                 self.clock.now(),
-                sum(engine.sender.load.open for engine in engines),
-                sum(engine.sender.load.out for engine in engines),
-                sum(engine.sender.bound.value for engine in engines),
+                sum(engine.sender.load.open_messages for engine in engines),
+                sum(engine.sender.load.used_slots for engine in engines),
+                sum(engine.sender.backlog_bound.value for engine in engines),
                 sum(
-                    gate.shut
+                    gate.circuit_open
                     for engine in engines
-                    for dest in engine.sender.dests.values()
+                    for dest in engine.sender.destinations.values()
                     for gate in dest.gates()
                 ),
             )
--- a/brassweir/lab/simulated/trace.py
+++ b/brassweir/lab/simulated/trace.py
@@ -22,13 +22,25 @@
 VERSION = 1
 _encode = msgspec.msgpack.Encoder().encode
 
+# Names in trace files of classes that the interface now calls otherwise.
+_FILE_NAMES = {
+    "EntryState": "State",
+    "DestinationKind": "Kind",
+    "ListUpdate": "ListNews",
+    "PastAttempt": "Past",
+    "StopScheduled": "Leaving",
+}
+_CLASS_NAMES = {old: new for new, old in _FILE_NAMES.items()}
+
 
 def flat(value: Any) -> Any:
     """A value of the interface as plain lists: ["Name", fields in order], ["=Enum", value], ["()", items]."""
     if is_dataclass(value) and not isinstance(value, type):
-        return [type(value).__name__, *(flat(getattr(value, one.name)) for one in fields(value))]
+        name = type(value).__name__
+        return [_FILE_NAMES.get(name, name), *(flat(getattr(value, one.name)) for one in fields(value))]
     if isinstance(value, Enum):
-        return ["=" + type(value).__name__, value.value]
+        name = type(value).__name__
+        return ["=" + _FILE_NAMES.get(name, name), value.value]
     if isinstance(value, tuple | list):
         return ["()", *(flat(one) for one in value)]
     return value
@@ -44,7 +56,8 @@
     name, *values = tree
     if name == "()":
         return tuple(whole(one) for one in values)
-    known = getattr(api, name.removeprefix("="), None)
+    bare = name.removeprefix("=")
+    known = getattr(api, _CLASS_NAMES.get(bare, bare), None) or getattr(api, bare, None)  # older checkouts
     if known is None:
         raise ValueError(f"this interface knows no {name!r}")
     if name.startswith("="):
--- a/brassweir/lab/standins/client.py
+++ b/brassweir/lab/standins/client.py
@@ -17,7 +17,7 @@
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Payload
 from brassweir.lab.judges.tape import Answered, HandIn, Tape
-from brassweir.net.client import Address, CallFailed, Pool
+from brassweir.net.client import Address, CallFailed, HttpPool
 from brassweir.net.limits import Limits
 from brassweir.net.server import Request, Response, Server
 
@@ -56,7 +56,7 @@
         self.identity, self.hub, self.tape, self.offload = identity, hub, tape, offload
         self.url_of, self.name_of = url_of, name_of
         self.name = identity.as2_id
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, HttpPool] = {}
         self.server: Server | None = None
         self.receipt_url = ""
         self.letters: dict[str, tuple[Letter, str]] = {}
@@ -118,7 +118,7 @@
         url = self.url_of(order.sender)
         pool = self.pools.get(url)
         if pool is None:
-            pool = self.pools[url] = Pool(Address.of(url), Limits(), 400, 10_000.0, 1000.0)
+            pool = self.pools[url] = HttpPool(Address.parse(url), Limits(), 400, 10_000.0, 1000.0)
         self.tape.add(
             HandIn(
                 time.time(),
--- a/brassweir/lab/standins/hooks.py
+++ b/brassweir/lab/standins/hooks.py
@@ -57,7 +57,7 @@
         self.fallen: dict[int, float] = {}
         self.connections: set[str] = set()
         self.began = time.time()
-        self.server = Server(self.serve, Limits(connections=60_000, idle_time=300_000.0))
+        self.server = Server(self.serve, Limits(connections=60_000, idle_ms=300_000.0))
 
     async def serve(self, request: Request) -> Response:
         """Answer one call."""
--- a/brassweir/lab/standins/partner.py
+++ b/brassweir/lab/standins/partner.py
@@ -18,7 +18,7 @@
 from brassweir.lab.judges.tape import Arrival, Tape
 from brassweir.lab.models.desk import Manner
 from brassweir.lab.standins.works import BAD, SPOILT, Works
-from brassweir.net.client import Address, CallFailed, Pool
+from brassweir.net.client import Address, CallFailed, HttpPool
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 from brassweir.net.server import Abort, Request, Response, Server
@@ -43,7 +43,7 @@
         self.stranger = stranger  # whose key signs the receipts that the wrong one signed
         self.receipt_urls = receipt_urls  # by sender
         self.servers: dict[str, tuple[Server, int]] = {}
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, HttpPool] = {}
 
     # ---- life
 
@@ -53,7 +53,7 @@
         async def handler(request: Request) -> Response:
             return await self._serve(endpoint, request)
 
-        limits = Limits(connections=self.manner.connections, idle_time=15_000.0)
+        limits = Limits(connections=self.manner.connections, idle_ms=15_000.0)
         server = Server(handler, limits)
         got = await server.listen("127.0.0.1", port)
         self.servers[endpoint] = (server, got)
@@ -196,7 +196,7 @@
         await asyncio.sleep(pause)
         pool = self.pools.get(url)
         if pool is None:
-            pool = self.pools[url] = Pool(Address.of(url), Limits(), 8, 10_000.0, 1000.0)
+            pool = self.pools[url] = HttpPool(Address.parse(url), Limits(), 8, 10_000.0, 1000.0)
         for _ in range(times):
             for _ in range(3):
                 try:
--- a/brassweir/net/address.py
+++ b/brassweir/net/address.py
@@ -18,7 +18,7 @@
     tls: bool
 
     @staticmethod
-    def of(url: str) -> Address:
+    def parse(url: str) -> Address:
         """Read a URL. Raises ValueError with the reason."""
         parts: SplitResult = urlsplit(url)
         if parts.scheme not in PORTS or not parts.hostname:
--- a/brassweir/net/client.py
+++ b/brassweir/net/client.py
@@ -15,7 +15,7 @@
 from brassweir.net.parse import Answers, Incoming, TooLarge
 from brassweir.net.pool import ConnectionPool
 
-__all__ = ["Address", "CallFailed", "Pool", "Reply", "Stage"]
+__all__ = ["Address", "CallFailed", "HttpPool", "Reply", "Stage"]
 
 
 @dataclass(slots=True)
@@ -25,13 +25,13 @@
     status: int
     headers: Headers
     body: bytes
-    kept: bool = False  # the connection had carried calls before
+    reused: bool = False  # the connection had carried calls before
 
 
 SETTLED = 0.03  # seconds that the rest of an answer has, once its first line has settled the call
 
 
-class Pool(ConnectionPool):
+class HttpPool(ConnectionPool):
     """Connections to one endpoint over HTTP.
 
     ``settling`` holds the statuses whose line alone is the answer, for peers that say so: whatever follows
@@ -40,7 +40,7 @@
 
     settling: frozenset[int] = frozenset()
 
-    def make(self, loop: asyncio.AbstractEventLoop) -> Connection:
+    def new_connection(self, loop: asyncio.AbstractEventLoop) -> Connection:
         """An HTTP connection."""
         return _Connection(self, loop)
 
@@ -61,7 +61,7 @@
         says in that time belongs to an earlier call, and ends the connection. Then ``go`` is asked once more:
         a call begins with its last byte, and the loop may have stood still meanwhile.
         """
-        async with self.link(deadline, begin, go) as connection:
+        async with self.acquire(deadline, begin, go) as connection:
             assert isinstance(connection, _Connection)
             return await connection.call(self._head(headers, len(body)) + body, deadline, hold, go)
 
@@ -77,14 +77,14 @@
 class _Connection(Connection):
     """One HTTP connection."""
 
-    def __init__(self, pool: Pool, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, pool: HttpPool, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(pool, loop)
         self.feed = Answers(pool.limits)
         self.feed.parser = httptools.HttpResponseParser(self.feed)
         self.answer: asyncio.Future[Reply] | None = None
         self.settling = pool.settling
         self.settler: asyncio.TimerHandle | None = None
-        self.kept = False  # it has carried a call before
+        self.reused = False  # it has carried a call before
         self.holder: asyncio.Handle | None = None  # of a last byte held back
 
     def eof_received(self) -> bool:
@@ -102,7 +102,9 @@
         """Write a request and wait for its answer."""
         assert self.transport is not None
         if self.transport.is_closing():
-            raise CallFailed(Stage.CONNECT, "connection closed before anything was written", kept=self.kept)
+            raise CallFailed(
+                Stage.CONNECT, "connection closed before anything was written", reused=self.reused
+            )
         answer: asyncio.Future[Reply] = self.loop.create_future()
         self.answer = answer
         self.stage = Stage.CONNECT if hold else Stage.SENT
@@ -121,7 +123,7 @@
             if self.holder is not None:
                 self.holder.cancel()
                 self.holder = None
-            self.answer, self.kept = None, True
+            self.answer, self.reused = None, True
             if not answer.cancelled() and answer.done():
                 answer.exception()  # nobody may be left to ask for it
             if self.settler is not None:
@@ -141,7 +143,7 @@
                 self.stage = Stage.SENT
                 self.transport.write(last)
             else:
-                self.fail(CallFailed(Stage.CONNECT, "it may not begin any more", late=True))
+                self.fail(CallFailed(Stage.CONNECT, "it may not begin any more", timed_out=True))
                 self.drop()
 
     def _overdue(self, answer: asyncio.Future[Reply]) -> Reply:
@@ -151,7 +153,7 @@
         self.drop()
         reply = self.settled()
         if reply is None:
-            raise CallFailed(self.stage, "no whole answer in time", late=True)
+            raise CallFailed(self.stage, "no whole answer in time", timed_out=True)
         return reply
 
     def fail(self, error: CallFailed) -> None:
@@ -160,7 +162,7 @@
         if self.settling and self.settle():
             return
         if self.answer is not None and not self.answer.done():
-            error.kept = self.kept
+            error.reused = self.reused
             self.answer.set_exception(error)
 
     def data_received(self, data: bytes) -> None:
@@ -213,7 +215,7 @@
         queue = self.passed_over()
         if not queue or not queue[0].line or queue[0].status not in self.settling:
             return None
-        return Reply(queue[0].status, queue[0].headers, b"", self.kept)
+        return Reply(queue[0].status, queue[0].headers, b"", self.reused)
 
     def settle(self) -> bool:
         """End the call by its status line, if that is enough."""
@@ -229,4 +231,6 @@
         incoming = self.feed.queue.popleft()
         self.usable = self.usable and incoming.keep and not self.feed.queue
         if self.answer is not None and not self.answer.done():
-            self.answer.set_result(Reply(incoming.status, incoming.headers, bytes(incoming.body), self.kept))
+            self.answer.set_result(
+                Reply(incoming.status, incoming.headers, bytes(incoming.body), self.reused)
+            )
--- a/brassweir/net/connection.py
+++ b/brassweir/net/connection.py
@@ -29,9 +29,9 @@
     ``kept``: the connection had carried calls before, so that its end says nothing of the peer now.
     """
 
-    def __init__(self, stage: Stage, reason: str, late: bool = False, kept: bool = False) -> None:
+    def __init__(self, stage: Stage, reason: str, timed_out: bool = False, reused: bool = False) -> None:
         super().__init__(f"{reason} ({stage.value})")
-        self.stage, self.reason, self.late, self.kept = stage, reason, late, kept
+        self.stage, self.reason, self.timed_out, self.reused = stage, reason, timed_out, reused
 
 
 class Owner(Protocol):
@@ -55,7 +55,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.stale_at = float("inf")  # loop time from which the peer may have closed it
 
-    async def greet(self) -> None:
+    async def perform_handshake(self) -> None:
         """What must pass before a first call; part of the set-up. Raises CallFailed."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
