--- a/brassweir/net/parse.py
+++ b/brassweir/net/parse.py
@@ -69,7 +69,7 @@
         # One endless field reaches no callback before its end, so unfinished heads are counted here.
         head_open = not self.queue or self.queue[-1].done or not self.queue[-1].head_done
         self.unfinished = self.unfinished + len(data) if head_open and not self.whole else 0
-        if self.unfinished > self.limits.head:
+        if self.unfinished > self.limits.head_bytes:
             raise TooLarge("head over the limit", 431)
 
     @property
@@ -94,14 +94,14 @@
         now = self.queue[-1]
         now.target += url
         now.head_size += len(url)
-        if now.head_size > self.limits.head:
+        if now.head_size > self.limits.head_bytes:
             self._fail("request line over the limit", 414)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One whole field."""
         now = self.queue[-1]
         now.head_size += len(name) + len(value) + 4
-        if now.head_size > self.limits.head or len(now.headers.pairs) >= self.limits.headers:
+        if now.head_size > self.limits.head_bytes or len(now.headers.pairs) >= self.limits.max_headers:
             self._fail("header fields over the limit", 431)
         elif not now.head_done:  # a trailer field changes nothing that was read from the head
             now.headers.pairs.append((name.decode("latin-1"), value.decode("latin-1").strip()))
@@ -116,13 +116,13 @@
         else:
             now.status = int(self.parser.get_status_code())
         length = now.headers.first("content-length")
-        if length.isdigit() and int(length) > self.limits.body:
+        if length.isdigit() and int(length) > self.limits.body_bytes:
             self._fail("body over the limit", 413)
 
     def on_body(self, part: bytes) -> None:
         """Part of the body."""
         now = self.queue[-1]
-        if len(now.body) + len(part) > self.limits.body:
+        if len(now.body) + len(part) > self.limits.body_bytes:
             self._fail("body over the limit", 413)
         elif self.error is None:
             now.body += part
--- a/brassweir/net/pool.py
+++ b/brassweir/net/pool.py
@@ -19,7 +19,7 @@
 RETRY = 0.02  # seconds until a set-up that met such a shortage is tried again
 
 
-class Short(Exception):
+class ResourceShortage(Exception):
     """A set-up failed for want of a descriptor or port of ours."""
 
 
@@ -45,7 +45,7 @@
     def idle(self, pool: ConnectionPool) -> None:
         """A connection carries none any more."""
 
-    def short(self) -> None:
+    def report_shortage(self) -> None:
         """The system has no descriptor or port left."""
 
     def left(self, pool: ConnectionPool) -> None:
@@ -63,16 +63,16 @@
         self,
         address: Address,
         limits: Limits,
-        cap: int,
+        max_connections: int,
         idle: float,
-        connect: float,
+        connect_ms: float,
         tls: SSLContext | None = None,
         limiter: Limiter | None = None,
     ) -> None:
         if address.tls and tls is None:
             raise ValueError("https endpoints need a TLS context, which this version does not make")
         self.address, self.limits, self.tls = address, limits, tls
-        self.cap, self.idle_time, self.connect_time = cap, idle, connect
+        self.max_connections, self.idle_ms, self.connect_ms = max_connections, idle, connect_ms
         self.idle: deque[Connection] = deque()
         self.open = 0  # connections, those being made included
         self.waiting: deque[asyncio.Future[None]] = deque()  # calls for which the cap has no room
@@ -83,7 +83,7 @@
         self.cost = 1.0  # ms that setting up a connection took lately
 
     @asynccontextmanager
-    async def link(
+    async def acquire(
         self, deadline: float, begin: float | None = None, go: Callable[[], bool] = lambda: True
     ) -> AsyncIterator[Connection]:
         """A connection for one call, which is over by ``deadline`` (loop time, seconds). Raises CallFailed.
@@ -101,7 +101,9 @@
             self.limiter.busy(self)
             try:
                 if loop.time() >= first:
-                    raise CallFailed(Stage.CONNECT, "its time was over before it could be written", late=True)
+                    raise CallFailed(
+                        Stage.CONNECT, "its time was over before it could be written", timed_out=True
+                    )
                 if not go():
                     raise CallFailed(Stage.CONNECT, "called back before anything was written")
                 yield connection
@@ -113,7 +115,7 @@
             self.users -= 1
             self.limiter.left(self)
 
-    def make(self, loop: asyncio.AbstractEventLoop) -> Connection:
+    def new_connection(self, loop: asyncio.AbstractEventLoop) -> Connection:
         """A connection of the protocol that is spoken here, not yet open."""
         raise NotImplementedError
 
@@ -134,14 +136,14 @@
             del self.entering[turn]
 
     async def _take(self, loop: asyncio.AbstractEventLoop, deadline: float) -> Connection:
-        until = min(loop.time() + self.connect_time / 1000.0, deadline)
+        until = min(loop.time() + self.connect_ms / 1000.0, deadline)
         line = self.waiting.append
         try:
             while True:
                 connection = self._free(loop.time())
                 if connection is not None:
                     return connection
-                if self.open < self.cap:
+                if self.open < self.max_connections:
                     with suppress(Freed):
                         return await self._connect(loop, until)
                     continue
@@ -152,7 +154,7 @@
                     async with asyncio.timeout_at(until):
                         await turn
                 except TimeoutError:
-                    raise CallFailed(Stage.CONNECT, "no free connection in time", late=True) from None
+                    raise CallFailed(Stage.CONNECT, "no free connection in time", timed_out=True) from None
                 finally:
                     if turn in self.waiting:
                         self.waiting.remove(turn)
@@ -172,7 +174,7 @@
 
     async def _connect(self, loop: asyncio.AbstractEventLoop, until: float) -> Connection:
         self.open += 1
-        connection = self.make(loop)
+        connection = self.new_connection(loop)
         begun = False
         try:
             async with asyncio.timeout_at(until):
@@ -182,24 +184,24 @@
                             begun = True
                             before = loop.time()
                             await self._dial(loop, connection)
-                            await connection.greet()
+                            await connection.perform_handshake()
                             if not connection.usable:
                                 raise CallFailed(Stage.CONNECT, "closed during its set-up")
                             connection.standing = True
                             self.made += 1
                             self.cost += COST_GAIN * ((loop.time() - before) * 1000.0 - self.cost)
                             return connection
-                    except Short:
-                        self.limiter.short()
+                    except ResourceShortage:
+                        self.limiter.report_shortage()
                         await asyncio.sleep(RETRY)
         except BaseException as error:
             connection.drop()
             self._closed()
             if isinstance(error, TimeoutError):
                 reason = "connect timed out" if begun else "no room for another connection in time"
-                raise CallFailed(Stage.CONNECT, reason, late=True) from None
+                raise CallFailed(Stage.CONNECT, reason, timed_out=True) from None
             if isinstance(error, CallFailed):  # it was not let in: nothing of a message was written
-                raise CallFailed(Stage.CONNECT, error.reason, error.late) from None
+                raise CallFailed(Stage.CONNECT, error.reason, error.timed_out) from None
             if isinstance(error, OSError):
                 raise CallFailed(Stage.CONNECT, error.strerror or str(error)) from None
             raise
@@ -211,14 +213,14 @@
             )
         except OSError as error:
             if error.errno in SHORT:
-                raise Short from None
+                raise ResourceShortage from None
             raise
 
     def _give_back(self, connection: Connection) -> None:
         if connection.usable:
             self.idle.append(connection)
-            connection.stale_at = connection.loop.time() + self.idle_time / 1000.0
-            connection.set_timer(self.idle_time)
+            connection.stale_at = connection.loop.time() + self.idle_ms / 1000.0
+            connection.set_timer(self.idle_ms)
         else:
             connection.drop()
 
@@ -236,7 +238,7 @@
 
     def _offer(self) -> None:
         """Wake one that waits, if a connection is free or there is room for one."""
-        while self.waiting and (self.idle or self.open < self.cap):
+        while self.waiting and (self.idle or self.open < self.max_connections):
             turn = self.waiting.popleft()
             if not turn.done():
                 turn.set_result(None)
--- a/brassweir/net/limiter.py
+++ b/brassweir/net/pool_manager.py
@@ -7,17 +7,17 @@
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 
-from brassweir.destinations.budget import Budget
-from brassweir.destinations.setups import Setups
+from brassweir.destinations.budget import ConnectionBudget
+from brassweir.destinations.setup_queue import SetupQueue
 from brassweir.net.address import Address
-from brassweir.net.client import Pool
+from brassweir.net.client import HttpPool
 from brassweir.net.limits import Limits
-from brassweir.net.pool import ConnectionPool, Limiter, Short
+from brassweir.net.pool import ConnectionPool, Limiter, ResourceShortage
 
-Make = Callable[[Address, "Pools"], ConnectionPool]
+PoolFactory = Callable[[Address, "PoolManager"], ConnectionPool]
 
 
-class Pools(Limiter):
+class PoolManager(Limiter):
     """The pools of all endpoints in use, under one budget of connections and one line for set-ups.
 
     A pool without connections and calls is forgotten: an endpoint that is not used costs nothing here.
@@ -26,34 +26,39 @@
     def __init__(
         self,
         limits: Limits,
-        cap: int,
+        connections_per_endpoint: int,
         idle: float,
-        connect: float,
-        budget: Budget | None = None,
-        setups: Setups | None = None,
+        connect_ms: float,
+        budget: ConnectionBudget | None = None,
+        setups: SetupQueue | None = None,
         settling: frozenset[int] = frozenset(),
     ) -> None:
         self.settling = settling  # see Pool
-        self.limits, self.cap, self.idle_time, self.connect_time = limits, cap, idle, connect
-        self.budget, self.setups = budget or Budget(1_000_000), setups or Setups(1_000_000)
+        self.limits, self.connections_per_endpoint, self.idle_ms, self.connect_ms = (
+            limits,
+            connections_per_endpoint,
+            idle,
+            connect_ms,
+        )
+        self.budget, self.setups = budget or ConnectionBudget(1_000_000), setups or SetupQueue(1_000_000)
         self.pools: dict[str, ConnectionPool] = {}
         self.urls: dict[ConnectionPool, str] = {}
         self.rooms: dict[asyncio.Future[bool], str] = {}  # requests that found the budget spent, in order
         self.turns: dict[int, asyncio.Future[bool]] = {}  # tickets in the line for set-ups
 
-    def of(self, url: str, name: str = "") -> Pool:
+    def http_pool(self, url: str, name: str = "") -> HttpPool:
         """The pool of an endpoint over HTTP; ``name`` keeps apart endpoints that follow each other at one
         address. Raises ValueError on a bad URL."""
-        pool = self.links(url, _http, name)
-        assert isinstance(pool, Pool)  # a URL's scheme says what is spoken there
+        pool = self.pool(url, _http, name)
+        assert isinstance(pool, HttpPool)  # a URL's scheme says what is spoken there
         return pool
 
-    def links(self, url: str, make: Make, name: str = "") -> ConnectionPool:
+    def pool(self, url: str, make: PoolFactory, name: str = "") -> ConnectionPool:
         """The pool of an endpoint, made by ``make`` if there is none. Raises ValueError on a bad URL."""
         key = f"{url} {name}" if name else url
         pool = self.pools.get(key)
         if pool is None:
-            pool = self.pools[key] = make(Address.of(url), self)
+            pool = self.pools[key] = make(Address.parse(url), self)
             self.urls[pool] = key
         return pool
 
@@ -62,7 +67,7 @@
         pool = self.pools.get(f"{url} {name}" if name else url)
         return pool.close_idle() if pool is not None else 0
 
-    def close(self) -> None:
+    def close_all_idle(self) -> None:
         """Close all that is unused."""
         for pool in list(self.pools.values()):
             pool.close_idle()
@@ -77,7 +82,7 @@
             await self._wait(pool, url, loop)
         standing = False
         good: bool | None = None  # one that left the line, or met our own shortage, tells nothing
-        ticket = self.setups.ask(url, pool.open > 1, loop.time() * 1000.0)
+        ticket = self.setups.enqueue(url, pool.open > 1, loop.time() * 1000.0)
         turn = self.turns[ticket] = loop.create_future()
         try:
             self._turn()
@@ -85,7 +90,12 @@
             yield
             standing = good = True
         except BaseException as error:
-            if turn.done() and not turn.cancelled() and turn.result() and not isinstance(error, Short):
+            if (
+                turn.done()
+                and not turn.cancelled()
+                and turn.result()
+                and not isinstance(error, ResourceShortage)
+            ):
                 good = False
             raise
         finally:
@@ -98,11 +108,11 @@
 
     def _grant(self, url: str, now: float) -> bool:
         step = self.budget.request(url, now * 1000.0)
-        if step.close is not None and step.close in self.pools:
-            self.pools[step.close].close_idle(1)
-        if step.go:
+        if step.evict is not None and step.evict in self.pools:
+            self.pools[step.evict].close_idle(1)
+        if step.granted:
             self.budget.opened(url)
-        return step.go
+        return step.granted
 
     async def _wait(self, pool: ConnectionPool, url: str, loop: asyncio.AbstractEventLoop) -> None:
         turn: asyncio.Future[bool] = loop.create_future()
@@ -116,7 +126,7 @@
             raise
 
     def _turn(self) -> None:
-        while (ticket := self.setups.next()) is not None:
+        while (ticket := self.setups.next_ticket()) is not None:
             turn = self.turns.get(ticket)
             if turn is not None and not turn.done():
                 turn.set_result(True)
@@ -152,7 +162,7 @@
         self.budget.idle(self.urls[pool], pool.cost)
         self._room()
 
-    def short(self) -> None:
+    def report_shortage(self) -> None:
         """The system has no descriptor or port left."""
         victim = self.budget.shortage(asyncio.get_running_loop().time() * 1000.0)
         if victim is not None and victim in self.pools:
@@ -166,7 +176,9 @@
                 del self.pools[url]
 
 
-def _http(address: Address, pools: Pools) -> ConnectionPool:
-    pool = Pool(address, pools.limits, pools.cap, pools.idle_time, pools.connect_time, limiter=pools)
+def _http(address: Address, pools: PoolManager) -> ConnectionPool:
+    pool = HttpPool(
+        address, pools.limits, pools.connections_per_endpoint, pools.idle_ms, pools.connect_ms, limiter=pools
+    )
     pool.settling = pools.settling
     return pool
--- a/brassweir/net/server.py
+++ b/brassweir/net/server.py
@@ -23,7 +23,7 @@
     def __init__(self, handler: Handler, limits: Limits, complain: Complaint = lambda *_: None) -> None:
         self.handler, self.limits, self.complain = handler, limits, complain
         self.connections: set[ServerConnection] = set()
-        self.bodies = BodyBudget(limits.buffered)
+        self.bodies = BodyBudget(limits.buffered_bytes)
         self.listener: asyncio.Server | None = None
         self.draining = False
 
--- a/brassweir/net/server_connection.py
+++ b/brassweir/net/server_connection.py
@@ -49,7 +49,7 @@
             self.server.complain(self.peer, 503, "too many connections")
             return
         self.server.connections.add(self)
-        self.set_timer(self.limits.idle_time)
+        self.set_timer(self.limits.idle_ms)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection is gone; a request in work learns it."""
@@ -138,11 +138,11 @@
             return self.refuse(*self.broken)
         if queue and queue[0].head_done:
             if not headed:
-                self.set_timer(self.limits.body_time)
+                self.set_timer(self.limits.body_ms)
             if self.server.bodies.must_pause(self):
                 self.pause()
         elif queue and not begun:
-            self.set_timer(self.limits.head_time)
+            self.set_timer(self.limits.head_ms)
         return None
 
     def greet(self, incoming: Incoming) -> bool:
@@ -197,7 +197,7 @@
         self.request = None
         self.count(self.queued(), 0)
         self.server.bodies.settle(self)
-        self.set_timer(self.limits.head_time if self.feed.queue else self.limits.idle_time)
+        self.set_timer(self.limits.head_ms if self.feed.queue else self.limits.idle_ms)
         self.resume()
         self.advance(True, False)
 
@@ -211,16 +211,16 @@
         self.closing = True
         if self.transport is not None:
             self.transport.close()
-        self.set_timer(self.limits.write_time)
+        self.set_timer(self.limits.write_ms)
 
     def pause_writing(self) -> None:
         """The peer reads slowly."""
-        self.set_timer(self.limits.write_time)
+        self.set_timer(self.limits.write_ms)
 
     def resume_writing(self) -> None:
         """The peer has caught up."""
         if not self.closing:
-            self.set_timer(None if self.request is not None else self.limits.idle_time)
+            self.set_timer(None if self.request is not None else self.limits.idle_ms)
 
     def refuse(self, status: int, reason: str) -> None:
         """Answer a bad request and close: what follows on the connection cannot be trusted."""
--- a/brassweir/observe/lines.py
+++ b/brassweir/observe/json_log.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable, Set
 from typing import Any, TextIO
 
-SPAN = 5.0  # seconds
-MOST = 50  # lines of one event in such a span; the rest are counted and told in the next line of it
-MOST_FREQUENT = 1000  # the same of an event that comes with each message
+SPAN_SECONDS = 5.0  # seconds
+MAX_LINES = 50  # lines of one event in such a span; the rest are counted and told in the next line of it
+MAX_FREQUENT_LINES = 1000  # the same of an event that comes with each message
 
 _ENCODE = json.JSONEncoder(default=str).encode  # made once: json.dumps makes an encoder for each line
 
 
-class Lines:
+class JsonLog:
     """A log with the face of the service's other one. A storm of one event cannot fill disk or CPU.
 
     ``frequent`` names the events that come with each message.
@@ -48,9 +48,9 @@
     def _line(self, level: str, event: str, details: dict[str, Any]) -> None:
         now = self.monotonic()
         start, count, held = self.spans.get(event, (now, 0, 0))
-        if now - start >= SPAN:
+        if now - start >= SPAN_SECONDS:
             start, count = now, 0
-        if count >= (MOST_FREQUENT if event in self.frequent else MOST):
+        if count >= (MAX_FREQUENT_LINES if event in self.frequent else MAX_LINES):
             self.spans[event] = (start, count, held + 1)
             return
         self.spans[event] = (start, count + 1, 0)
--- a/brassweir/observe/logs.py
+++ b/brassweir/observe/logs.py
@@ -9,7 +9,9 @@
 import structlog
 
 
-def set_up(level: str = "info", plain: bool = False, stream: TextIO | None = None) -> structlog.BoundLogger:
+def configure_logging(
+    level: str = "info", plain: bool = False, stream: TextIO | None = None
+) -> structlog.BoundLogger:
     """Make the process's log. Raises ValueError for an unknown level."""
     number = logging.getLevelNamesMapping().get(level.upper())
     if number is None:
--- a/brassweir/observe/metrics.py
+++ b/brassweir/observe/metrics.py
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.taken = Counter(
+        self.submissions = Counter(
             "brassweir_messages_taken",
             "Hand-ins by class and by what they were",
             ["class_name", "how"],
@@ -25,7 +25,7 @@
         self.answers = Counter(
             "brassweir_final_answers", "Final answers", ["class_name", "answer"], registry=self.registry
         )
-        self.age = Histogram(
+        self.answer_age = Histogram(
             "brassweir_answer_seconds",
             "From hand-in to final answer",
             ["class_name", "answer"],
@@ -36,13 +36,17 @@
             "brassweir_attempts", "Attempts by how they ended", ["kind", "result"], registry=self.registry
         )
         self.open = Gauge("brassweir_messages_open", "Messages without an answer", registry=self.registry)
-        self.out = Gauge("brassweir_attempts_out", "Attempts without an outcome", registry=self.registry)
-        self.late = Counter("brassweir_late_outcomes", "Outcomes after the answer", registry=self.registry)
+        self.in_flight = Gauge(
+            "brassweir_attempts_out", "Attempts without an outcome", registry=self.registry
+        )
+        self.late_outcomes = Counter(
+            "brassweir_late_outcomes", "Outcomes after the answer", registry=self.registry
+        )
         self.turns = Counter(
             "brassweir_decision_turns", "Calls of the decision module", registry=self.registry
         )
         self.events = Counter("brassweir_decision_events", "Events given to it", registry=self.registry)
-        self.decisions = Counter(
+        self.decision_cpu = Counter(
             "brassweir_decision_cpu_seconds", "CPU time spent in it", registry=self.registry
         )
         self.notes = Counter(
@@ -58,10 +62,10 @@
         self.chunk_bytes = Counter(
             "brassweir_forward_bytes", "Their bytes as they came", registry=self.registry
         )
-        self.forward_told = Counter(
+        self.forward_answers = Counter(
             "brassweir_forward_told", "What sources were told", ["what"], registry=self.registry
         )
-        self.forward_held = Gauge(
+        self.forward_buffered = Gauge(
             "brassweir_forward_held_bytes", "Held of chunks begun or unanswered", registry=self.registry
         )
         self.forward_waiting = Gauge(
@@ -70,25 +74,25 @@
         self.forward_connections = Gauge(
             "brassweir_forward_connections", "Sources' connections", registry=self.registry
         )
-        self.not_here = Counter(
+        self.ownership_refusals = Counter(
             "brassweir_not_here", "Messages refused by ownership, by why", ["why"], registry=self.registry
         )
-        self.stall = Gauge(
+        self.loop_stall = Gauge(
             "brassweir_loop_stall_seconds",
             "Longest delay of the loop since the last look",
             registry=self.registry,
         )
 
-    def read_from(self, name: str, words: str, read: Callable[[], Mapping[str, float]]) -> None:
+    def add_gauges(self, name: str, words: str, read: Callable[[], Mapping[str, float]]) -> None:
         """A family of gauges by ``what``, read where they are counted at each scrape."""
-        self.registry.register(_Read(name, words, read))
+        self.registry.register(_GaugeReader(name, words, read))
 
     def text(self) -> bytes:
         """All series."""
         return generate_latest(self.registry)
 
 
-class _Read(Collector):
+class _GaugeReader(Collector):
     def __init__(self, name: str, words: str, read: Callable[[], Mapping[str, float]]) -> None:
         self.name, self.words, self.read = name, words, read
 
--- a/brassweir/relay/carrier.py
+++ b/brassweir/relay/carrier.py
@@ -4,16 +4,16 @@
 
 from collections.abc import Callable
 
-from brassweir.core.carrying import Note, TaskCarrier
+from brassweir.core.http_responses import no_answer
 from brassweir.core.ports import Attempt, Clock, Outcome, Payload, Urls
-from brassweir.core.reading import no_answer
+from brassweir.core.task_carrier import Note, TaskCarrier
 from brassweir.interface import Result
 from brassweir.net.client import CallFailed, Stage
 from brassweir.net.headers import Headers
-from brassweir.net.limiter import Pools
-from brassweir.relay import endings
+from brassweir.net.pool_manager import PoolManager
+from brassweir.relay import outcomes
 
-# Seconds for which a call's last byte is held back (see Pool.post): enough for a reset to come from the next
+# Seconds for which a call's last byte is held back (see HttpPool): enough for a reset to come from the next
 # machine but one, and little beside a call. Without it every closing that crosses a call may have run it.
 HOLD = 0.005
 SETTLING = frozenset({200})  # a first line with this status is true, whatever follows it
@@ -24,7 +24,7 @@
     """Carries attempts to endpoints. A pool belongs to an endpoint and its address together: one that comes
     to an address that another has left inherits none of its connections."""
 
-    def __init__(self, urls: Urls, pools: Pools, clock: Clock, note: Note) -> None:
+    def __init__(self, urls: Urls, pools: PoolManager, clock: Clock, note: Note) -> None:
         super().__init__(urls, pools, note, "")
         self.pools, self.clock = pools, clock
 
@@ -45,16 +45,16 @@
         if payload.subject:
             fields.add("Idempotency-Key", payload.subject)
         fields.add("X-Time-Left", f"{max(1.0, attempt.abandon_at - self.clock.now()):.0f}m")
-        pool, until = self.pools.of(url, name), attempt.abandon_at / 1000.0
+        pool, until = self.pools.http_pool(url, name), attempt.abandon_at / 1000.0
         try:
-            reply = await pool.post(fields, payload.content, until, until, attempt.going.go, HOLD)
+            reply = await pool.post(fields, payload.content, until, until, attempt.start_guard.begin, HOLD)
         except CallFailed as failed:
-            if failed.stage is Stage.CONNECT and failed.kept:
-                done(Outcome(Result.MOOT, "a kept connection was closed before the call was whole"))
+            if failed.stage is Stage.CONNECT and failed.reused:
+                done(Outcome(Result.NOT_STARTED, "a kept connection was closed before the call was whole"))
                 return
-            outcome = no_answer(failed.stage is not Stage.CONNECT, True, failed.late, failed.reason)
+            outcome = no_answer(failed.stage is not Stage.CONNECT, True, failed.timed_out, failed.reason)
             if outcome.result in UNSURE:
                 pool.close_idle()  # the others to it may be as dead, and would say so no sooner
             done(outcome)
         else:
-            done(endings.status(reply.status, reply.headers.first, reply.kept))
+            done(outcomes.status(reply.status, reply.headers.first, reply.reused))
--- a/brassweir/relay/discovery.py
+++ b/brassweir/relay/discovery.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brassweir.relay.listing import Change, read
+from brassweir.relay.endpoint_list import Change, read
 from brassweir.relay.watch import Watch
 
 PACE = 0.1  # seconds between two requests while none is confirmed
--- a/brassweir/relay/listing.py
+++ b/brassweir/relay/endpoint_list.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from brassweir.interface import EndpointInfo, ListKind, ListNews, State
+from brassweir.interface import EndpointInfo, EntryState, ListKind, ListUpdate
 
-_STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
+_STATES = {"active": EntryState.READY, "leaving": EntryState.DRAINING, "left": EntryState.GONE}
 _NAMES = {state: name for name, state in _STATES.items()}
 _SCHEME, _PATH = "http://", "/receive"  # around an endpoint's address
 
@@ -145,7 +145,7 @@
         """Is, or was, there such a destination?"""
         return destination in self.destinations
 
-    def take(self, change: Change, kind: ListKind = ListKind.DELTA) -> ListNews:
+    def take(self, change: Change, kind: ListKind = ListKind.DELTA) -> ListUpdate:
         """What the decisions are to be told of a change: what is forbidden comes first.
 
         Of a whole list only what differs is told, and what it lacks is gone. Endpoints that are gone are
@@ -155,25 +155,25 @@
         if change.all:
             for name, info in self.known.items():
                 if name not in fresh:
-                    fresh[name] = replace(info, state=State.GONE)
+                    fresh[name] = replace(info, state=EntryState.GONE)
         for one in change.targets:
             self.places[one.uid] = f"{_SCHEME}{one.endpoint}{_PATH}"
             self.destinations.add(one.pod_group)
         told = [
             info
             for name, info in fresh.items()
-            if self.known.get(name) != info and (info.state is not State.GONE or name in self.known)
+            if self.known.get(name) != info and (info.state is not EntryState.GONE or name in self.known)
         ]
         for info in told:
-            if info.state is State.GONE:
+            if info.state is EntryState.GONE:
                 self.known.pop(info.name)
             else:
                 self.known[info.name] = info
         for name, info in fresh.items():
-            if info.state is State.GONE:
+            if info.state is EntryState.GONE:
                 self.places.pop(name, None)
         self.rev = change.rev
-        return ListNews(kind, tuple(sorted(told, key=lambda info: info.state is State.READY)))
+        return ListUpdate(kind, tuple(sorted(told, key=lambda info: info.state is EntryState.READY)))
 
 
 def _info(one: Target) -> EndpointInfo:
--- a/brassweir/relay/notices.py
+++ b/brassweir/relay/notices.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from brassweir.core.ports import Answer, FinalAnswer
-from brassweir.net.client import CallFailed, Pool
+from brassweir.net.client import CallFailed, HttpPool
 from brassweir.net.headers import Headers
-from brassweir.net.limiter import Pools
+from brassweir.net.pool_manager import PoolManager
 
 MOST = 200  # notices of one post: some 20 KB, under the platform's bound on bodies
 WITHIN, PATIENT = 0.2, 1.0  # seconds for one post, doubled up to the second; the platform answers at once
@@ -43,7 +43,7 @@
 class Notices:
     """The line of notices owed. ``told`` is called with the message's number once the platform has one."""
 
-    def __init__(self, pools: Pools, discovery: str, told: Callable[[int], None], note: Note) -> None:
+    def __init__(self, pools: PoolManager, discovery: str, told: Callable[[int], None], note: Note) -> None:
         self.pools, self.told, self.note = pools, told, note
         self.owed: deque[tuple[int, Notice]] = deque()
         self.task: asyncio.Task[None] | None = None
@@ -54,7 +54,7 @@
     def move(self, discovery: str) -> None:
         """From now on the platform listens elsewhere: what is owed goes there at once."""
         self.url = f"http://{discovery}/status"
-        self.pools.close()
+        self.pools.close_all_idle()
         if self.task is not None:
             self.task.cancel()
             self._start()
@@ -88,7 +88,7 @@
         body = b"\n".join(msgspec.json.encode(one) for _, one in batch) + b"\n"
         until = asyncio.get_running_loop().time() + within
         try:
-            pool: Pool = self.pools.of(self.url)
+            pool: HttpPool = self.pools.http_pool(self.url)
             reply = await pool.post(Headers([("Content-Type", "application/json")]), body, until)
         except CallFailed as failed:
             self.note("notice_failed", {"error": str(failed), "owed": len(self.owed)})
--- a/brassweir/relay/endings.py
+++ b/brassweir/relay/outcomes.py
@@ -45,17 +45,19 @@
         return Outcome(Result.OK, limit_left=left, limit=limit)
     reason = f"status {code}"
     if code == 429:
-        return Outcome(Result.FULL, reason, wait=_wait(field("X-Backoff-Ms")), limit_left=left, limit=limit)
+        return Outcome(Result.BUSY, reason, wait=_wait(field("X-Backoff-Ms")), limit_left=left, limit=limit)
     if code == 503 and field("X-Egress-Full").strip() == "1":
-        return Outcome(Result.MOOT, "all slots of this sender were taken", limit_left=left, limit=limit)
+        return Outcome(
+            Result.NOT_STARTED, "all slots of this sender were taken", limit_left=left, limit=limit
+        )
     if code == 503 and not kept and left is None and field("Connection").strip().lower() == "close":
-        return Outcome(Result.CROWDED, "status 503, connection closed")
+        return Outcome(Result.CONNECTION_LIMIT, "status 503, connection closed")
     if code == 503:
-        return Outcome(Result.FULL, reason, limit_left=left, limit=limit)
+        return Outcome(Result.BUSY, reason, limit_left=left, limit=limit)
     if code == 504:
-        return Outcome(Result.MOOT, "no attempts are left", limit_left=left, limit=limit)
+        return Outcome(Result.NOT_STARTED, "no attempts are left", limit_left=left, limit=limit)
     if code == 410:
-        return Outcome(Result.MOOT, "the message is over", rejected=True)
+        return Outcome(Result.NOT_STARTED, "the message is over", rejected=True)
     return Outcome(Result.ERROR, reason, limit_left=left, limit=limit)
 
 
--- a/brassweir/relay/settings.py
+++ b/brassweir/relay/settings.py
@@ -13,7 +13,7 @@
 
 from brassweir.adapter import Fields, WireError, read_settings
 from brassweir.interface import Settings, SettingsError
-from brassweir.relay.listing import Change, ListError, address, checked
+from brassweir.relay.endpoint_list import Change, ListError, address, checked
 
 DRAIN_GRACE = 250.0  # ms, where the settings name none: the shortest that a deployment has
 
--- a/brassweir/relay/watch.py
+++ b/brassweir/relay/watch.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from brassweir.relay.listing import ListError, Objects
+from brassweir.relay.endpoint_list import ListError, Objects
 
 SILENT = 2.5  # seconds without a whole object or empty line: the platform sends one of them every 2 s
 UNANSWERED = (
--- a/brassweir/resp/connection.py
+++ b/brassweir/resp/connection.py
@@ -8,9 +8,9 @@
 import asyncio
 from collections import deque
 
-from brassweir.core.ledger import Record
+from brassweir.core.ledger import MessageRecord
 from brassweir.core.ports import Answer, FinalAnswer, Submission
-from brassweir.resp import codec, handin
+from brassweir.resp import codec, msg_put
 from brassweir.resp.admission import ClientState
 from brassweir.resp.channel import Channel
 from brassweir.resp.host import Host
@@ -27,7 +27,7 @@
 
     def __init__(self, answer: bytes = b"") -> None:
         self.answer = answer
-        self.record: Record | None = None
+        self.record: MessageRecord | None = None
 
 
 class Connection(Channel):
@@ -159,16 +159,16 @@
         """A message is handed in."""
         front, engine = self.front, self.front.engine
         try:
-            given = handin.read(args, engine.ledger.classes, front.listed)
-            if (given.owner, given.identity) in engine.ledger.by_name:
-                raise handin.Unreadable("a message of this id was handed in before")
-        except handin.Unreadable as error:
+            given = msg_put.parse(args, engine.ledger.classes, front.listed)
+            if (given.owner, given.identity) in engine.ledger.by_identity:
+                raise msg_put.Unreadable("a message of this id was handed in before")
+        except msg_put.Unreadable as error:
             return self.fault(str(error))
         if self.client is not None:
             front.admission.proved(self.client.id)
         slot = Slot()
         self.slots.append(slot)
-        if engine.ledger.held >= engine.settings.max_open:
+        if engine.ledger.open_count >= engine.settings.max_open:
             front.counts.busy += 1
             front.note("refused", {"id": given.identity, "why": "holds as much as the settings allow"})
             return self.answer(slot, codec.busy(0.0))
@@ -197,7 +197,7 @@
 
         _, record = front.engine.submit(given, ended)
         slot.record = record
-        front.engine.held(record, promised)
+        front.engine.when_admitted(record, promised)
 
     def fault(self, reason: str) -> None:
         """Answer what cannot be used, and read no more from its sender for a while."""
--- a/brassweir/resp/front.py
+++ b/brassweir/resp/front.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from brassweir.core.engine import Engine
-from brassweir.core.ledger import Record, Waiter
+from brassweir.core.ledger import MessageRecord, Waiter
 from brassweir.resp.admission import Admission, ClientState
 from brassweir.resp.connection import Connection
 from brassweir.resp.counts import Counts
@@ -30,7 +30,7 @@
         engine: Engine,
         admission: Admission,
         listed: Callable[[int], bool],
-        owing: Callable[[Record], Waiter],
+        owing: Callable[[MessageRecord], Waiter],
         told: Callable[[int], None],
         note: Note = lambda event, details: None,
     ) -> None:
@@ -103,7 +103,7 @@
         for connection in list(self.connections.values()):
             connection.end("the sender leaves")
 
-    def abandon(self) -> None:
+    def withdraw_unanswered(self) -> None:
         """The process ends: who has no answer yet gets none, and what it handed in is not taken on."""
         for connection in list(self.connections.values()):
             connection.take_back()
--- a/brassweir/resp/host.py
+++ b/brassweir/resp/host.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from brassweir.core.engine import Engine
-from brassweir.core.ledger import Record, Waiter
+from brassweir.core.ledger import MessageRecord, Waiter
 from brassweir.resp.admission import Admission, ClientState
 from brassweir.resp.counts import Counts
 
@@ -18,7 +18,7 @@
     admission: Admission
     counts: Counts
     listed: Callable[[int], bool]
-    owing: Callable[[Record], Waiter]
+    owing: Callable[[MessageRecord], Waiter]
     told: Callable[[int], None]
     note: Callable[[str, dict[str, object]], None]
 
--- a/brassweir/resp/handin.py
+++ b/brassweir/resp/msg_put.py
@@ -26,7 +26,9 @@
     """The hand-in cannot be taken: its sender is told why, and nothing is kept of it."""
 
 
-def read(args: list[bytes], classes: Mapping[str, MessageClass], listed: Callable[[int], bool]) -> Submission:
+def parse(
+    args: list[bytes], classes: Mapping[str, MessageClass], listed: Callable[[int], bool]
+) -> Submission:
     """One hand-in. Raises Unreadable."""
     if len(args) != 5:
         raise Unreadable("MSG.PUT takes a key, an id, names and a body")
--- a/brassweir/service/agreedside.py
+++ b/brassweir/service/agreedside.py
@@ -12,7 +12,7 @@
 from brassweir.agreed.machine import Machine
 from brassweir.agreed.member import Member
 from brassweir.agreed.state import LEADER
-from brassweir.config.copies import agreed_folder
+from brassweir.config.copies import agreed_directory
 from brassweir.config.model import CopyConfig, CopyModel
 from brassweir.peers.port import PeerPort
 from brassweir.service.agreedgroup import Note
@@ -44,7 +44,7 @@
         """``follower``: what puts versions of the endpoint configuration in force here, if anything does."""
         assert config.agreed is not None
         given, names = config.agreed, tuple(one.name for one in copies)
-        folder = agreed_folder(config, base)
+        folder = agreed_directory(config, base)
         self.configuration: FleetConfiguration | None = None
         self.machine: Machine
         if config.configuration is None:
--- a/brassweir/service/as2_connector.py
+++ b/brassweir/service/as2_connector.py
@@ -56,7 +56,7 @@
             parts.offload,
             parts.note,
             margin=parts.config.sender.answer_margin_ms,
-            most=parts.bounds.body,
+            most=parts.bounds.body_bytes,
             told=parts.told,
         )
         self.server = Server(self.front, parts.bounds, parts.complain)
--- a/brassweir/service/checking.py
+++ b/brassweir/service/checking.py
@@ -5,10 +5,10 @@
 import resource
 from pathlib import Path
 
-from brassweir.config.copies import agreed_folder, read_copies, region_fits
+from brassweir.config.copies import agreed_directory, read_copies, region_problems
 from brassweir.config.load import ConfigError
 from brassweir.config.model import Config, ControlConfig, CopyConfig
-from brassweir.config.model.whole import IN_LOG
+from brassweir.config.model.config import ENDPOINTS_IN_LOG
 from brassweir.config.settings import load_settings
 from brassweir.regions.epochs import EpochError, parse
 from brassweir.service.descriptors import needed, plan
@@ -59,7 +59,7 @@
     if config.endpoints_in_log:
         return []
     found = path.parent / config.endpoints
-    if config.endpoints == IN_LOG and not found.exists():
+    if config.endpoints == ENDPOINTS_IN_LOG and not found.exists():
         return [f"{path}: endpoints: agreed needs agreed.configuration; and there is no file of that name"]
     try:
         read_list(found, config, Numbers(config))
@@ -90,9 +90,9 @@
         return []
     problems: list[str] = []
     try:
-        founding = not agreed_folder(config, path.parent).exists()
+        founding = not agreed_directory(config, path.parent).exists()
         copies = read_copies(path.parent / config.peers.copies, config, founding)
-        problems += [f"{path}: {problem}" for problem in region_fits(copies, config)]
+        problems += [f"{path}: {problem}" for problem in region_problems(copies, config)]
     except ConfigError as error:
         problems += error.problems
     try:
--- a/brassweir/service/connector.py
+++ b/brassweir/service/connector.py
@@ -16,8 +16,8 @@
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Carrier, Submission
 from brassweir.interface import MessageClass
-from brassweir.net.limiter import Pools
 from brassweir.net.limits import Limits
+from brassweir.net.pool_manager import PoolManager
 from brassweir.observe.metrics import Metrics
 from brassweir.service.endpointsource import EndpointSource
 
@@ -32,7 +32,7 @@
     base: Path
     classes: Mapping[str, MessageClass]
     list: EndpointSource
-    pools: Pools
+    pools: PoolManager
     offload: Offload
     bounds: Limits
     metrics: Metrics
--- a/brassweir/service/controlmachine.py
+++ b/brassweir/service/controlmachine.py
@@ -62,7 +62,7 @@
             host, _, port = self.config.sender.metrics.rpartition(":")
             said["metrics_port"] = await self.server.listen(host, int(port))
         said.update(await self.together.start())
-        self.tasks.append(asyncio.create_task(measure_stalls(self.metrics.stall)))
+        self.tasks.append(asyncio.create_task(measure_stalls(self.metrics.loop_stall)))
         if self.region is not None:
             self.region.look()
             self.tasks.append(asyncio.create_task(self.region.watch()))
--- a/brassweir/service/forward_connector.py
+++ b/brassweir/service/forward_connector.py
@@ -19,8 +19,8 @@
 from brassweir.service.connector import Note, Parts
 from brassweir.service.keyfiles import credentials, secret_line
 from brassweir.service.wiring import bounds, tag_rules
-from brassweir.undelivered.item import Item
-from brassweir.undelivered.store import Kept
+from brassweir.undelivered.item import UndeliveredItem
+from brassweir.undelivered.store import UndeliveredStore
 
 
 class KeyFiles:
@@ -81,13 +81,13 @@
 class ThreadKeeps:
     """The undelivered store on a thread of its own."""
 
-    def __init__(self, kept: Kept) -> None:
+    def __init__(self, kept: UndeliveredStore) -> None:
         self.kept = kept
         self.pool = ThreadPoolExecutor(1, thread_name_prefix="kept")
 
-    async def __call__(self, item: Item) -> None:
+    async def __call__(self, item: UndeliveredItem) -> None:
         """Keep a message. Raises OSError."""
-        await asyncio.get_running_loop().run_in_executor(self.pool, self.kept.keep, item)
+        await asyncio.get_running_loop().run_in_executor(self.pool, self.kept.save, item)
 
     def close(self) -> None:
         """End the thread, once all is written."""
@@ -108,11 +108,11 @@
 
     def told(self, what: str) -> None:
         """A source was told so."""
-        self.metrics.forward_told.labels(what).inc()
+        self.metrics.forward_answers.labels(what).inc()
 
     def held(self, held: int, waiting: int, connections: int) -> None:
         """What the front holds."""
-        self.metrics.forward_held.set(held)
+        self.metrics.forward_buffered.set(held)
         self.metrics.forward_waiting.set(waiting)
         self.metrics.forward_connections.set(connections)
 
@@ -151,7 +151,7 @@
             self.files = KeyFiles(config.forward, parts.base, parts.note)
             folder = kept_folder(config.forward, sender.name, parts.base)
             try:
-                self.keeps = ThreadKeeps(Kept(folder, config.forward.kept_bytes))
+                self.keeps = ThreadKeeps(UndeliveredStore(folder, config.forward.kept_bytes))
             except OSError as error:
                 raise ConfigError([f"forward.kept: {folder}: {error.strerror or error}"]) from None
 
--- a/brassweir/service/journaling.py
+++ b/brassweir/service/journaling.py
@@ -13,11 +13,11 @@
 from brassweir.interface import MessageClass
 from brassweir.journal import real_time
 from brassweir.journal.frame import FormatError
-from brassweir.journal.group import Broken
-from brassweir.journal.recover import Plan, plan
+from brassweir.journal.group import JournalBroken
+from brassweir.journal.recover import Plan, plan_recovery
 from brassweir.journal.scan import Scan, scan
-from brassweir.journal.sizes import Sizes
-from brassweir.journal.storage import Files, Locked
+from brassweir.journal.sizes import SizeLimits
+from brassweir.journal.storage import DirectoryStorage, StorageLocked
 from brassweir.journal.store import JournalStore
 from brassweir.journal.writer import Writer
 
@@ -25,7 +25,7 @@
 PAUSE = 0.05  # seconds until a disk that took no write is tried again
 
 
-class ThreadDisk:
+class ThreadIo:
     """Runs the journal's I/O on one thread."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -62,7 +62,7 @@
         self.pool.shutdown(wait=True)
 
 
-class LoopDisk:
+class LoopIo:
     """Runs the journal's I/O in a turn of the loop of its own.
 
     For folders that are not synced: a write is then a copy into the system's memory, and costs less than the
@@ -107,12 +107,12 @@
         self.closed = True
 
 
-class Unusable(ValueError):
+class JournalUnusable(ValueError):
     """The journal's folder cannot be used, with what an operator can do."""
 
 
 @dataclass(frozen=True, slots=True)
-class Keeping:
+class JournalSettings:
     """Where a sender keeps its journal and what it has to know for that; times in ms."""
 
     folder: Path
@@ -120,16 +120,16 @@
     classes: Mapping[str, MessageClass]
     remember: float
     order_pause: float
-    sizes: Sizes = field(default_factory=Sizes)
+    sizes: SizeLimits = field(default_factory=SizeLimits)
     synced: bool = True  # see storage.Files
 
 
-class Journaling:
+class ProcessJournal:
     """One process's journal."""
 
     def __init__(
         self,
-        keeping: Keeping,
+        keeping: JournalSettings,
         name_of: Callable[[int], str],
         broken: Callable[[BaseException], None],
         note: Note,
@@ -138,41 +138,41 @@
         self.keeping, self.classes = keeping, keeping.classes
         folder = keeping.folder
         try:
-            self.storage = Files(folder, synced=keeping.synced)
-            self.found: Scan = scan(self.storage)
-            self.writer = Writer(self.storage, self.found, keeping.sizes, patient=not keeping.synced)
-            for name in self.found.stale:
-                self.writer.let_go(name)
+            self.storage = DirectoryStorage(folder, synced=keeping.synced)
+            self.scan: Scan = scan(self.storage)
+            self.writer = Writer(self.storage, self.scan, keeping.sizes, patient=not keeping.synced)
+            for name in self.scan.stale:
+                self.writer.remove_file(name)
             self.writer.open()
-        except Locked as error:
-            raise Unusable(f"journal: {error}") from None
-        except (FormatError, OSError, Broken) as error:
-            raise Unusable(f"journal: {folder}: {error}") from None
-        if self.found.lives.sender not in ("", keeping.sender):
-            note("journal_of_another", {"sender": self.found.lives.sender})
-        for problem in self.found.problems:
+        except StorageLocked as error:
+            raise JournalUnusable(f"journal: {error}") from None
+        except (FormatError, OSError, JournalBroken) as error:
+            raise JournalUnusable(f"journal: {folder}: {error}") from None
+        if self.scan.state.sender not in ("", keeping.sender):
+            note("journal_of_another", {"sender": self.scan.state.sender})
+        for problem in self.scan.problems:
             note("journal_damage", {"where": problem})
-        self.time = real_time.opened(folder, self.found.lives.last_at)
+        self.clock = real_time.open_clock(folder, self.scan.state.last_at)
         loop = asyncio.get_running_loop()
-        self.disk: ThreadDisk | LoopDisk = ThreadDisk(loop) if keeping.synced else LoopDisk(loop)
+        self.io: ThreadIo | LoopIo = ThreadIo(loop) if keeping.synced else LoopIo(loop)
         self.store = JournalStore(
-            self.writer, self.disk, keeping.classes, self.time.now, name_of, broken, keeping.remember, note
+            self.writer, self.io, keeping.classes, self.clock.now, name_of, broken, keeping.remember, note
         )
-        self.store.begin(keeping.sender)
+        self.store.record_start(keeping.sender)
 
     def plan(self, known: Callable[[str], int | None]) -> Plan:
         """What to do with what was found; ``known`` tells which destinations there still are."""
-        lives = self.found.lives
+        lives = self.scan.state
         gone = {
             life.taken.destination
             for life in lives.by_id.values()
             if life.taken is not None and known(life.taken.destination) is None
         }
-        return plan(
+        return plan_recovery(
             lives,
-            self.found.holes,
+            self.scan.holes,
             self.classes,
-            self.time.now(),
+            self.clock.now(),
             self.keeping.remember,
             self.keeping.order_pause,
             sorted(gone),
@@ -180,5 +180,5 @@
 
     def close(self) -> None:
         """Write what is left and let go of the directory."""
-        self.disk.close()
+        self.io.close()
         self.storage.close()
--- a/brassweir/service/keyfiles.py
+++ b/brassweir/service/keyfiles.py
@@ -50,7 +50,7 @@
     found, problems = [], []
     for path in kind.secrets:
         try:
-            found.append(codec.secret((base / path).read_text(encoding="ascii").strip()))
+            found.append(codec.parse_secret((base / path).read_text(encoding="ascii").strip()))
         except (OSError, ValueError) as error:
             problems.append(f"kind {kind.name}: secrets: {path}: {error}")
     if problems:
--- a/brassweir/service/listed.py
+++ b/brassweir/service/listed.py
@@ -99,7 +99,7 @@
             break
     if problems:
         raise ConfigError(problems)
-    states = {state.value: state for state in api.State}
+    states = {state.value: state for state in api.EntryState}
     infos = [
         api.EndpointInfo(
             one.name,
--- a/brassweir/service/listfile.py
+++ b/brassweir/service/listfile.py
@@ -15,7 +15,7 @@
 from brassweir.config import lines
 from brassweir.config.load import ConfigError, load
 from brassweir.config.model import Config, EndpointList
-from brassweir.destinations.intake import Intake
+from brassweir.destinations.list_updates import ListUpdates
 from brassweir.service.listed import Home, Listed, Numbers, listed, scaled
 
 LOOK = 0.1  # seconds between two looks: drains are to be known well within any grace
@@ -38,13 +38,13 @@
         self,
         path: Path,
         config: Config,
-        tell: Callable[[api.ListNews], None],
+        tell: Callable[[api.ListUpdate], None],
         note: Callable[[str, dict[str, object]], None],
     ) -> None:
         self.path, self.config, self.tell, self.note = path, config, tell, note
         self.numbers = Numbers(config)
         self.urls: dict[str, str] = {}
-        self.intake = Intake()
+        self.intake = ListUpdates()
         self.seen: object = None
         self.scale: Callable[[], float] = lambda: 1.0  # the part of each listed rate that is ours
 
@@ -56,7 +56,7 @@
         """Read the file before anything runs: told at once. Raises ConfigError."""
         self.seen = self._identity()
         self._take(read_list(self.path, self.config, self.numbers))
-        while (news := self.intake.next()) is not None:
+        while (news := self.intake.next_update()) is not None:
             self.tell(news)
 
     async def open(self) -> None:
@@ -77,16 +77,16 @@
             except ConfigError as error:
                 self.note("list_refused", {"path": str(self.path), "problems": error.problems[:20]})
                 continue
-            while (news := self.intake.next()) is not None:
+            while (news := self.intake.next_update()) is not None:
                 self.tell(news)
                 await asyncio.sleep(0)  # one step a turn: all else goes on between
 
     def _take(self, found: Listed) -> None:
-        count = self.intake.take(scaled(found.infos, self.scale()))
+        count = self.intake.replace_all(scaled(found.infos, self.scale()))
         # Removed endpoints keep their address while an attempt that is out may need it: until the next list.
         gone = {
             name: self.urls[name]
-            for name in self.urls.keys() & self.intake.told.keys()
+            for name in self.urls.keys() & self.intake.known.keys()
             if name not in found.urls
         }
         self.urls = found.urls | gone
@@ -96,7 +96,7 @@
                 "path": str(self.path),
                 "endpoints": len(found.infos),
                 "to_tell": count,
-                "first_off": len(self.intake.off),
+                "first_off": len(self.intake.unusable),
             },
         )
 
--- a/brassweir/service/node.py
+++ b/brassweir/service/node.py
@@ -19,26 +19,28 @@
 from brassweir.core.engine import Engine
 from brassweir.core.ledger import Waiter
 from brassweir.core.ports import Answer, FinalAnswer, Submission
-from brassweir.destinations.budget import Budget
-from brassweir.destinations.setups import Setups
+from brassweir.destinations.budget import ConnectionBudget
+from brassweir.destinations.setup_queue import SetupQueue
 from brassweir.journal import sizes
 from brassweir.journal.records import Taken
-from brassweir.journal.recover import keyless
-from brassweir.journal.restart import carry_out
-from brassweir.net.limiter import Pools
+from brassweir.journal.recover import end_keyless_messages
+from brassweir.journal.restart import apply_plan
 from brassweir.net.limits import Limits
+from brassweir.net.pool_manager import PoolManager
 from brassweir.relay.carrier import SETTLING, RelayCarrier
 from brassweir.relay.notices import Notices, notice
 from brassweir.relay.settings import NodeConfig, NodeError
 from brassweir.resp.admission import Admission
 from brassweir.resp.front import Front
-from brassweir.service.journaling import Journaling, Keeping
+from brassweir.service.journaling import JournalSettings, ProcessJournal
 from brassweir.service.node_list import NodeList
+from brassweir.service.node_stats import belief, usage
 from brassweir.service.node_trace import Tracing
-from brassweir.service.node_watch import belief, usage
 from brassweir.service.saved_list import SavedList
 
-REMEMBER = 3000.0  # ms that an ended message is known: ids are new at each hand-in, so only strays come again
+FAILURE_MEMORY_MS = (
+    3000.0  # ms that an ended message is known: ids are new at each hand-in, so only strays come again
+)
 REMEMBER_MOST = 4000  # of them
 SERVES_ON = 3.3  # seconds after SIGTERM: the platform kills no sooner than 3.7 s after it
 ENDS_IN = 0.25  # seconds for what was read to be answered and for clients to close, before the process ends
@@ -50,7 +52,7 @@
 SETUPS = 64  # connections being made at once
 BELIEF = 1.0  # seconds between two lines of what the sender believes
 COLLECT = (5_000, 10, 1000)  # as in ``serve``: what is no longer used goes without the collector
-ANSWERS = Limits(head=16_384, headers=64, body=65_536)  # of endpoints and of the platform
+ANSWERS = Limits(head_bytes=16_384, max_headers=64, body_bytes=65_536)  # of endpoints and of the platform
 
 
 def _number(destination: str) -> int | None:
@@ -80,34 +82,38 @@
         self.counts = Tracing(log, lambda: self.list.knowledge())
         sockets = config.limits.sockets
         calls = max(8, int(sockets * (1.0 - CLIENTS)) - KEPT_BACK)
-        self.pools = Pools(
+        self.pools = PoolManager(
             ANSWERS,
             calls,
             IDLE * given.idle_close or 4000.0,
             given.connect_timeout,
-            Budget(calls),
-            Setups(SETUPS),
+            ConnectionBudget(calls),
+            SetupQueue(SETUPS),
             SETTLING,
         )
         self.broken: asyncio.Future[BaseException] = loop.create_future()
         try:
-            parts = sizes.within(int(config.limits.disk_mb * 1024 * 1024))
+            parts = sizes.limits_within(int(config.limits.disk_mb * 1024 * 1024))
         except ValueError as error:
             raise NodeError(f"limits: disk_mb: {error}") from None
-        keeping = Keeping(state, config.name, classes, REMEMBER, given.order_pause, parts, synced=False)
-        self.journal = Journaling(keeping, str, self._broken, self.note)
+        keeping = JournalSettings(
+            state, config.name, classes, FAILURE_MEMORY_MS, given.order_pause, parts, synced=False
+        )
+        self.journal = ProcessJournal(keeping, str, self._broken, self.note)
         self.engine = Engine(
             given,
             config.seed,
             self.clock,
             lambda _: self.carrier,
             store=self.journal.store,
-            watcher=self.counts,
-            remember=REMEMBER,
-            most=REMEMBER_MOST,
+            observer=self.counts,
+            retention_ms=FAILURE_MEMORY_MS,
+            max_ended=REMEMBER_MOST,
+        )
+        apart = PoolManager(
+            ANSWERS, NOTICES, self.pools.idle_ms, given.connect_timeout, ConnectionBudget(NOTICES)
         )
-        apart = Pools(ANSWERS, NOTICES, self.pools.idle_time, given.connect_timeout, Budget(NOTICES))
-        self.notices = Notices(apart, config.discovery, self.journal.store.told, self.note)
+        self.notices = Notices(apart, config.discovery, self.journal.store.receipt_delivered, self.note)
         saved = SavedList(state, int(config.limits.disk_mb * 1024 * 1024))
         self.list = NodeList(self.engine, self.clock, config, saved, log, self.note)
         self.carrier = RelayCarrier(self.list.listing, self.pools, self.clock, self.note)
@@ -117,7 +123,7 @@
             admission,
             self.list.listing.listed,
             lambda record: self._waiter(record.id, record.submission),
-            self.journal.store.told,
+            self.journal.store.receipt_delivered,
             self.note,
         )
         self.telling: asyncio.TimerHandle | None = None
@@ -136,7 +142,7 @@
 
         def tell(answer: FinalAnswer) -> None:
             if answer.answer is Answer.DELIVERED:
-                self.journal.store.told(message)
+                self.journal.store.receipt_delivered(message)
             else:
                 self.notices.owe(message, notice(submission.identity, answer))
 
@@ -145,21 +151,21 @@
     def _recover(self) -> None:
         """Go on where the process before this one was, whatever ended it."""
         plan = self.journal.plan(_number)
-        plan.again = [replace(one, taken=_as_now(one.taken, self.classes)) for one in plan.again]
-        keyless(plan, self.classes, self.journal.time.now())
-        found = self.journal.found
+        plan.resumed = [replace(one, taken=_as_now(one.taken, self.classes)) for one in plan.resumed]
+        end_keyless_messages(plan, self.classes, self.journal.clock.now())
+        found = self.journal.scan
         self.log.info(
             "recovered",
-            again=len(plan.again),
+            again=len(plan.resumed),
             answered=len(plan.answered),
             dropped=plan.dropped,
-            owed=sum(one.owed for one in plan.answered),
+            owed=sum(one.receipt_pending for one in plan.answered),
             records=found.records,
             bytes=found.size,
-            torn_bytes=found.torn,
+            torn_bytes=found.torn_bytes,
             holes=len(found.holes),
         )
-        carry_out(plan, self.engine, self.journal.store, _number, self._waiter)
+        apply_plan(plan, self.engine, self.journal.store, _number, self._waiter)
 
     async def start(self) -> None:
         """Know the list, recover, watch, then listen. Raises OSError."""
@@ -198,7 +204,7 @@
             calls=self.pools.budget.open,
             owed=len(self.notices.owed),
             rev=self.list.listing.rev,
-            journal=self.journal.writer.total,
+            journal=self.journal.writer.total_bytes,
             ledger=len(self.engine.ledger.by_id),
             **usage(),
         )
@@ -216,9 +222,9 @@
 
         A journal that breaks ends it at once, since nothing can be promised any more.
         """
-        self.log.info("leaving", open=self.engine.ledger.held)
+        self.log.info("leaving", open=self.engine.ledger.open_count)
         left = max(0.0, told + min(SERVES_ON, self.config.longest) - self.loop.time())
-        self.engine.leaving(self.clock.now() + left * 1000.0)
+        self.engine.announce_exit(self.clock.now() + left * 1000.0)
         await asyncio.wait([self.broken], timeout=left)
         self.front.close()
         end = self.loop.time() + ENDS_IN
@@ -231,6 +237,6 @@
             self.telling.cancel()
         self.list.stop()
         self.front.close()
-        self.front.abandon()
+        self.front.withdraw_unanswered()
         self.journal.close()
-        self.log.info("stopped", open=self.engine.ledger.held, **usage())
+        self.log.info("stopped", open=self.engine.ledger.open_count, **usage())
--- a/brassweir/service/node_list.py
+++ b/brassweir/service/node_list.py
@@ -6,10 +6,10 @@
 
 from brassweir.core.engine import Engine
 from brassweir.core.ports import Clock, Handle
-from brassweir.interface import ListKind, ListNews
+from brassweir.interface import ListKind, ListUpdate
 from brassweir.relay.discovery import Discovery, Hearers, Note
-from brassweir.relay.knowledge import Knowledge
-from brassweir.relay.listing import Change, Listing
+from brassweir.relay.endpoint_list import Change, Listing
+from brassweir.relay.list_state import Knowledge
 from brassweir.relay.settings import NodeConfig
 from brassweir.service.saved_list import SavedList
 
@@ -58,7 +58,7 @@
         for number, (change, source) in enumerate(lists):
             self._learn(change, ListKind.DELTA if number else ListKind.CACHED, source)
         self._save_whole()
-        self.engine.news(ListNews(ListKind.UNCONFIRMED))
+        self.engine.update_list(ListUpdate(ListKind.UNCONFIRMED))
         self._tell_state("a process begins", self.state.since)
         self._await_hold()
 
@@ -89,13 +89,13 @@
         if self.due is not None:
             self.due.cancel()
         if not usable:
-            self.engine.news(ListNews(ListKind.USABLE))
+            self.engine.update_list(ListUpdate(ListKind.USABLE))
         self._tell_state("a watch has answered", since)
 
     def _lost(self, why: str, heard: float) -> None:
         since = self.state.since
         self.state.lost(self.clock.now() / 1000.0, heard)
-        self.engine.news(ListNews(ListKind.UNCONFIRMED))
+        self.engine.update_list(ListUpdate(ListKind.UNCONFIRMED))
         self._tell_state(f"its watch ended: {why}", since)
         self._await_hold()
 
@@ -108,7 +108,7 @@
         since = self.state.since
         self.state.look(self.clock.now() / 1000.0)
         if self.state.usable:
-            self.engine.news(ListNews(ListKind.USABLE))
+            self.engine.update_list(ListUpdate(ListKind.USABLE))
             self._tell_state("no answer: the last list told is used", since)
         else:
             self._await_hold()
@@ -135,7 +135,7 @@
                 rev=change.rev,
             )
         if news.entries:
-            self.engine.news(news)
+            self.engine.update_list(news)
 
     def _save_whole(self) -> None:
         if self.listing.rev or self.listing.known:
--- a/brassweir/service/node_run.py
+++ b/brassweir/service/node_run.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from brassweir.journal.group import Broken
+from brassweir.journal.group import JournalBroken
 from brassweir.relay.settings import NodeError
 from brassweir.service.node import NodeProcess
-from brassweir.service.node_file import configured
+from brassweir.service.node_config import configured
 
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 
@@ -53,5 +53,5 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # it ends already: no second word may end it otherwise
     reloading.cancel()
     if process.broken.done():
-        raise Broken(str(process.broken.result()))
+        raise JournalBroken(str(process.broken.result()))
     process.stop()
--- a/brassweir/service/node_watch.py
+++ b/brassweir/service/node_stats.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from brassweir.control import Sender
-from brassweir.core.ledger import Record
+from brassweir.core.ledger import MessageRecord
+from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import Outcome
-from brassweir.core.watcher import Watcher
 
 MOST_SICK = 6  # destinations told of in one line
 
 
-class Counting(Watcher):
+class Counting(EngineObserver):
     """Counts what passes since it was last asked."""
 
     def __init__(self) -> None:
@@ -25,13 +25,13 @@
         self.reasons: Counter[str] = Counter()  # of attempts that did not deliver
         self.turns, self.spent = 0, 0.0
 
-    def outcome(self, record: Record, number: int, outcome: Outcome, late: bool) -> None:
+    def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
         """An attempt ended."""
         self.results[outcome.result.value] += 1
         if outcome.reason:
             self.reasons[outcome.reason] += 1
 
-    def final(self, record: Record) -> None:
+    def final(self, record: MessageRecord) -> None:
         """A message has its answer."""
         answer = record.answer
         assert answer is not None
@@ -62,39 +62,40 @@
     """What the decisions rest on now. Reads the module's state; pure."""
     sick = [
         dest
-        for dest in sender.dests.values()
-        if dest.ill or any(gate.shut or gate.wait > now or gate.pace < math.inf for gate in dest.gates())
+        for dest in sender.destinations.values()
+        if dest.degraded
+        or any(gate.circuit_open or gate.wait_until > now or gate.pace < math.inf for gate in dest.gates())
     ]
-    sick.sort(key=lambda dest: -dest.load.open)
+    sick.sort(key=lambda dest: -dest.load.open_messages)
     told = []
     for dest in sick[:MOST_SICK]:
         gate = dest.gates()[0]
-        calls = [one.conns for one in dest.endpoints.values() if one.usable and one.conns < math.inf]
+        calls = [one.max_calls for one in dest.endpoints.values() if one.usable and one.max_calls < math.inf]
         told.append(
             {
                 "destination": dest.id,
-                "ill": dest.ill,
-                "shut": gate.shut,
-                "wait_ms": max(0, round(gate.wait - now)) if gate.wait > now else 0,
+                "ill": dest.degraded,
+                "shut": gate.circuit_open,
+                "wait_ms": max(0, round(gate.wait_until - now)) if gate.wait_until > now else 0,
                 "pace": None if gate.pace == math.inf else round(gate.pace, 2),
-                "open": dest.load.open,
-                "out": dest.load.out,
-                "mean_ms": round(dest.mean.value),
+                "open": dest.load.open_messages,
+                "out": dest.load.used_slots,
+                "mean_ms": round(dest.call_times.mean),
                 "calls_at_once": [round(one, 1) for one in calls],
-                "fails": [gate.fails, round(gate.bad, 2)],
+                "fails": [gate.failure_streak, round(gate.failure_share, 2)],
             }
         )
     return {
-        "bound": sender.bound.value,
+        "bound": sender.backlog_bound.value,
         "cost": round(sender.load.cost, 1),
-        "open": sender.load.open,
-        "out": sender.load.out,
-        "apart_cost": round(sender.apart.cost, 1),
-        "apart_out": sender.apart.out,
-        "mean_ms": round(sender.mean.value),
-        "lost": round(sender.lost, 3),
+        "open": sender.load.open_messages,
+        "out": sender.load.used_slots,
+        "apart_cost": round(sender.degraded_load.cost, 1),
+        "apart_out": sender.degraded_load.used_slots,
+        "mean_ms": round(sender.call_times.mean),
+        "lost": round(sender.lost_share, 3),
         "sick": told,
-        "awake": len(sender.dests),
+        "awake": len(sender.destinations),
     }
 
 
--- a/brassweir/service/node_trace.py
+++ b/brassweir/service/node_trace.py
@@ -1,7 +1,7 @@
 """The life of each message in log lines: handed in, each attempt's first byte and ending, its answer.
 
 With the lines of the endpoint list these say, for any request, on what knowledge it left and why it ended.
-Each event is bounded (see :mod:`brassweir.observe.lines`): a flood costs no more than its bound.
+Each event is bounded (see :mod:`brassweir.observe.json_log`): a flood costs no more than its bound.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from brassweir.core.ledger import Record, Taken
+from brassweir.core.ledger import MessageRecord, SubmitStatus
 from brassweir.core.ports import Outcome
-from brassweir.service.node_watch import Counting
+from brassweir.service.node_stats import Counting
 
 HANDED_IN, BEGAN, ENDED, ANSWERED = "handed_in", "attempt_began", "attempt_ended", "answered"
 FREQUENT = frozenset({HANDED_IN, BEGAN, ENDED, ANSWERED})  # events with the larger bound
@@ -24,7 +24,7 @@
         super().__init__()
         self.log, self.knowledge = log, knowledge
 
-    def taken(self, record: Record, how: Taken) -> None:
+    def submitted(self, record: MessageRecord, how: SubmitStatus) -> None:
         """A message was handed in, or goes on from before a restart."""
         given = record.submission
         self.log.info(
@@ -34,10 +34,10 @@
             how="recovered" if record.resumed else how.name.lower(),
             cls=given.class_name,
             destination=given.destination,
-            left_ms=round(given.left),
+            left_ms=round(given.time_left),
         )
 
-    def began(self, record: Record, number: int) -> None:
+    def began(self, record: MessageRecord, number: int) -> None:
         """The first byte of an attempt at a message leaves now."""
         self.log.info(
             BEGAN,
@@ -48,7 +48,7 @@
             **self.knowledge(),
         )
 
-    def outcome(self, record: Record, number: int, outcome: Outcome, late: bool) -> None:
+    def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
         """An attempt ended."""
         super().outcome(record, number, outcome, late)
         self.log.info(
@@ -62,7 +62,7 @@
             wait_ms=round(outcome.wait),
         )
 
-    def final(self, record: Record) -> None:
+    def final(self, record: MessageRecord) -> None:
         """A message has its answer."""
         super().final(record)
         answer = record.answer
@@ -75,5 +75,5 @@
             reason=answer.reason,
             retry_after_ms=round(answer.retry_after),
             attempts=len(record.attempts),
-            age_ms=round(record.answered - record.taken),
+            age_ms=round(record.answered_at - record.accepted_at),
         )
--- a/brassweir/service/plain.py
+++ b/brassweir/service/plain.py
@@ -7,7 +7,7 @@
 
 from brassweir.core.clock import LoopClock
 from brassweir.core.engine import Engine
-from brassweir.destinations import shown
+from brassweir.destinations import inspection
 from brassweir.net.server import Request, Response
 from brassweir.observe.metrics import Metrics
 from brassweir.service.listed import Numbers
@@ -44,12 +44,18 @@
         now, numbers = self.clock.now(), self.numbers
         if name:
             number = numbers.number(name)
-            found = shown.show(self.engine.sender, number, now) if number is not None else None
+            found = inspection.show(self.engine.sender, number, now) if number is not None else None
             if found is None:
                 return Response(404, body=f"no destination {name[:128]!r} is known here\n".encode())
             return as_json({"destination": name, **found})
         given = dict(parse_qsl(query))
         count = given.get("count", "10")
-        if given.get("by", "open") not in shown.ORDERS or not count.isdigit() or not 0 < int(count) <= 100:
-            return Response(400, body=f"by is one of {', '.join(shown.ORDERS)}; count is 1 to 100\n".encode())
-        return as_json(shown.top(self.engine.sender, numbers.name, given.get("by", "open"), int(count)))
+        if (
+            given.get("by", "open") not in inspection.ORDERS
+            or not count.isdigit()
+            or not 0 < int(count) <= 100
+        ):
+            return Response(
+                400, body=f"by is one of {', '.join(inspection.ORDERS)}; count is 1 to 100\n".encode()
+            )
+        return as_json(inspection.top(self.engine.sender, numbers.name, given.get("by", "open"), int(count)))
--- a/brassweir/service/process.py
+++ b/brassweir/service/process.py
@@ -15,16 +15,16 @@
 from brassweir.core.ledger import Waiter
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Carrier, Submission
-from brassweir.destinations.budget import Budget
-from brassweir.destinations.setups import Setups
-from brassweir.net.limiter import Pools
+from brassweir.destinations.budget import ConnectionBudget
+from brassweir.destinations.setup_queue import SetupQueue
+from brassweir.net.pool_manager import PoolManager
 from brassweir.net.server import Server
 from brassweir.observe.metrics import Metrics
 from brassweir.service.as2_connector import As2Connector
 from brassweir.service.connector import Connector, Parts
 from brassweir.service.descriptors import secure
 from brassweir.service.forward_connector import ForwardConnector
-from brassweir.service.journaling import Journaling, Unusable
+from brassweir.service.journaling import JournalUnusable, ProcessJournal
 from brassweir.service.listfile import ListFile
 from brassweir.service.plain import Plain
 from brassweir.service.recovery import keeping_of, recover
@@ -56,13 +56,13 @@
         self.metrics = Metrics()
         self.observer = Observer(self.log, self.metrics, self.clock, self._kind)
         bounds = limits(config)
-        self.pools = Pools(
+        self.pools = PoolManager(
             bounds,
             sender.connections_per_endpoint,
             sender.idle_close_ms,
             sender.connect_timeout_ms,
-            Budget(sender.connections),
-            Setups(sender.setups),
+            ConnectionBudget(sender.connections),
+            SetupQueue(sender.setups),
         )
         self.offload = Offload(sender.crypto_threads)
         note = self.observer.note
@@ -97,13 +97,13 @@
             self.clock,
             lambda info: self.carriers[info.kind],
             store=self.journal.store if self.journal is not None else None,
-            watcher=self.observer,
-            remember=sender.remember_ms,
-            most=sender.remember_most,
+            observer=self.observer,
+            retention_ms=sender.remember_ms,
+            max_ended=sender.remember_most,
         )
         self.region = region_of(config, base, classes, self.metrics, note)
         if self.region is not None:
-            self.engine.admits = self.region.admits
+            self.engine.admission_check = self.region.admits
         for connector in self.connectors:
             connector.open(self.engine)
         self.together = self._together(base)
@@ -115,11 +115,11 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.metrics_port = 0
 
-    def _journal(self, base: Path, classes: dict[str, api.MessageClass]) -> Journaling:
+    def _journal(self, base: Path, classes: dict[str, api.MessageClass]) -> ProcessJournal:
         keeping = keeping_of(self.config.sender, base, classes)
         try:
-            return Journaling(keeping, self.list.numbers.name, self._broken, self.observer.note)
-        except Unusable as error:
+            return ProcessJournal(keeping, self.list.numbers.name, self._broken, self.observer.note)
+        except JournalUnusable as error:
             raise ConfigError([str(error)]) from None
 
     def _together(self, base: Path) -> Together | None:
@@ -148,12 +148,12 @@
         info = self.engine.endpoints.get(endpoint)
         return info.kind if info is not None else ""
 
-    def _news(self, news: api.ListNews) -> None:
-        self.engine.news(news)
+    def _news(self, news: api.ListUpdate) -> None:
+        self.engine.update_list(news)
 
     def _told(self, message: int) -> None:
         if self.journal is not None:
-            self.journal.store.told(message)
+            self.journal.store.receipt_delivered(message)
 
     def _broken(self, error: BaseException) -> None:
         """The journal's disk can no longer be trusted: nothing may be answered or sent as if it could."""
@@ -194,7 +194,7 @@
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self.list.watch()),
-            loop.create_task(measure_stalls(self.metrics.stall)),
+            loop.create_task(measure_stalls(self.metrics.loop_stall)),
         ]
         if self.region is not None:
             self.tasks.append(loop.create_task(self.region.watch(self.list.again)))
@@ -213,14 +213,14 @@
         loop = asyncio.get_running_loop()
         grace = self.config.sender.drain_grace_ms / 1000.0
         end = loop.time() + grace
-        self.engine.stop_taking()
+        self.engine.stop_accepting()
         for connector in self.connectors:
             connector.stop_taking()
         if self.together is not None:
             self.together.hand_over()
-        self.log.info("draining", open=len(self.engine.ledger.open()), grace_ms=round(grace * 1000))
+        self.log.info("draining", open=len(self.engine.ledger.open_messages()), grace_ms=round(grace * 1000))
         # Partners bring receipts to our own address: it stays open until nothing waits for one.
-        while self.engine.ledger.open() and loop.time() < end - _ANSWERS * grace:
+        while self.engine.ledger.open_messages() and loop.time() < end - _ANSWERS * grace:
             await asyncio.sleep(0.02)
         cut = self.engine.close()
         await asyncio.sleep(0.02)  # answers reach their waiters in the next turns
@@ -244,7 +244,7 @@
         self.plain.abort()
         if self.together is not None:
             self.together.abort()
-        self.pools.close()
+        self.pools.close_all_idle()
         self.offload.close()
         if self.journal is not None:
             self.journal.close()
--- a/brassweir/service/recovery.py
+++ b/brassweir/service/recovery.py
@@ -12,14 +12,14 @@
 from brassweir.core.ledger import Waiter
 from brassweir.core.ports import Submission
 from brassweir.interface import MessageClass
-from brassweir.journal.restart import carry_out
-from brassweir.service.journaling import Journaling, Keeping
+from brassweir.journal.restart import apply_plan
+from brassweir.service.journaling import JournalSettings, ProcessJournal
 from brassweir.service.listed import Numbers
 
 
-def keeping_of(sender: SenderModel, base: Path, classes: Mapping[str, MessageClass]) -> Keeping:
+def keeping_of(sender: SenderModel, base: Path, classes: Mapping[str, MessageClass]) -> JournalSettings:
     """Where a sender keeps its journal, and what it has to know for that."""
-    return Keeping(
+    return JournalSettings(
         base / (sender.journal or Path(f"{sender.name}.journal")),
         sender.name,
         classes,
@@ -29,7 +29,7 @@
 
 
 async def recover(
-    journal: Journaling,
+    journal: ProcessJournal,
     numbers: Numbers,
     engine: Engine,
     owing: Callable[[int, Submission], Waiter | None],
@@ -37,19 +37,19 @@
 ) -> None:
     """Carry out what the journal leaves to do; the endpoint list has been told before."""
     plan = journal.plan(numbers.number)
-    found = journal.found
+    found = journal.scan
     log.info(
         "recovered",
-        again=len(plan.again),
+        again=len(plan.resumed),
         answered=len(plan.answered),
         dropped=plan.dropped,
-        owed=sum(one.owed for one in plan.answered),
+        owed=sum(one.receipt_pending for one in plan.answered),
         records=found.records,
         bytes=found.size,
-        torn_bytes=found.torn,
+        torn_bytes=found.torn_bytes,
         holes=len(found.holes),
         pause_ms=plan.pause,
     )
     if plan.pause:
         await asyncio.sleep(plan.pause / 1000.0)
-    carry_out(plan, engine, journal.store, numbers.number, owing)
+    apply_plan(plan, engine, journal.store, numbers.number, owing)
--- a/brassweir/service/region.py
+++ b/brassweir/service/region.py
@@ -128,7 +128,7 @@
         """The refusal of a message that is not to be taken here, with where and when to come back; else
         None."""
         effect = self.classes[given.class_name].effect
-        found = self.own.may(effect, given.owner, given.identity, self.wall(), given.born)
+        found = self.own.may(effect, given.owner, given.identity, self.wall(), given.created_at)
         if found is None:
             return None
         self.counted(found.why.name.lower())
--- a/brassweir/service/regionof.py
+++ b/brassweir/service/regionof.py
@@ -30,7 +30,7 @@
     state = base / f"{config.sender.name}.epoch"
 
     def counted(why: str) -> None:
-        metrics.not_here.labels(why).inc()
+        metrics.ownership_refusals.labels(why).inc()
 
     if given.epochs is None:
         return RegionLog(given.name, state, assumed, classes, note, counted)
--- a/brassweir/service/saved_list.py
+++ b/brassweir/service/saved_list.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from brassweir.relay.listing import Change, ListError, read
+from brassweir.relay.endpoint_list import Change, ListError, read
 
 NAME = "endpoint-list"
 SHARE = 1 / 16  # of the folder, old and new file together; the journal leaves a tenth (journal.sizes)
--- a/brassweir/service/serving.py
+++ b/brassweir/service/serving.py
@@ -10,7 +10,7 @@
 from brassweir.config.load import ConfigError
 from brassweir.config.model import Config
 from brassweir.config.settings import load_settings
-from brassweir.journal.group import Broken
+from brassweir.journal.group import JournalBroken
 from brassweir.service.process import SenderProcess
 from brassweir.service.runtime import yield_often
 
@@ -46,7 +46,7 @@
     either: set[asyncio.Future[Any]] = {stop, process.broken}
     await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
     if process.broken.done():
-        raise Broken(str(process.broken.result()))
+        raise JournalBroken(str(process.broken.result()))
     await process.drain()
 
 
--- a/brassweir/service/together.py
+++ b/brassweir/service/together.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from brassweir.config.copies import agreed_folder, own_entry, read_copies
+from brassweir.config.copies import agreed_directory, own_entry, read_copies
 from brassweir.config.load import ConfigError
 from brassweir.config.model import CopyConfig, CopyModel
 from brassweir.observe.metrics import Metrics
@@ -45,7 +45,7 @@
         self.me = own_entry(self.copies, config)
         self.port = PeerPort(self.me.name, _told(self.copies), keys, config.peers.listen or self.me.address)
         self.states: dict[str, Callable[[], dict[str, Any]]] = {"/peers": self.state}
-        metrics.read_from(
+        metrics.add_gauges(
             "brassweir_peers", "Messages between copies, and copies by what is known of them", self.counts
         )
         self.agreed: AgreedSide | None = None
@@ -54,11 +54,11 @@
 
             self.agreed = AgreedSide(config, base, self.me, self.copies, self.port, region, note, follower)
             self.states["/agreed"] = self.agreed.state
-            metrics.read_from("brassweir_agreed", "The agreed log as this copy sees it", self.agreed.counts)
+            metrics.add_gauges("brassweir_agreed", "The agreed log as this copy sees it", self.agreed.counts)
             configuration = self.agreed.configuration
             if configuration is not None:
                 self.states["/configuration"] = configuration.state
-                metrics.read_from(
+                metrics.add_gauges(
                     "brassweir_configuration", "The endpoint configuration as seen here", configuration.counts
                 )
 
@@ -69,7 +69,7 @@
         copies: tuple[CopyModel, ...] = ()
         keys: list[bytes] = []
         try:
-            founding = not agreed_folder(config, self.base).exists()
+            founding = not agreed_directory(config, self.base).exists()
             copies = read_copies(self.base / config.peers.copies, config, founding)
         except ConfigError as error:
             problems += error.problems
--- a/brassweir/service/versionedlist.py
+++ b/brassweir/service/versionedlist.py
@@ -18,7 +18,7 @@
 from brassweir.configstream.catalog import EMPTY, Catalog
 from brassweir.configstream.delta import Delta, between
 from brassweir.configstream.entries import Entry
-from brassweir.destinations.intake import Intake
+from brassweir.destinations.list_updates import ListUpdates
 from brassweir.service.listed import Numbers, listed, scaled
 
 KEEP_URL = 60.0  # seconds that a removed endpoint keeps its address, for attempts that are out
@@ -28,11 +28,11 @@
 class VersionedList:
     """Keeps the last good version."""
 
-    def __init__(self, config: Config, tell: Callable[[api.ListNews], None], note: Note) -> None:
+    def __init__(self, config: Config, tell: Callable[[api.ListUpdate], None], note: Note) -> None:
         self.config, self.tell, self.note = config, tell, note
         self.numbers = Numbers(config)
         self.scale: Callable[[], float] = lambda: 1.0
-        self.intake = Intake()
+        self.intake = ListUpdates()
         self.told = 0
         self.refused = ""
         self.on_told: Callable[[int], None] = lambda _: None
@@ -106,7 +106,7 @@
                 "changed": len(delta.changed),
                 "removed": len(delta.removed),
                 "to_tell": count,
-                "first_off": len(self.intake.off),
+                "first_off": len(self.intake.unusable),
             },
         )
 
@@ -123,7 +123,7 @@
 
     async def _tell(self) -> None:
         """Tell what the intake holds, one step a turn: all else goes on between."""
-        while (news := self.intake.next()) is not None:
+        while (news := self.intake.next_update()) is not None:
             self.tell(news)
             await asyncio.sleep(0)
             if self._changed.is_set():
--- a/brassweir/service/watch.py
+++ b/brassweir/service/watch.py
@@ -5,23 +5,23 @@
 from collections.abc import Callable
 from typing import Any
 
-from brassweir.core.ledger import Record, Taken
+from brassweir.core.ledger import MessageRecord, SubmitStatus
+from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import Attempt, Clock, Outcome
-from brassweir.core.watcher import Watcher
 from brassweir.observe.metrics import Metrics
 
 
-class Observer(Watcher):
+class Observer(EngineObserver):
     """The engine's watcher of one sender."""
 
     def __init__(self, log: Any, metrics: Metrics, clock: Clock, endpoint_kind: Callable[[str], str]) -> None:
         self.log, self.metrics, self.clock, self.endpoint_kind = log, metrics, clock, endpoint_kind
 
-    def taken(self, record: Record, how: Taken) -> None:
+    def submitted(self, record: MessageRecord, how: SubmitStatus) -> None:
         """A hand-in."""
         given = record.submission
-        self.metrics.taken.labels(given.class_name, how.name.lower()).inc()
-        if how is Taken.NEW:
+        self.metrics.submissions.labels(given.class_name, how.name.lower()).inc()
+        if how is SubmitStatus.NEW:
             self.metrics.open.inc()
         self.log.info(
             "taken",
@@ -31,12 +31,12 @@
             identity=given.identity.partition("\n")[2] or given.identity,
             class_name=given.class_name,
             destination=given.destination,
-            left_ms=round(given.left),
+            left_ms=round(given.time_left),
         )
 
     def sent(self, attempt: Attempt) -> None:
         """An attempt goes out."""
-        self.metrics.out.inc()
+        self.metrics.in_flight.inc()
         self.log.info(
             "sent",
             message=attempt.id,
@@ -45,9 +45,9 @@
             for_ms=round(attempt.abandon_at - self.clock.now()),
         )
 
-    def outcome(self, record: Record, number: int, outcome: Outcome, late: bool) -> None:
+    def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
         """An attempt ended."""
-        self.metrics.out.dec()
+        self.metrics.in_flight.dec()
         endpoint = record.attempts[number].endpoint
         self.metrics.attempts.labels(self.endpoint_kind(endpoint), outcome.result.value).inc()
         self.log.info(
@@ -62,9 +62,9 @@
             late=late,
         )
 
-    def late(self, record: Record, number: int, outcome: Outcome) -> None:
+    def late_outcome(self, record: MessageRecord, number: int, outcome: Outcome) -> None:
         """Something came for an attempt that had its outcome."""
-        self.metrics.late.inc()
+        self.metrics.late_outcomes.inc()
         self.log.warning(
             "late_outcome",
             message=record.id,
@@ -74,15 +74,15 @@
             answered=record.answer is not None,
         )
 
-    def final(self, record: Record) -> None:
+    def final(self, record: MessageRecord) -> None:
         """A message has its answer."""
         answer = record.answer
         assert answer is not None
-        age = record.answered - record.taken
+        age = record.answered_at - record.accepted_at
         labels = (record.submission.class_name, answer.answer.value)
         self.metrics.open.dec()
         self.metrics.answers.labels(*labels).inc()
-        self.metrics.age.labels(*labels).observe(age / 1000.0)
+        self.metrics.answer_age.labels(*labels).observe(age / 1000.0)
         self.log.info(
             "final",
             message=record.id,
@@ -95,7 +95,7 @@
 
     def turn(self, events: int, actions: int, spent: float) -> None:
         """One call of the module."""
-        self.metrics.decisions.inc(spent)
+        self.metrics.decision_cpu.inc(spent)
         self.metrics.turns.inc()
         self.metrics.events.inc(events)
 
--- a/brassweir/service/wiring.py
+++ b/brassweir/service/wiring.py
@@ -40,7 +40,7 @@
             slots=sender.slots,
             max_open=sender.max_open,
             senders=sender.senders,
-            kinds=tuple(api.Kind(kind.name, kind.routes == "apart") for kind in config.kinds),
+            kinds=tuple(api.DestinationKind(kind.name, kind.routes == "apart") for kind in config.kinds),
             max_attempts=sender.max_attempts,
             connect_timeout=sender.connect_timeout_ms,
             idle_close=sender.idle_close_ms,
@@ -59,15 +59,15 @@
     """Bounds of sizes and times at the sockets."""
     given = config.limits
     return Limits(
-        head=given.head_bytes,
-        headers=given.headers,
-        body=given.body_bytes,
-        buffered=given.buffered_bytes,
+        head_bytes=given.head_bytes,
+        max_headers=given.headers,
+        body_bytes=given.body_bytes,
+        buffered_bytes=given.buffered_bytes,
         connections=given.connections,
-        head_time=given.head_ms,
-        body_time=given.body_ms,
-        idle_time=given.idle_ms,
-        write_time=given.write_ms,
+        head_ms=given.head_ms,
+        body_ms=given.body_ms,
+        idle_ms=given.idle_ms,
+        write_ms=given.write_ms,
     )
 
 
--- a/brassweir/sites/view.py
+++ b/brassweir/sites/view.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from random import Random
 
-from brassweir.interface import EndpointInfo, State
+from brassweir.interface import EndpointInfo, EntryState
 from brassweir.sites import plan as planning
 from brassweir.sites import refusing
 from brassweir.sites.evidence import WINDOW
@@ -195,7 +195,7 @@
             names = self.verdicts.evidence.at_site[site]
             mine = names[sum(self.setup.own.name.encode()) % len(names)] == listed.name
             rate = self.home[site] * self.listed if mine else listed.rate
-            return replace(listed, state=State.READY if mine else State.DRAINING, rate=rate)
+            return replace(listed, state=EntryState.READY if mine else EntryState.DRAINING, rate=rate)
         if self.home[site] == math.inf:
             return listed
         taken = sum(rate for (_, taker), rate in self.spill.items() if taker == site)
--- a/brassweir/undelivered/item.py
+++ b/brassweir/undelivered/item.py
@@ -12,7 +12,7 @@
 SUFFIX = ".kept"
 
 
-class Item(msgspec.Struct, frozen=True, array_like=True):
+class UndeliveredItem(msgspec.Struct, frozen=True, array_like=True):
     """One kept message: who handed it in under which name, where it was to go, why it did not, and its
     content.
 
@@ -30,26 +30,26 @@
     content: bytes
 
 
-_decoder = msgspec.msgpack.Decoder(Item)
+_decoder = msgspec.msgpack.Decoder(UndeliveredItem)
 
 
-def name_of(owner: str, identity: str) -> str:
+def file_name(owner: str, identity: str) -> str:
     """The file that a message is kept in: the same however often it is handed in."""
     return hashlib.sha256(f"{owner}\0{identity}".encode()).hexdigest()[:40] + SUFFIX
 
 
-def is_name(name: str) -> bool:
+def is_file_name(name: str) -> bool:
     """Is it the name of a kept message's file?"""
     return re.fullmatch(rf"[0-9a-f]{{40}}{re.escape(SUFFIX)}", name) is not None
 
 
-def encode(item: Item) -> bytes:
+def encode(item: UndeliveredItem) -> bytes:
     """A file's whole content: magic, CRC-32C of the rest, and the item."""
     body = msgspec.msgpack.encode(item)
     return MAGIC + int(google_crc32c.value(body)).to_bytes(4, "big") + body
 
 
-def decode(data: bytes) -> Item:
+def decode(data: bytes) -> UndeliveredItem:
     """Read a file's content. Raises ValueError with the reason."""
     if not data.startswith(MAGIC):
         raise ValueError("no kept message of a known version")
@@ -62,7 +62,7 @@
         raise ValueError(f"no kept message: {error}") from None
 
 
-class Room:
+class StorageQuota:
     """How much is kept, and whether one more fits. Nothing is ever dropped to make room: that is the
     operator's to do, and until then the source keeps what does not fit."""
 
--- a/brassweir/undelivered/store.py
+++ b/brassweir/undelivered/store.py
@@ -6,63 +6,67 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from brassweir.undelivered.item import Item, Room, decode, encode, is_name, name_of
+from brassweir.undelivered.item import StorageQuota, UndeliveredItem, decode, encode, file_name, is_file_name
 
 
-class Full(OSError):
+class StoreFull(OSError):
     """There is no room left for this one."""
 
 
-class Kept:
+class UndeliveredStore:
     """One directory. ``most`` bounds it in bytes. All of it blocks: run it on a thread."""
 
     def __init__(self, folder: Path, most: int) -> None:
         """Open it; raises OSError where it cannot be made or read."""
-        self.folder = folder
-        self.room = Room(most)
+        self.directory = folder
+        self.quota = StorageQuota(most)
         folder.mkdir(parents=True, exist_ok=True)
         self._look()
 
     def _look(self) -> None:
-        found = {path.name: path.stat().st_size for path in self.folder.iterdir() if is_name(path.name)}
-        for gone in self.room.sizes.keys() - found.keys():
-            self.room.drop(gone)
+        found = {
+            path.name: path.stat().st_size for path in self.directory.iterdir() if is_file_name(path.name)
+        }
+        for gone in self.quota.sizes.keys() - found.keys():
+            self.quota.drop(gone)
         for name, size in found.items():
-            self.room.add(name, size)
+            self.quota.add(name, size)
 
     def has(self, owner: str, identity: str) -> bool:
         """Is this message kept? Looks at the directory: an operator may have taken it out."""
-        return (self.folder / name_of(owner, identity)).exists()
+        return (self.directory / file_name(owner, identity)).exists()
 
-    def keep(self, item: Item) -> None:
+    def save(self, item: UndeliveredItem) -> None:
         """Write it, to the disk itself; kept already is well. Raises Full, and OSError from the disk."""
-        name = name_of(item.owner, item.identity)
-        path = self.folder / name
+        name = file_name(item.owner, item.identity)
+        path = self.directory / name
         if path.exists():
             return
         data = encode(item)
-        if not self.room.fits(len(data)):
+        if not self.quota.fits(len(data)):
             self._look()
-            if not self.room.fits(len(data)):
-                raise Full(f"{self.folder} holds {self.room.total} bytes of at most {self.room.most}")
+            if not self.quota.fits(len(data)):
+                raise StoreFull(
+                    f"{self.directory} holds {self.quota.total} bytes of at most {self.quota.most}"
+                )
         fresh = path.with_suffix(".new")
         with fresh.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
         fresh.replace(path)
-        folder = os.open(self.folder, os.O_RDONLY)
+        folder = os.open(self.directory, os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
-        self.room.add(name, len(data))
+        self.quota.add(name, len(data))
 
 
-def read_all(folder: Path) -> Iterator[tuple[Path, Item | str]]:
+def read_all(folder: Path) -> Iterator[tuple[Path, UndeliveredItem | str]]:
     """Every kept message of a directory, oldest first, or what is wrong with its file. Raises OSError."""
-    paths = [path for path in folder.iterdir() if is_name(path.name)]
-    found: list[tuple[float, Path, Item | str]] = []
+    paths = [path for path in folder.iterdir() if is_file_name(path.name)]
+    found: list[tuple[float, Path, UndeliveredItem | str]] = []
     for path in paths:
         try:
             item = decode(path.read_bytes())
--- a/brassweir/webhook/carrier.py
+++ b/brassweir/webhook/carrier.py
@@ -5,14 +5,14 @@
 import time
 from collections.abc import Callable
 
-from brassweir.core.carrying import Note, TaskCarrier
-from brassweir.core.identity import onward
+from brassweir.core.http_responses import no_answer, read_hints
+from brassweir.core.identity import delivery_id
 from brassweir.core.ports import Attempt, Outcome, Payload, Urls
-from brassweir.core.reading import no_answer, told
+from brassweir.core.task_carrier import Note, TaskCarrier
 from brassweir.interface import Result
 from brassweir.net.client import CallFailed, Stage
 from brassweir.net.headers import Headers
-from brassweir.net.limiter import Pools
+from brassweir.net.pool_manager import PoolManager
 from brassweir.webhook import codec, endings
 
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         urls: Urls,
-        pools: Pools,
+        pools: PoolManager,
         keys: tuple[bytes, ...],
         note: Note,
         name: str = "",
@@ -40,14 +40,16 @@
         if url is None or not isinstance(payload, Payload):
             done(Outcome(Result.NO_CONNECTION, "no address for this endpoint"))
             return
-        ident = onward(attempt.submission.owner, attempt.submission.identity)
+        ident = delivery_id(attempt.submission.owner, attempt.submission.identity)
         fields = Headers(
             [("User-Agent", self.agent), *codec.headers(ident, int(time.time()), payload, self.keys)]
         )
         begin, until = attempt.abandon_at / 1000.0, (attempt.abandon_at + self.linger) / 1000.0
         try:
-            reply = await self.pools.of(url).post(fields, payload.content, until, begin, attempt.going.go)
+            reply = await self.pools.http_pool(url).post(
+                fields, payload.content, until, begin, attempt.start_guard.begin
+            )
         except CallFailed as failed:
-            done(no_answer(failed.stage is not Stage.CONNECT, True, failed.late, failed.reason))
+            done(no_answer(failed.stage is not Stage.CONNECT, True, failed.timed_out, failed.reason))
         else:
-            done(endings.status(reply.status, told(reply.headers.first, time.time())))
+            done(endings.status(reply.status, read_hints(reply.headers.first, time.time())))
--- a/brassweir/webhook/codec.py
+++ b/brassweir/webhook/codec.py
@@ -17,7 +17,7 @@
     """A secret cannot be read, or a received webhook does not hold."""
 
 
-def secret(text: str) -> bytes:
+def parse_secret(text: str) -> bytes:
     """Read a signing secret: base64, with or without its prefix, 24 to 64 bytes. Raises WebhookError."""
     try:
         key = base64.b64decode(text.removeprefix(PREFIX), validate=True)
--- a/tests/agreed/test_member.py
+++ b/tests/agreed/test_member.py
@@ -13,7 +13,7 @@
 from brassweir.agreed import timing
 from brassweir.agreed.facts import How
 from brassweir.agreed.member import Member
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.lab.models.toys import Pile
 from tests.conftest import run
 
@@ -43,7 +43,7 @@
         return handler is not None
 
 
-class Tight(Files):
+class Tight(DirectoryStorage):
     """A folder on a disk that may be full."""
 
     full = False
--- a/tests/agreed/test_review_disk.py
+++ b/tests/agreed/test_review_disk.py
@@ -12,13 +12,13 @@
 from brassweir.agreed.facts import Copies, Fact, How, Outcome, Write, WriteFailed
 from brassweir.agreed.member import Member
 from brassweir.agreed.records import Ballot
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.lab.models.toys import Pile
 from tests.agreed.test_member import Net
 from tests.conftest import run
 
 
-class Short(Files):
+class Short(DirectoryStorage):
     """Memory is short for one write."""
 
     short = False
--- a/tests/as2/test_endings.py
+++ b/tests/as2/test_endings.py
@@ -8,7 +8,7 @@
 from brassweir.as2.endings import Expected
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.as2.mdn import Disposition, Mdn
-from brassweir.core.reading import Told, no_answer, told
+from brassweir.core.http_responses import ServerHints, no_answer, read_hints
 from brassweir.interface import Result
 from tests.conftest import identity
 
@@ -54,9 +54,9 @@
 @pytest.mark.parametrize(
     ("code", "wait", "result", "ran", "rejected"),
     [
-        (429, 0.0, Result.FULL, False, False),
-        (429, 2000.0, Result.FULL, False, False),
-        (503, 2000.0, Result.FULL, False, False),
+        (429, 0.0, Result.BUSY, False, False),
+        (429, 2000.0, Result.BUSY, False, False),
+        (503, 2000.0, Result.BUSY, False, False),
         (503, 0.0, Result.ERROR, True, False),
         (500, 0.0, Result.ERROR, True, False),
         (502, 0.0, Result.ERROR, True, False),
@@ -72,11 +72,11 @@
     ],
 )
 def test_statuses(code: int, wait: float, result: Result, ran: bool, rejected: bool) -> None:
-    got = endings.status(code, Told(wait), frozenset({429}))
+    got = endings.status(code, ServerHints(wait), frozenset({429}))
     assert got is not None
     assert (got.result, got.may_have_run, got.rejected) == (result, ran, rejected)
-    assert got.wait == (wait if result is Result.FULL else 0.0)
-    assert endings.status(200, Told(), frozenset()) is None
+    assert got.wait == (wait if result is Result.BUSY else 0.0)
+    assert endings.status(200, ServerHints(), frozenset()) is None
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
     ],
 )
 def test_receipts(got: Mdn, result: Result, rejected: bool) -> None:
-    outcome = endings.receipt(got, EXPECTED, Told(limit=4.0, left=0.5))
+    outcome = endings.receipt(got, EXPECTED, ServerHints(limit=4.0, limit_left=0.5))
     assert (outcome.result, outcome.rejected) == (result, rejected)
     assert (outcome.limit, outcome.limit_left) == (4.0, 0.5)
     assert outcome.may_have_run
@@ -116,12 +116,12 @@
 def test_a_duplicate_after_an_attempt_of_ours_is_our_own() -> None:
     again = Expected("<a@b>", "mic", "sha256", signed=True, repeat=True)
     for severity in ("error", "warning"):
-        got = endings.receipt(receipt(severity, "duplicate-document", mic=""), again, Told())
+        got = endings.receipt(receipt(severity, "duplicate-document", mic=""), again, ServerHints())
         assert got.result is Result.OK and not got.rejected
 
 
 def test_an_unreadable_receipt_proves_nothing() -> None:
-    got = endings.unreadable(As2Error(Modifier.AUTHENTICATION, "x"), Told())
+    got = endings.unreadable(As2Error(Modifier.AUTHENTICATION, "x"), ServerHints())
     assert got.result is Result.ERROR and got.may_have_run and not got.rejected
 
 
@@ -151,5 +151,5 @@
 def test_told_waits_and_limits(
     fields: dict[str, str], wait: float, limit: float | None, left: float | None
 ) -> None:
-    got = told(lambda name: fields.get(name, ""), WALL)
-    assert (got.wait, got.limit, got.left) == (wait, limit, left)
+    got = read_hints(lambda name: fields.get(name, ""), WALL)
+    assert (got.wait, got.limit, got.limit_left) == (wait, limit, left)
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -5,7 +5,7 @@
 from brassweir import interface as api
 from brassweir.control import Sender
 
-PROVES_IDLE = (api.Result.FULL, api.Result.NO_CONNECTION, api.Result.CROWDED, api.Result.MOOT)
+PROVES_IDLE = (api.Result.BUSY, api.Result.NO_CONNECTION, api.Result.CONNECTION_LIMIT, api.Result.NOT_STARTED)
 UNSURE = (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED)
 
 
@@ -47,7 +47,7 @@
     def unit(self, endpoint: str, destination: int) -> object:
         """What a wait binds: the message's destination, or the route where routes are apart."""
         info = self.infos[endpoint]
-        apart = any(kind.name == info.kind and kind.apart for kind in self.settings.kinds)
+        apart = any(kind.name == info.kind and kind.separate_routes for kind in self.settings.kinds)
         return (endpoint, destination) if apart else destination
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
@@ -65,7 +65,7 @@
 
     def event(self, event: api.Event) -> None:
         """Follow one event."""
-        if isinstance(event, api.ListNews):
+        if isinstance(event, api.ListUpdate):
             if event.kind is api.ListKind.FAILED:
                 return
             if event.kind in (api.ListKind.UNCONFIRMED, api.ListKind.USABLE):
@@ -76,7 +76,7 @@
                     self.told_off.setdefault(name, self.now)
             for info in event.entries:
                 self.infos[info.name] = info
-                if info.state is api.State.READY:
+                if info.state is api.EntryState.READY:
                     self.told_off.pop(info.name, None)
                 else:
                     self.told_off.setdefault(info.name, self.now)
@@ -107,7 +107,7 @@
             known.maybe = (sent, self.infos[endpoint].zone)
         if known.cls.in_order and event.result in UNSURE:
             self.rests[known.event.key] = self.now + self.settings.order_pause
-        if event.result is api.Result.FULL and event.wait > 0:
+        if event.result is api.Result.BUSY and event.wait > 0:
             unit = self.unit(endpoint, known.event.destination)
             self.told[unit] = self.frame
             self.waits[unit] = max(self.waits.get(unit, 0.0), self.now + event.wait)
@@ -156,7 +156,7 @@
             raise BrokenRule("sent during a wait")
         if track.tries >= self.settings.max_attempts:
             raise BrokenRule("too many attempts")
-        if track.live and not self.settings.second_copies:
+        if track.live and not self.settings.concurrent_attempts:
             raise BrokenRule("two attempts at once")
         ran = [sent for _, sent in track.live.values()] + ([track.maybe[0]] if track.maybe else [])
         if ran and cls.effect is api.Effect.UNSAFE:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -17,7 +17,7 @@
 from brassweir.core.ports import Payload
 from brassweir.journal.records import Ended, Final, Intent, Taken
 from brassweir.journal.scan import scan
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.journal.writer import Writer
 from tests.conftest import identity
 
@@ -121,13 +121,13 @@
 
 def test_a_journal_is_verified_shown_and_rewritten(tmp_path: Path) -> None:
     folder = tmp_path / "j"
-    files = Files(folder)
+    files = DirectoryStorage(folder)
     writer = Writer(files, scan(files))
     writer.open()
     taken = Taken(7, "office", "bank\n<a@b>", "pay", "bank", "", 9e12, "a/b", "s", b"document")
     for record in (taken, Intent(7, 0, "e", 5.0), Final(7, "failed", "why", 0.0, 6.0)):
         writer.add(record, None)
-    group = writer.take()
+    group = writer.next_group()
     assert group is not None
     writer.commit(group)
     invoke = CliRunner().invoke
@@ -188,7 +188,7 @@
     import pyarrow.parquet as pq
 
     folder = tmp_path / "j"
-    storage = Files(folder)
+    storage = DirectoryStorage(folder)
     writer = Writer(storage, scan(storage))
     writer.open()
     for ident, cls in ((1, "pay"), (2, "safe"), (3, "pay")):
@@ -199,7 +199,7 @@
     writer.add(Ended(1, 0, "bank-a", "timeout", 1_500.0), None)
     writer.add(Intent(2, 0, "bank-a", 1_000.5), None)
     writer.add(Final(1, "failed", "not delivered in time", 0.0, 2_000.0), None)
-    group = writer.take()
+    group = writer.next_group()
     assert group is not None
     writer.commit(group)
     path = tmp_path / "out.parquet"
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -12,7 +12,7 @@
 from brassweir.service.checking import check
 from tests.conftest import identity
 
-GOOD = """\
+VALID_SETTINGS = """\
 sender:
   name: s1
   listen: 127.0.0.1:4080
@@ -46,7 +46,7 @@
 
 
 def test_a_good_file_is_taken() -> None:
-    config = parse(GOOD, Config, "s.yaml")
+    config = parse(VALID_SETTINGS, Config, "s.yaml")
     assert config.clients[0].rules[0].class_name == "payment" and config.sender.connect_timeout_ms == 1000.0
 
 
@@ -84,14 +84,14 @@
     ],
 )
 def test_bad_files_name_line_and_field(change: tuple[str, str], line: int, words: str) -> None:
-    assert change[0] in GOOD
-    found = problems(GOOD.replace(*change, 1))
+    assert change[0] in VALID_SETTINGS
+    found = problems(VALID_SETTINGS.replace(*change, 1))
     assert any(one.startswith(f"s.yaml:{line}: ") and words in one for one in found), found
 
 
 def test_all_problems_come_at_once_in_the_order_of_lines() -> None:
     text = (
-        GOOD.replace("slots: 8", "slots: 0")
+        VALID_SETTINGS.replace("slots: 8", "slots: 0")
         .replace("effect: unsafe", "effect: maybe")
         .replace("[bank.crt.pem]", "[]")
     )
@@ -133,7 +133,7 @@
 
 
 def test_check_reads_every_file_that_a_start_would(tmp_path: Path) -> None:
-    (tmp_path / "s.yaml").write_text(GOOD)
+    (tmp_path / "s.yaml").write_text(VALID_SETTINGS)
     with pytest.raises(ConfigError) as caught:
         check(tmp_path / "s.yaml")
     named = "\n".join(caught.value.problems)
--- a/tests/config/test_control.py
+++ b/tests/config/test_control.py
@@ -8,7 +8,7 @@
 
 from brassweir.config.model import Config, ControlConfig
 from brassweir.service.checking import check
-from tests.config.test_copies import SETTINGS, put
+from tests.config.test_copies import SETTINGS, write_copies_settings
 from tests.config.test_forward import problems
 
 CONTROL = """\
@@ -18,26 +18,28 @@
   voters: [s1, s2, s3]
   configuration: {list: endpoints.yaml, confirm_removed: 7, confirm_destinations: 1}
 """
-FOLLOWS = SETTINGS.replace("first.json}", "first.json, configuration: {}}").replace(
+LOG_LIST_SETTINGS = SETTINGS.replace("first.json}", "first.json, configuration: {}}").replace(
     "endpoints: endpoints.yaml", "endpoints: agreed"
 )
 
 
 def test_a_control_machine_needs_nothing_to_deliver_by(tmp_path: Path) -> None:
-    config = check(put(tmp_path, CONTROL))
+    config = check(write_copies_settings(tmp_path, CONTROL))
     assert isinstance(config, ControlConfig) and config.configuration is not None
     assert (config.configuration.list, config.configuration.confirm_removed) == (Path("endpoints.yaml"), 7)
-    config = check(put(tmp_path, CONTROL[: CONTROL.index("  configuration")]))
+    config = check(write_copies_settings(tmp_path, CONTROL[: CONTROL.index("  configuration")]))
     assert config.configuration is None, "it is off unless the settings have it"
 
 
 def test_a_control_machine_may_renew_leases_and_must_know_the_longest_deadline(tmp_path: Path) -> None:
     text = CONTROL + "region: {name: east, source: agreed, longest_deadline_ms: 8000}\n"
-    config = check(put(tmp_path, text))
+    config = check(write_copies_settings(tmp_path, text))
     assert config.region is not None and config.region.longest_deadline_ms == 8000.0
-    found = problems(put(tmp_path, text.replace(", longest_deadline_ms: 8000", "")))
+    found = problems(write_copies_settings(tmp_path, text.replace(", longest_deadline_ms: 8000", "")))
     assert len(found) == 1 and "region.longest_deadline_ms is needed: a control machine" in found[0]
-    found = problems(put(tmp_path, SETTINGS.replace("name: east", "name: east, longest_deadline_ms: 9")))
+    found = problems(
+        write_copies_settings(tmp_path, SETTINGS.replace("name: east", "name: east, longest_deadline_ms: 9"))
+    )
     assert len(found) == 1 and "here the classes say it" in found[0]
 
 
@@ -61,19 +63,19 @@
 )
 def test_bad_settings(tmp_path: Path, old: str, new: str, line: int, words: str) -> None:
     assert old in CONTROL
-    found = problems(put(tmp_path, CONTROL.replace(old, new, 1)))
+    found = problems(write_copies_settings(tmp_path, CONTROL.replace(old, new, 1)))
     assert len(found) == 1 and f"s.yaml:{line}: " in found[0] and words in found[0], found
 
 
 def test_what_is_half_a_sender_is_told_what_to_leave_out(tmp_path: Path) -> None:
     text = SETTINGS[: SETTINGS.index("forward:")] + SETTINGS[SETTINGS.index("endpoints:") :]
-    found = problems(put(tmp_path, text))
+    found = problems(write_copies_settings(tmp_path, text))
     assert len(found) == 1 and "nobody could hand anything in; a control machine has none of" in found[0]
     assert "classes, endpoints, kinds" in found[0]
 
 
 def test_the_list_that_is_edited_is_read_and_each_problem_has_its_line(tmp_path: Path) -> None:
-    path = put(tmp_path, CONTROL)
+    path = write_copies_settings(tmp_path, CONTROL)
     (tmp_path / "endpoints.yaml").write_text("endpoints:\n  - {name: a, url: 'ftp://x/', partner: p}\n")
     found = problems(path)
     assert len(found) == 1 and "endpoints.yaml:2: endpoints[0].url: " in found[0]
@@ -83,17 +85,19 @@
 
 
 def test_a_sender_whose_list_comes_from_the_log_has_no_list_file(tmp_path: Path) -> None:
-    path = put(tmp_path, FOLLOWS)
+    path = write_copies_settings(tmp_path, LOG_LIST_SETTINGS)
     (tmp_path / "endpoints.yaml").unlink()
     config = check(path)
     assert isinstance(config, Config) and config.endpoints_in_log
-    path = put(tmp_path, FOLLOWS.replace(", configuration: {}", ""))
+    path = write_copies_settings(tmp_path, LOG_LIST_SETTINGS.replace(", configuration: {}", ""))
     found = problems(path)
     assert len(found) == 1 and "endpoints: agreed needs agreed.configuration" in found[0], found
 
 
 def test_a_list_that_is_edited_must_fit_the_settings_of_the_sender_that_proposes_it(tmp_path: Path) -> None:
-    path = put(tmp_path, FOLLOWS.replace("configuration: {}", "configuration: {list: endpoints.yaml}"))
+    path = write_copies_settings(
+        tmp_path, LOG_LIST_SETTINGS.replace("configuration: {}", "configuration: {list: endpoints.yaml}")
+    )
     assert isinstance(check(path), Config)
     listed = (tmp_path / "endpoints.yaml").read_text()
     (tmp_path / "endpoints.yaml").write_text(listed.replace("kind: collectors", "kind: other"))
@@ -101,7 +105,7 @@
 
 
 def test_a_file_of_the_same_name_is_still_a_file(tmp_path: Path) -> None:
-    path = put(tmp_path, SETTINGS.replace("endpoints: endpoints.yaml", "endpoints: agreed"))
+    path = write_copies_settings(tmp_path, SETTINGS.replace("endpoints: endpoints.yaml", "endpoints: agreed"))
     (tmp_path / "endpoints.yaml").rename(tmp_path / "agreed")
     config = check(path)
     assert isinstance(config, Config) and not config.endpoints_in_log
--- a/tests/config/test_copies.py
+++ b/tests/config/test_copies.py
@@ -12,10 +12,10 @@
 from brassweir.config.model import Config
 from brassweir.regions import planning
 from brassweir.service.checking import check
-from tests.config.test_forward import GOOD, folder, problems
+from tests.config.test_forward import VALID_SETTINGS, problems, write_settings
 
 SETTINGS = (
-    GOOD
+    VALID_SETTINGS
     + """\
 region: {name: east, source: agreed}
 peers: {copies: copies.yaml, keys: [peers.key]}
@@ -30,8 +30,8 @@
 """
 
 
-def put(tmp_path: Path, text: str = SETTINGS, copies: str = COPIES) -> Path:
-    path = folder(tmp_path, text)
+def write_copies_settings(tmp_path: Path, text: str = SETTINGS, copies: str = COPIES) -> Path:
+    path = write_settings(tmp_path, text)
     (tmp_path / "copies.yaml").write_text(copies)
     (tmp_path / "peers.key").write_text("a key of the fleet\n")
     (tmp_path / "short.key").write_text("short\n")
@@ -42,7 +42,7 @@
 
 
 def test_a_good_file_is_taken(tmp_path: Path) -> None:
-    config = check(put(tmp_path))
+    config = check(write_copies_settings(tmp_path))
     assert (
         config.agreed is not None
         and config.agreed.voters == ("s1", "s2", "s3")
@@ -90,7 +90,7 @@
 )
 def test_bad_settings(tmp_path: Path, old: str, new: str, words: str) -> None:
     assert old in SETTINGS
-    found = problems(put(tmp_path, SETTINGS.replace(old, new, 1)))
+    found = problems(write_copies_settings(tmp_path, SETTINGS.replace(old, new, 1)))
     assert len(found) == 1 and words in found[0], found
 
 
@@ -110,13 +110,13 @@
 )
 def test_bad_copies(tmp_path: Path, old: str, new: str, line: int, words: str) -> None:
     assert old in COPIES
-    found = problems(put(tmp_path, copies=COPIES.replace(old, new, 1)))
+    found = problems(write_copies_settings(tmp_path, copies=COPIES.replace(old, new, 1)))
     assert any(f"copies.yaml:{line}: " in one and words in one for one in found), found
 
 
 def test_all_problems_come_at_once(tmp_path: Path) -> None:
     bad = COPIES.replace("name: s1", "name: s3").replace("7202", "7203").replace("site: w2", "site: w 2")
-    found = problems(put(tmp_path, SETTINGS.replace("peers.key", "short.key"), bad))
+    found = problems(write_copies_settings(tmp_path, SETTINGS.replace("peers.key", "short.key"), bad))
     assert [one.partition("copies.yaml:")[2].partition(":")[0] for one in found] == [
         "4",
         "4",
@@ -128,7 +128,7 @@
 
 
 def test_a_file_that_names_only_others_is_refused_on_reading_again(tmp_path: Path) -> None:
-    path = put(tmp_path)
+    path = write_copies_settings(tmp_path)
     config = load(path, Config)
     (tmp_path / "copies.yaml").write_text("copies:\n" + COPIES.splitlines(keepends=True)[2])
     with pytest.raises(ConfigError) as caught:
--- a/tests/config/test_forward.py
+++ b/tests/config/test_forward.py
@@ -15,7 +15,7 @@
 from brassweir.service.checking import check
 from brassweir.service.forward_connector import KeyFiles
 
-GOOD = """\
+VALID_SETTINGS = """\
 sender: {name: s1, slots: 8, max_open: 100}
 classes:
   - {name: status, aim_ms: 1000, deadline_ms: 8000, effect: safe}
@@ -35,7 +35,7 @@
 LIST = "endpoints:\n  - {name: c-a, url: 'forward://127.0.0.1:9', destination: c, kind: collectors}\n"
 
 
-def folder(tmp_path: Path, text: str = GOOD, listed: str = LIST) -> Path:
+def write_settings(tmp_path: Path, text: str = VALID_SETTINGS, listed: str = LIST) -> Path:
     (tmp_path / "s.yaml").write_text(text)
     (tmp_path / "endpoints.yaml").write_text(listed)
     (tmp_path / "edge.key").write_text("a key\n")
@@ -50,7 +50,7 @@
 
 
 def test_a_sender_needs_no_as2(tmp_path: Path) -> None:
-    config = check(folder(tmp_path))
+    config = check(write_settings(tmp_path))
     assert (
         isinstance(config, Config)
         and config.identity is None
@@ -99,8 +99,8 @@
     ],
 )
 def test_bad_settings(tmp_path: Path, old: str, new: str, words: str) -> None:
-    assert old in GOOD
-    path = folder(tmp_path, GOOD.replace(old, new, 1))
+    assert old in VALID_SETTINGS
+    path = write_settings(tmp_path, VALID_SETTINGS.replace(old, new, 1))
     if not words:
         check(path)
         return
@@ -113,12 +113,12 @@
     second = "    - {name: b, shared_keys: [edge.key], users: [{username: a, password: edge.key}], rules: [{tag: x, class: status, destination: y}]}\nendpoints"
     assert any(
         "all have some or none has" in one
-        for one in problems(folder(tmp_path, GOOD.replace("endpoints", second, 1)))
+        for one in problems(write_settings(tmp_path, VALID_SETTINGS.replace("endpoints", second, 1)))
     )
     twice = "    - {name: edge-1, shared_keys: [edge.key], rules: [{tag: x, class: status, destination: y}]}\nendpoints"
     assert any(
         "edge-1 stands more than once" in one
-        for one in problems(folder(tmp_path, GOOD.replace("endpoints", twice, 1)))
+        for one in problems(write_settings(tmp_path, VALID_SETTINGS.replace("endpoints", twice, 1)))
     )
 
 
@@ -135,17 +135,20 @@
     ],
 )
 def test_bad_lists(tmp_path: Path, listed: str, words: str) -> None:
-    assert any(words in one for one in problems(folder(tmp_path, listed=listed)))
+    assert any(words in one for one in problems(write_settings(tmp_path, listed=listed)))
 
 
 def test_nobody_to_hand_anything_in(tmp_path: Path) -> None:
-    text = GOOD[: GOOD.index("forward:")] + GOOD[GOOD.index("endpoints:") :]
+    text = (
+        VALID_SETTINGS[: VALID_SETTINGS.index("forward:")]
+        + VALID_SETTINGS[VALID_SETTINGS.index("endpoints:") :]
+    )
     with pytest.raises(ConfigError, match="nobody could hand anything in"):
         parse(text, Config, "s.yaml")
 
 
 def test_key_files_are_read_again_and_keep_their_last_good_content(tmp_path: Path) -> None:
-    checked = check(folder(tmp_path))
+    checked = check(write_settings(tmp_path))
     assert isinstance(checked, Config) and checked.forward is not None
     config = checked.forward
     notes: list[str] = []
@@ -167,7 +170,7 @@
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         port = taken.getsockname()[1]
-        path = folder(tmp_path, GOOD.replace("127.0.0.1:0", f"127.0.0.1:{port}"))
+        path = write_settings(tmp_path, VALID_SETTINGS.replace("127.0.0.1:0", f"127.0.0.1:{port}"))
         done = subprocess.run(
             [sys.executable, "-m", "brassweir", "serve", str(path)],
             capture_output=True,
--- a/tests/config/test_lines.py
+++ b/tests/config/test_lines.py
@@ -10,17 +10,17 @@
 from brassweir.config.load import ConfigError
 from brassweir.config.load import parse as parse_yaml
 from brassweir.config.model import Config
-from brassweir.interface import State
+from brassweir.interface import EntryState
 from brassweir.service.descriptors import plan
 from brassweir.service.listed import Numbers
 from brassweir.service.listfile import read_list
-from tests.config.test_config import GOOD
+from tests.config.test_config import VALID_SETTINGS
 
 LINE = b'{"name":"h1","url":"http://127.0.0.1:9/x","destination":"hook 1","kind":"web"}\n'
 
 
 def config() -> Config:
-    text = GOOD.replace("identity:", "kinds:\n  - {name: web, carrier: webhook}\nidentity:", 1)
+    text = VALID_SETTINGS.replace("identity:", "kinds:\n  - {name: web, carrier: webhook}\nidentity:", 1)
     return parse_yaml(text.replace("may_send_to: [bank]", "may_send_to: [bank, 'hook*']"), Config, "s.yaml")
 
 
@@ -54,7 +54,7 @@
     assert "line 1 too" in caught.value.problems[1]
     with pytest.raises(ConfigError) as caught:
         lines.parse(b"x\n" * 1000, "l.jsonl")
-    assert len(caught.value.problems) == lines.MOST_PROBLEMS
+    assert len(caught.value.problems) == lines.MAX_PROBLEMS
 
 
 def test_numbers_are_kept_and_never_given_twice(tmp_path: Path) -> None:
@@ -68,8 +68,8 @@
     )
     second = read_list(path, config(), numbers)
     assert [(info.destination, info.state) for info in second.infos] == [
-        (4, State.READY),
-        (2, State.DRAINING),
+        (4, EntryState.READY),
+        (2, EntryState.DRAINING),
     ]
 
 
--- a/tests/control/made.py
+++ b/tests/control/made.py
@@ -12,9 +12,9 @@
 )
 
 
-def listed(*destinations: int) -> api.ListNews:
+def listed(*destinations: int) -> api.ListUpdate:
     """A full list with one endpoint for each destination."""
-    return api.ListNews(
+    return api.ListUpdate(
         api.ListKind.FULL, tuple(api.EndpointInfo(f"e{d}", d, "k", rate=10.0) for d in destinations)
     )
 
--- a/tests/control/test_endings.py
+++ b/tests/control/test_endings.py
@@ -17,7 +17,7 @@
     return [action.endpoint for action in actions if isinstance(action, api.CloseIdle)]
 
 
-@pytest.mark.parametrize("lack", [api.Result.NO_CONNECTION, api.Result.CROWDED, None])
+@pytest.mark.parametrize("lack", [api.Result.NO_CONNECTION, api.Result.CONNECTION_LIMIT, None])
 def test_idle_connections_are_given_back_where_some_lack(lack: api.Result | None) -> None:
     sender = Sender(replace(SETTINGS, senders=200, idle_close=5000.0, few_connections=lack is None), 1, 0.0)
     sender.handle(0.0, [listed(1, 2)])
@@ -34,12 +34,12 @@
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
     sender.handle(1.0, [new(1)])
-    gate = sender._dest(1).gate
+    gate = sender._destination(1).gate
     for attempt in range(4):
-        assert not gate.shut and gate.pace == math.inf
-        sender.handle(700.0 * attempt + 50.0, [over(1, api.Result.CROWDED, attempt=attempt)])
+        assert not gate.circuit_open and gate.pace == math.inf
+        sender.handle(700.0 * attempt + 50.0, [over(1, api.Result.CONNECTION_LIMIT, attempt=attempt)])
         sender.handle(700.0 * attempt + 699.0, [api.TimerDue()])
-    assert gate.shut and gate.pace == math.inf, "for two seconds all were turned away: it may be shut"
+    assert gate.circuit_open and gate.pace == math.inf, "for two seconds all were turned away: it may be shut"
 
 
 def test_time_outs_are_short_only_while_answers_get_lost() -> None:
@@ -61,9 +61,9 @@
     sender.handle(0.0, [listed(1)])
     sender.handle(1.0, [new(1), new(2)])
     sender.handle(101.0, [over(2, api.Result.OK)])
-    before = sender._dest(1).mean.value
+    before = sender._destination(1).call_times.mean
     sender.handle(1001.0, [over(1, api.Result.TIMEOUT, latency=1000.0)])
-    assert sender._dest(1).mean.value == before
+    assert sender._destination(1).call_times.mean == before
 
 
 def test_ill_destinations_do_not_move_the_bound() -> None:
@@ -71,29 +71,29 @@
     sender.handle(0.0, [listed(1)])
     sender.handle(1.0, [new(i, name="unsafe") for i in range(3)])
     sender.handle(3000.0, [over(i, api.Result.TIMEOUT) for i in range(3)])
-    assert sender._dest(1).gate.shut
-    assert sender._dest(1).ill
-    assert sender.bound.count <= 2  # those answered before it was known to be ill
+    assert sender._destination(1).gate.circuit_open
+    assert sender._destination(1).degraded
+    assert sender.backlog_bound.answer_count <= 2  # those answered before it was known to be ill
 
 
 def test_a_moot_send_tells_no_wait() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
     sender.handle(1.0, [new(1)])
-    sender.handle(2.0, [over(1, api.Result.MOOT, wait=1.0)])
-    assert sender._dest(1).gate.wait == float("-inf")
+    sender.handle(2.0, [over(1, api.Result.NOT_STARTED, wait=1.0)])
+    assert sender._destination(1).gate.wait_until == float("-inf")
 
 
 def test_a_trial_that_finds_no_connection_is_not_made_again_at_once_though_a_call_passed_lately() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
     now = warm(sender, 2)
-    gate = sender.dests[1].gate
-    gate.close(now)
-    gate.trial = now
+    gate = sender.destinations[1].gate
+    gate.open_circuit(now)
+    gate.next_trial = now
     assert sends(sender.handle(now, [new(1)])) == [1]
     again = sender.handle(now + 1.0, [over(1, api.Result.NO_CONNECTION, latency=1.0)])
-    assert not sends(again) and gate.shut and gate.trial > now + 100.0
+    assert not sends(again) and gate.circuit_open and gate.next_trial > now + 100.0
 
 
 def test_only_calls_newer_than_the_last_pass_count_in_a_row() -> None:
@@ -107,9 +107,11 @@
             sender.handle(first, [over(1, api.Result.OK, latency=20.0)])
         lost: list[api.Event] = [over(2, api.Result.RESET), over(3, api.Result.RESET)]
         sender.handle(now + 30.0, lost)
-        endpoint = sender.dests[1].endpoints["e1"]
-        assert (endpoint.fails, sender.dests[1].gate.fails) == ((0, 0) if older else (2, 2))
-        assert (endpoint.avoid > now) is not older and sender.dests[1].gate.bad > 0.0
+        endpoint = sender.destinations[1].endpoints["e1"]
+        assert (endpoint.failure_streak, sender.destinations[1].gate.failure_streak) == (
+            (0, 0) if older else (2, 2)
+        )
+        assert (endpoint.avoid_until > now) is not older and sender.destinations[1].gate.failure_share > 0.0
 
 
 def test_one_missing_connection_is_tried_again_before_it_is_believed() -> None:
@@ -121,12 +123,14 @@
     sender.handle(0.0, [listed(1)])
     now = warm(sender, 3)
     lose(sender, now, 1)
-    endpoint = sender.dests[1].endpoints["e1"]
-    assert endpoint.conns == 2.0 and endpoint.avoid < now, "as many again are let stand"
-    assert 2 in sender.messages and sender.messages[2].live, "and the message is there already"
+    endpoint = sender.destinations[1].endpoints["e1"]
+    assert endpoint.max_calls == 2.0 and endpoint.avoid_until < now, "as many again are let stand"
+    assert 2 in sender.messages and sender.messages[2].in_flight, "and the message is there already"
     sender.handle(now + 60.0, [over(2, api.Result.OK, attempt=1, latency=50.0)])
-    assert endpoint.conns == math.inf, "they stood: it was an accident"
+    assert endpoint.max_calls == math.inf, "they stood: it was an accident"
     sender.handle(now + 61.0, [over(1, api.Result.OK, latency=60.0)])
     lose(sender, now + 100.0, 11)
     sender.handle(now + 102.0, [over(12, api.Result.NO_CONNECTION, attempt=1, latency=1.0)])
-    assert endpoint.conns == 1.0 and endpoint.avoid > now + 100.0, "twice in a row: they are all taken"
+    assert endpoint.max_calls == 1.0 and endpoint.avoid_until > now + 100.0, (
+        "twice in a row: they are all taken"
+    )
--- a/tests/control/test_unconfirmed.py
+++ b/tests/control/test_unconfirmed.py
@@ -7,14 +7,14 @@
 
 CLASSES = (api.MessageClass("safe", 1000.0, 4000.0, api.Effect.SAFE),)
 READY = api.EndpointInfo("d1-0", 1, "")
-AWAY = api.EndpointInfo("d1-0", 1, "", state=api.State.DRAINING)
+AWAY = api.EndpointInfo("d1-0", 1, "", state=api.EntryState.DRAINING)
 SPARE = api.EndpointInfo("d1-1", 1, "")
-UNCONFIRMED, USABLE = api.ListNews(api.ListKind.UNCONFIRMED), api.ListNews(api.ListKind.USABLE)
+UNCONFIRMED, USABLE = api.ListUpdate(api.ListKind.UNCONFIRMED), api.ListUpdate(api.ListKind.USABLE)
 
 
 def sender(slots: int = 4, max_open: int = 20) -> Sender:
     made = Sender(api.Settings(classes=CLASSES, slots=slots, max_open=max_open), 1, 0.0)
-    made.handle(0.0, [api.ListNews(api.ListKind.CACHED, (READY,)), UNCONFIRMED])
+    made.handle(0.0, [api.ListUpdate(api.ListKind.CACHED, (READY,)), UNCONFIRMED])
     return made
 
 
@@ -30,7 +30,7 @@
     made = sender()
     assert sends(made.handle(1.0, [message(1), message(2, admitted=True)])) == []
     assert sends(made.handle(500.0, [api.TimerDue()])) == []
-    confirmed: list[api.Event] = [api.ListNews(api.ListKind.DELTA, (AWAY, SPARE)), USABLE]
+    confirmed: list[api.Event] = [api.ListUpdate(api.ListKind.DELTA, (AWAY, SPARE)), USABLE]
     assert sends(made.handle(600.0, confirmed)) == [(1, "d1-1"), (2, "d1-1")]
 
 
@@ -52,6 +52,6 @@
     made = sender()
     made.handle(1.0, [USABLE])
     assert sends(made.handle(2.0, [message(1)])) == [(1, "d1-0")]
-    moot = api.AttemptEnded(1, 0, "d1-0", api.Result.MOOT, 1.0)
+    moot = api.AttemptEnded(1, 0, "d1-0", api.Result.NOT_STARTED, 1.0)
     assert sends(made.handle(3.0, [UNCONFIRMED, moot])) == []
     assert sends(made.handle(900.0, [USABLE])) == [(1, "d1-0")]
--- a/tests/core/made.py
+++ b/tests/core/engines.py
@@ -18,14 +18,14 @@
 RESULTS = [
     api.Result.OK,
     api.Result.ERROR,
-    api.Result.FULL,
+    api.Result.BUSY,
     api.Result.RESET,
     api.Result.NO_CONNECTION,
     api.Result.TIMEOUT,
 ]
 
 
-class Scripted:
+class ScriptedCarrier:
     """A carrier on the simulated clock: outcomes by a seeded draw, some twice, some long after their time."""
 
     def __init__(self, clock: SimClock, seed: int, good: float) -> None:
@@ -34,7 +34,9 @@
         self.closed: list[str] = []
 
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
-        if not attempt.going.go():  # as every carrier does: nothing is written, and the engine knows why
+        if (
+            not attempt.start_guard.begin()
+        ):  # as every carrier does: nothing is written, and the engine knows why
             self.clock.call_soon(lambda: done(Outcome(api.Result.NO_CONNECTION, "it may not begin any more")))
             return
         self.sent.append(attempt)
@@ -43,7 +45,7 @@
         at = self.clock.now() + self.rng.expovariate(1 / 80.0)
         if result is api.Result.TIMEOUT or at >= attempt.abandon_at:
             result, at = api.Result.TIMEOUT, attempt.abandon_at
-        outcome = Outcome(result, rejected=rejected, wait=300.0 if result is api.Result.FULL else 0.0)
+        outcome = Outcome(result, rejected=rejected, wait=300.0 if result is api.Result.BUSY else 0.0)
         self.clock.call_at(at, lambda: done(outcome))
         if self.rng.random() < 0.1:
             self.clock.call_at(at + 500.0, lambda: done(Outcome(api.Result.OK)))
@@ -52,19 +54,19 @@
         self.closed.append(endpoint)
 
 
-def make(
+def make_engine(
     seed: int = 1, good: float = 0.7, slots: int = 6, **more: object
-) -> tuple[Engine, SimClock, Scripted]:
+) -> tuple[Engine, SimClock, ScriptedCarrier]:
     clock = SimClock(1000.0)
-    carrier = Scripted(clock, seed, good)
+    carrier = ScriptedCarrier(clock, seed, good)
     sets = api.Settings(classes=CLASSES, slots=slots, max_open=80, max_retry_after=3000.0)
     engine = Engine(sets, seed, clock, lambda _: carrier, **more)  # type: ignore[arg-type]
     entries = tuple(api.EndpointInfo(f"d{i}-{j}", i, "") for i in (1, 2, 3) for j in (0, 1))
-    engine.news(api.ListNews(api.ListKind.FULL, entries))
+    engine.update_list(api.ListUpdate(api.ListKind.FULL, entries))
     return engine, clock, carrier
 
 
-class Slow:
+class SlowCarrier:
     """A carrier whose connections take a time that a test sets; told outcomes come ``takes`` after the first byte."""
 
     def __init__(self, clock: SimClock) -> None:
@@ -74,7 +76,7 @@
 
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
         def write() -> None:
-            if not attempt.going.go():
+            if not attempt.start_guard.begin():
                 done(Outcome(api.Result.NO_CONNECTION, "called back"))
                 return
             name = attempt.submission.identity
@@ -88,22 +90,24 @@
         pass
 
 
-def slow(
-    kinds: tuple[api.Kind, ...] = (),
+def make_slow_engine(
+    kinds: tuple[api.DestinationKind, ...] = (),
     classes: tuple[api.MessageClass, ...] = CLASSES,
     at: float = 1000.0,
     **more: object,
-) -> tuple[Engine, SimClock, Slow]:
+) -> tuple[Engine, SimClock, SlowCarrier]:
     clock = SimClock(at)
-    carrier = Slow(clock)
+    carrier = SlowCarrier(clock)
     sets = api.Settings(classes=classes, slots=6, max_open=80, max_retry_after=3000.0, kinds=kinds)
     engine = Engine(sets, 1, clock, lambda _: carrier, **more)  # type: ignore[arg-type]
     kind = kinds[0].name if kinds else ""
-    engine.news(api.ListNews(api.ListKind.FULL, tuple(api.EndpointInfo(f"d1-{j}", 1, kind) for j in (0, 1))))
+    engine.update_list(
+        api.ListUpdate(api.ListKind.FULL, tuple(api.EndpointInfo(f"d1-{j}", 1, kind) for j in (0, 1)))
+    )
     return engine, clock, carrier
 
 
-def stand_still(clock: SimClock, span: float) -> None:
+def stall_loop(clock: SimClock, span: float) -> None:
     """The loop stands still for so long: all that was due meanwhile is late."""
     clock.time += span
     clock.queue = [(max(at, clock.time), number, handle) for at, number, handle in clock.queue]
--- a/tests/core/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -10,7 +10,7 @@
 from brassweir.core.clock import SimClock
 from brassweir.core.engine import Engine
 from brassweir.core.ports import Answer, Attempt, Fact, FinalAnswer, Outcome, Submission
-from tests.core.made import CLASSES
+from tests.core.engines import CLASSES
 
 HOME, ELSEWHERE = 1, 2
 WAIT = 500.0
@@ -23,7 +23,7 @@
         self.held = set(held)
         self.hand: list[tuple[Callable[[], None], Callable[[str], None]]] = []
 
-    def keep(
+    def persist(
         self,
         fact: Fact,
         message: int,
@@ -57,7 +57,7 @@
 
         def write() -> None:
             name = attempt.submission.identity
-            if not attempt.going.go():
+            if not attempt.start_guard.begin():
                 return done(Outcome(api.Result.NO_CONNECTION, "called back"))
             self.written.append((self.clock.now(), name, attempt.endpoint.name))
             outcome = self.told.get(name, Outcome(api.Result.OK))
@@ -84,9 +84,9 @@
     def run(self, span: float) -> None:
         self.clock.run(self.clock.now() + span)
 
-    def tell(self, *names: str, state: api.State = api.State.READY, home: int = HOME) -> None:
-        self.engine.news(
-            api.ListNews(
+    def tell(self, *names: str, state: api.EntryState = api.EntryState.READY, home: int = HOME) -> None:
+        self.engine.update_list(
+            api.ListUpdate(
                 api.ListKind.DELTA, tuple(api.EndpointInfo(name, home, "", state=state) for name in names)
             )
         )
@@ -98,7 +98,7 @@
 
     def sent(self, name: str) -> list[str]:
         """The endpoints to which attempts were decided."""
-        return [note.endpoint for note in self.engine.ledger.by_name["c", name].attempts]
+        return [note.endpoint for note in self.engine.ledger.by_identity["c", name].attempts]
 
     def settled(self) -> None:
         """All have one answer, delivered, by one written call; nothing is left behind."""
@@ -106,12 +106,12 @@
         assert {name: [one.answer for one in given] for name, given in self.answers.items()} == {
             name: [Answer.DELIVERED] for name in self.answers
         }
-        assert not self.engine.unbegun.by_destination and self.engine.sender.load.open == 0
+        assert not self.engine.unstarted.by_destination and self.engine.sender.load.open_messages == 0
 
 
 OFF = pytest.mark.parametrize(
     "off",
-    [{"state": api.State.DRAINING}, {"state": api.State.GONE}, {"home": ELSEWHERE}],
+    [{"state": api.EntryState.DRAINING}, {"state": api.EntryState.GONE}, {"home": ELSEWHERE}],
     ids=["draining", "gone", "of another destination"],
 )
 
@@ -150,7 +150,7 @@
 
 def test_a_told_wait_while_an_intent_is_being_kept() -> None:
     play = Play(Holding())
-    play.carrier.told["told"] = Outcome(api.Result.FULL, wait=WAIT)
+    play.carrier.told["told"] = Outcome(api.Result.BUSY, wait=WAIT)
     play.submit("told")
     play.run(105.0)  # it is written, and not answered yet
     play.store.held.add(Fact.INTENT)
@@ -167,7 +167,7 @@
 def test_a_send_that_is_decided_while_a_told_wait_is_being_kept() -> None:
     """The module hears of a wait once it is kept; what it decides until then waits for a connection."""
     play = Play(Holding(Fact.OUTCOME))
-    play.carrier.told["told"] = Outcome(api.Result.FULL, wait=WAIT)
+    play.carrier.told["told"] = Outcome(api.Result.BUSY, wait=WAIT)
     play.submit("told")
     play.run(115.0)  # it was told to wait
     told = play.carrier.written[0][0] + 10.0
@@ -183,7 +183,7 @@
 
 def test_a_told_wait_in_the_turn_of_a_send() -> None:
     play = Play(Holding())
-    play.carrier.told["told"] = Outcome(api.Result.FULL, wait=WAIT)
+    play.carrier.told["told"] = Outcome(api.Result.BUSY, wait=WAIT)
     play.submit("told")
     at = play.clock.now() + 110.0
     for name in ("m0", "m1"):
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -9,17 +9,17 @@
 from hypothesis import strategies as st
 
 from brassweir import interface as api
-from brassweir.core.ledger import Record, Taken
+from brassweir.core.ledger import MessageRecord, SubmitStatus
+from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import Answer, Attempt, Fact, FinalAnswer, Outcome, Submission
-from brassweir.core.watcher import Watcher
-from tests.core.made import make
+from tests.core.engines import make_engine
 
 
 def test_the_whole_way_of_one_message() -> None:
-    engine, clock, carrier = make(good=1.0)
+    engine, clock, carrier = make_engine(good=1.0)
     got: list[FinalAnswer] = []
     how, record = engine.submit(Submission("o", "m", "pay", 1, 5000.0, payload=b"x"), got.append)
-    assert how is Taken.NEW and not got, "an answer never comes from inside the call"
+    assert how is SubmitStatus.NEW and not got, "an answer never comes from inside the call"
     assert engine.knows("o", "m")
     clock.run(3000.0)
     assert [answer.answer for answer in got] in ([Answer.DELIVERED], [Answer.FAILED])
@@ -34,7 +34,7 @@
 def test_every_message_has_exactly_one_answer_in_time_and_no_payment_goes_twice(
     seed: int, good: float, count: int
 ) -> None:
-    engine, clock, carrier = make(seed, good)
+    engine, clock, carrier = make_engine(seed, good)
     rng = Random(seed)
     answers: dict[str, list[tuple[float, FinalAnswer]]] = {}
     times: dict[str, float] = {}
@@ -69,14 +69,14 @@
     """A carrier that writes each attempt and says nothing more of it."""
 
     def start(attempt: Attempt, done: Callable[[Outcome], None]) -> None:
-        attempt.going.go()
+        attempt.start_guard.begin()
         calls.append((attempt, done))
 
     return start
 
 
 def test_an_attempt_of_which_nothing_was_written_in_its_time_found_no_connection() -> None:
-    engine, clock, carrier = make()
+    engine, clock, carrier = make_engine()
     carrier.start = lambda attempt, done: None  # type: ignore[method-assign]
     got: list[FinalAnswer] = []
     engine.submit(Submission("o", "m", "pay", 1, 2000.0), got.append)
@@ -87,18 +87,18 @@
 def test_an_outcome_after_the_answer_is_recorded_and_changes_nothing() -> None:
     seen: list[str] = []
 
-    class Watch(Watcher):
-        def taken(self, record: Record, how: Taken) -> None: ...
+    class Watch(EngineObserver):
+        def submitted(self, record: MessageRecord, how: SubmitStatus) -> None: ...
         def sent(self, attempt: Attempt) -> None: ...
-        def final(self, record: Record) -> None: ...
+        def final(self, record: MessageRecord) -> None: ...
         def turn(self, events: int, actions: int, spent: float) -> None: ...
-        def outcome(self, record: Record, number: int, outcome: Outcome, late: bool) -> None:
+        def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
             seen.append("late outcome" if late else "outcome")
 
-        def late(self, record: Record, number: int, outcome: Outcome) -> None:
+        def late_outcome(self, record: MessageRecord, number: int, outcome: Outcome) -> None:
             seen.append("after")
 
-    engine, clock, carrier = make(watcher=Watch())
+    engine, clock, carrier = make_engine(observer=Watch())
     calls: list[tuple[Attempt, Callable[[Outcome], None]]] = []
     carrier.start = written(calls)  # type: ignore[method-assign]
     got: list[FinalAnswer] = []
@@ -108,11 +108,11 @@
     calls[0][1](Outcome(api.Result.OK))
     clock.run(7000.0)
     assert len(got) == 1 and seen == ["outcome", "after"] and len(calls) == 1
-    assert engine.sender.load.out == 0, "its slot is free again"
+    assert engine.sender.load.used_slots == 0, "its slot is free again"
 
 
 def test_a_receipt_after_its_time_still_delivers_a_message_without_answer() -> None:
-    engine, clock, carrier = make()
+    engine, clock, carrier = make_engine()
     calls: list[tuple[Attempt, Callable[[Outcome], None]]] = []
     carrier.start = written(calls)  # type: ignore[method-assign]
     got: list[FinalAnswer] = []
@@ -127,11 +127,11 @@
 
 
 def test_a_store_is_asked_before_each_step_and_holds_it_up() -> None:
-    class Slow:
+    class SlowCarrier:
         def __init__(self) -> None:
             self.asked: list[tuple[Fact, Callable[[], None]]] = []
 
-        def keep(
+        def persist(
             self,
             fact: Fact,
             message: int,
@@ -141,8 +141,8 @@
         ) -> None:
             self.asked.append((fact, then))
 
-    store = Slow()
-    engine, clock, carrier = make(good=1.0, store=store)
+    store = SlowCarrier()
+    engine, clock, carrier = make_engine(good=1.0, store=store)
     got: list[FinalAnswer] = []
     engine.submit(Submission("o", "m", "safe", 1, 4000.0), got.append)
     steps = []
@@ -158,7 +158,7 @@
 
 
 def test_stopping_refuses_the_new_and_answers_the_open() -> None:
-    engine, clock, carrier = make()
+    engine, clock, carrier = make_engine()
     carrier.start = lambda attempt, done: None  # type: ignore[method-assign]
     got: list[tuple[str, Answer]] = []
     for name, cls in (("p", "pay"), ("s", "safe")):
@@ -167,7 +167,7 @@
             lambda a, name=name: got.append((name, a.answer)),  # type: ignore[misc]
         )
     clock.run(1100.0)
-    engine.stop_taking()
+    engine.stop_accepting()
     engine.submit(Submission("o", "new", "pay", 1, 4000.0), lambda a: got.append(("new", a.answer)))
     assert engine.close() == 2
     clock.run(1101.0)
@@ -177,15 +177,15 @@
 
 
 def test_a_send_decided_just_before_its_endpoint_is_gone_finds_the_engine_knowing_it() -> None:
-    engine, clock, carrier = make(good=1.0)
+    engine, clock, carrier = make_engine(good=1.0)
     clock.run(1100.0)
     got: list[FinalAnswer] = []
     for name in "abcdef":
         engine.submit(Submission("o", name, "safe", 1, 4000.0), got.append)
-    engine.news(
-        api.ListNews(
+    engine.update_list(
+        api.ListUpdate(
             api.ListKind.DELTA,
-            tuple(api.EndpointInfo(f"d1-{j}", 1, "", state=api.State.GONE) for j in (0, 1)),
+            tuple(api.EndpointInfo(f"d1-{j}", 1, "", state=api.EntryState.GONE) for j in (0, 1)),
         )
     )
     clock.run(6200.0)
@@ -196,7 +196,7 @@
 class Full:
     """A store without room for a new message."""
 
-    def keep(
+    def persist(
         self,
         fact: Fact,
         message: int,
@@ -208,11 +208,11 @@
 
 
 def test_a_promise_for_a_message_that_found_no_room_is_not_kept_for_ever() -> None:
-    engine, clock, _ = make(store=Full())
+    engine, clock, _ = make_engine(store=Full())
     got: list[FinalAnswer] = []
     told: list[int] = []
     for number in range(5):
         _, record = engine.submit(Submission("o", f"m{number}", "safe", 1, 4000.0), got.append)
-        engine.held(record, lambda: told.append(1))
+        engine.when_admitted(record, lambda: told.append(1))
     clock.run(3000.0)
-    assert len(got) == 5 and not told and not engine.promises
+    assert len(got) == 5 and not told and not engine.admission_callbacks
--- a/tests/core/test_garbage.py
+++ b/tests/core/test_garbage.py
@@ -7,8 +7,8 @@
 
 from brassweir import interface as api
 from brassweir.core.clock import SimClock
-from brassweir.core.ports import Attempt, Going, Outcome, Submission
-from tests.core.made import make
+from brassweir.core.ports import Attempt, Outcome, StartGuard, Submission
+from tests.core.engines import make_engine
 
 
 class Forgetful:
@@ -19,7 +19,7 @@
 
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
         self.count += 1
-        result = api.Result.OK if attempt.going.go() and self.count % 3 else api.Result.NO_CONNECTION
+        result = api.Result.OK if attempt.start_guard.begin() and self.count % 3 else api.Result.NO_CONNECTION
         self.clock.call_at(self.clock.now() + 10.0, lambda: done(Outcome(result)))
 
     def close_idle(self, endpoint: str) -> None:
@@ -27,7 +27,7 @@
 
 
 def test_attempts_that_are_over_are_gone_without_the_collector() -> None:
-    engine, clock, _ = make()
+    engine, clock, _ = make_engine()
     carrier = Forgetful(clock)
     engine.carrier_for = lambda _: carrier
     gc.collect()
@@ -36,7 +36,7 @@
         for i in range(30):
             engine.submit(Submission("o", f"m{i}", "safe", 1 + i % 3, 4000.0), lambda _: None)
         clock.run(12_000.0)
-        left = [type(one).__name__ for one in gc.get_objects() if isinstance(one, Attempt | Going)]
+        left = [type(one).__name__ for one in gc.get_objects() if isinstance(one, Attempt | StartGuard)]
     finally:
         gc.enable()
-    assert carrier.count > 12 and not engine.ledger.open() and left == []
+    assert carrier.count > 12 and not engine.ledger.open_messages() and left == []
--- a/tests/core/test_handovers.py
+++ b/tests/core/test_handovers.py
@@ -9,9 +9,9 @@
 from brassweir import interface as api
 from brassweir.core.clock import SimClock
 from brassweir.core.engine import Engine
-from brassweir.core.ledger import Record
+from brassweir.core.ledger import MessageRecord
 from brassweir.core.ports import Answer, Fact, FinalAnswer, Outcome, Submission
-from tests.core.made import Slow, slow
+from tests.core.engines import SlowCarrier, make_slow_engine
 
 
 class Held:
@@ -20,7 +20,7 @@
     def __init__(self, what: Fact | None) -> None:
         self.what, self.held, self.finals = what, list[Callable[[], None]](), list[FinalAnswer]()
 
-    def keep(
+    def persist(
         self,
         fact: Fact,
         message: int,
@@ -46,22 +46,22 @@
 
     def __init__(self, cls: str, holds: Fact | None) -> None:
         self.store, self.got, self.promised = Held(holds), list[FinalAnswer](), list[int]()
-        self.engine, self.clock, self.carrier = slow(store=self.store)
+        self.engine, self.clock, self.carrier = make_slow_engine(store=self.store)
         self.clock.run(1000.0)
         self.record = self.hand_in("m", cls)
 
-    def hand_in(self, name: str, cls: str) -> Record:
+    def hand_in(self, name: str, cls: str) -> MessageRecord:
         _, record = self.engine.submit(Submission("c", name, cls, 1, 4000.0), self.got.append)
-        self.engine.held(record, lambda: self.promised.append(record.id))
+        self.engine.when_admitted(record, lambda: self.promised.append(record.id))
         return record
 
     def end(self) -> list[str]:
         """Whose attempts were written."""
         self.clock.run(9000.0)
         assert (
-            not self.engine.promises
-            and not self.engine.unbegun.by_destination
-            and self.engine.sender.load.out == 0
+            not self.engine.admission_callbacks
+            and not self.engine.unstarted.by_destination
+            and self.engine.sender.load.used_slots == 0
         )
         assert not self.engine.sender.messages
         return [name for _, name in self.carrier.written]
@@ -126,13 +126,13 @@
     engine: Engine
     play = Play("safe", None)
     engine, carrier, clock = play.engine, play.carrier, play.clock
-    assert isinstance(carrier, Slow) and isinstance(clock, SimClock)
+    assert isinstance(carrier, SlowCarrier) and isinstance(clock, SimClock)
     carrier.connects = [100.0] * 3
     for record in (play.record, play.hand_in("n", "safe"), play.hand_in("o", "safe")):
         clock.run(clock.now() + 5.0)
         engine.withdraw(record)
     assert play.end() == []
-    assert not any(gate.fails for gate in engine.sender.dests[1].gates())
+    assert not any(gate.failure_streak for gate in engine.sender.destinations[1].gates())
 
 
 @pytest.mark.parametrize("held", [0.0, 700.0])
--- a/tests/core/test_recall.py
+++ b/tests/core/test_recall.py
@@ -5,16 +5,16 @@
 import pytest
 
 from brassweir import interface as api
-from brassweir.core import recall
+from brassweir.core import cancel
 from brassweir.core.ports import Attempt, FinalAnswer, Outcome, Submission
-from tests.core.made import CLASSES, slow
+from tests.core.engines import CLASSES, make_slow_engine
 
 
 def test_a_told_wait_calls_back_what_has_not_been_written() -> None:
     """Found by a search for bad days: a call whose connection took long went out while its destination was waited for."""
-    engine, clock, carrier = slow()
+    engine, clock, carrier = make_slow_engine()
     carrier.connects = [200.0, 1.0]
-    carrier.outcomes["told"] = Outcome(api.Result.FULL, wait=500.0)
+    carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=500.0)
     answers: list[FinalAnswer] = []
     for name in ("early", "told"):
         engine.submit(Submission("c", name, CLASSES[0].name, 1, 4000.0), answers.append)
@@ -23,14 +23,14 @@
     early = [at for at, name in carrier.written if name == "early"]
     told = next(at for at, name in carrier.written if name == "told")
     assert len(early) == 1 and early[0] >= told + 10.0 + 500.0 and answers
-    assert not engine.unbegun.by_destination
+    assert not engine.unstarted.by_destination
 
 
 def test_without_the_call_back_it_would_go_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("brassweir.core.recall.waits", lambda *_: [])
-    engine, clock, carrier = slow()
+    monkeypatch.setattr("brassweir.core.cancel.cancelled_by_wait", lambda *_: [])
+    engine, clock, carrier = make_slow_engine()
     carrier.connects = [200.0, 1.0]
-    carrier.outcomes["told"] = Outcome(api.Result.FULL, wait=500.0)
+    carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=500.0)
     for name in ("early", "told"):
         engine.submit(Submission("c", name, CLASSES[0].name, 1, 4000.0), lambda _: None)
         clock.run(clock.now() + 5.0)
@@ -39,25 +39,28 @@
 
 
 def test_news_of_a_drain_calls_back_and_what_is_written_stays() -> None:
-    engine, clock, carrier = slow()
+    engine, clock, carrier = make_slow_engine()
     carrier.connects = [100.0]
     engine.submit(Submission("c", "late", CLASSES[0].name, 1, 4000.0), lambda _: None)
     clock.run(1050.0)
-    (attempt,) = [attempt for attempt, _ in engine.unbegun.by_destination[1].values()]
+    (attempt,) = [attempt for attempt, _ in engine.unstarted.by_destination[1].values()]
     other = next(name for name in ("d1-0", "d1-1") if name != attempt.endpoint.name)
-    engine.news(
-        api.ListNews(
-            api.ListKind.DELTA, (api.EndpointInfo(attempt.endpoint.name, 1, "", state=api.State.DRAINING),)
+    engine.update_list(
+        api.ListUpdate(
+            api.ListKind.DELTA,
+            (api.EndpointInfo(attempt.endpoint.name, 1, "", state=api.EntryState.DRAINING),),
         )
     )
-    assert attempt.going.recalled and not attempt.going.go()
+    assert attempt.start_guard.cancelled and not attempt.start_guard.begin()
     clock.run(1060.0)
-    sent = [note.endpoint for note in engine.ledger.by_name["c", "late"].attempts]
+    sent = [note.endpoint for note in engine.ledger.by_identity["c", "late"].attempts]
     assert sent == [attempt.endpoint.name, other], "it goes elsewhere at once"
-    (again,) = [attempt for attempt, _ in engine.unbegun.by_destination[1].values()]
-    assert again.going.begun
-    engine.news(api.ListNews(api.ListKind.DELTA, (api.EndpointInfo(other, 1, "", state=api.State.GONE),)))
-    assert not again.going.recalled, "its first byte has gone out"
+    (again,) = [attempt for attempt, _ in engine.unstarted.by_destination[1].values()]
+    assert again.start_guard.begun
+    engine.update_list(
+        api.ListUpdate(api.ListKind.DELTA, (api.EndpointInfo(other, 1, "", state=api.EntryState.GONE),))
+    )
+    assert not again.start_guard.cancelled, "its first byte has gone out"
 
 
 def test_separate_routes_wait_separately() -> None:
@@ -65,7 +68,7 @@
         Attempt(i, 0, Submission("c", f"m{i}", "x", 1, 1.0), api.EndpointInfo(f"e{i}", 1, "k"), 5.0, False)
         for i in range(3)
     ]
-    told = Outcome(api.Result.FULL, wait=5.0)
-    assert recall.waits(made[0], told, made, frozenset()) == made
-    assert recall.waits(made[0], told, made, frozenset({"k"})) == [made[0]]
-    assert recall.waits(made[0], Outcome(api.Result.FULL), made, frozenset()) == []
+    told = Outcome(api.Result.BUSY, wait=5.0)
+    assert cancel.cancelled_by_wait(made[0], told, made, frozenset()) == made
+    assert cancel.cancelled_by_wait(made[0], told, made, frozenset({"k"})) == [made[0]]
+    assert cancel.cancelled_by_wait(made[0], Outcome(api.Result.BUSY), made, frozenset()) == []
--- a/tests/destinations/test_destinations.py
+++ b/tests/destinations/test_destinations.py
@@ -5,31 +5,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassweir.destinations.budget import REGROW, Budget
-from brassweir.destinations.setups import REMEMBER, Setups
+from brassweir.destinations.budget import REGROW, ConnectionBudget
+from brassweir.destinations.setup_queue import FAILURE_MEMORY_MS, SetupQueue
 
 # ---- budget
 
 
-def connected(budget: Budget, key: str, cost: float = 1.0, now: float = 0.0) -> str | None:
+def connected(budget: ConnectionBudget, key: str, cost: float = 1.0, now: float = 0.0) -> str | None:
     step = budget.request(key, now)
-    assert step.go
-    if step.close is not None:
-        budget.closed(step.close)
+    assert step.granted
+    if step.evict is not None:
+        budget.closed(step.evict)
     budget.opened(key)
     budget.busy(key)
     budget.idle(key, cost)
-    return step.close
+    return step.evict
 
 
 def test_the_one_unused_for_longest_gives_way_and_the_dear_stay_longer() -> None:
-    budget = Budget(3)
+    budget = ConnectionBudget(3)
     for key in "abc":
         connected(budget, key)
     budget.busy("a")
     budget.idle("a", 1.0)  # used again: b is now the oldest
     assert connected(budget, "d") == "b"
-    budget = Budget(3)
+    budget = ConnectionBudget(3)
     connected(budget, "dear", cost=50.0)
     for key in "bc":
         connected(budget, key)
@@ -39,7 +39,7 @@
 
 
 def test_a_connection_that_ends_before_its_call_has_noticed_leaves_no_count() -> None:
-    budget = Budget(2)
+    budget = ConnectionBudget(2)
     for told in (budget.opened, budget.busy, budget.closed, budget.opened):  # another is made at once
         told("a")
     budget.idle("a", 1.0)
@@ -49,35 +49,35 @@
 
 
 def test_a_call_out_or_a_trial_due_never_gives_way() -> None:
-    budget = Budget(2)
+    budget = ConnectionBudget(2)
     for key in "ab":
         connected(budget, key)
     budget.busy("a")
     budget.pin("b", True)
-    assert not budget.request("c", 0.0).go
+    assert not budget.request("c", 0.0).granted
     budget.pin("b", False)
-    assert budget.request("c", 0.0).close == "b"
+    assert budget.request("c", 0.0).evict == "b"
     assert not budget.holders["a"].pinned and budget.holders["a"].busy == 1
 
 
 def test_the_busy_leave_room_for_waking_ones() -> None:
-    budget = Budget(20)
+    budget = ConnectionBudget(20)
     for _ in range(18):
-        assert budget.request("busy", 0.0).go
+        assert budget.request("busy", 0.0).granted
         budget.opened("busy")
         budget.busy("busy")
-    assert not budget.request("busy", 0.0).go, "what is left is for those that wake"
-    assert budget.request("waking", 0.0).go
+    assert not budget.request("busy", 0.0).granted, "what is left is for those that wake"
+    assert budget.request("waking", 0.0).granted
 
 
 def test_a_shortage_shrinks_the_budget_and_it_grows_back_slowly() -> None:
-    budget = Budget(100)
+    budget = ConnectionBudget(100)
     for i in range(50):
         connected(budget, str(i))
-    assert budget.shortage(1000.0) == "0" and budget.most == 45
-    assert budget.request("x", 1000.0).close is not None
+    assert budget.shortage(1000.0) == "0" and budget.max_connections == 45
+    assert budget.request("x", 1000.0).evict is not None
     now = 1000.0
-    while budget.most < 100:
+    while budget.max_connections < 100:
         now += REGROW
         budget.request("x", now)
         assert now < 1e8
@@ -87,16 +87,16 @@
 @settings(max_examples=100, deadline=None)
 @given(st.integers(1, 12), st.lists(st.tuples(st.integers(0, 30), st.sampled_from("cubip")), max_size=200))
 def test_counts_hold_and_nothing_in_use_is_ever_chosen(most: int, moves: list[tuple[int, str]]) -> None:
-    budget, idle, busy = Budget(most), dict[str, int](), dict[str, int]()
+    budget, idle, busy = ConnectionBudget(most), dict[str, int](), dict[str, int]()
     for number, move in moves:
         key = str(number)
         if move in "cu" and not idle.get(key):
             step = budget.request(key, 0.0)
-            if step.close is not None:
-                assert idle.get(step.close, 0) > 0 and not budget.holders[step.close].pinned
-                idle[step.close] -= 1
-                budget.closed(step.close)
-            if step.go:
+            if step.evict is not None:
+                assert idle.get(step.evict, 0) > 0 and not budget.holders[step.evict].pinned
+                idle[step.evict] -= 1
+                budget.closed(step.evict)
+            if step.granted:
                 budget.opened(key)
                 budget.busy(key)
                 busy[key] = busy.get(key, 0) + 1
@@ -120,17 +120,17 @@
 # ---- set-ups
 
 
-def drain(setups: Setups) -> list[int]:
+def drain(setups: SetupQueue) -> list[int]:
     out = []
-    while (ticket := setups.next()) is not None:
+    while (ticket := setups.next_ticket()) is not None:
         out.append(ticket)
     return out
 
 
 def test_waking_and_growing_take_turns() -> None:
-    setups = Setups(4)
-    growing = [setups.ask("busy", True, 0.0) for _ in range(20)]
-    waking = [setups.ask(f"w{i}", False, 0.0) for i in range(20)]
+    setups = SetupQueue(4)
+    growing = [setups.enqueue("busy", True, 0.0) for _ in range(20)]
+    waking = [setups.enqueue(f"w{i}", False, 0.0) for i in range(20)]
     out = drain(setups)
     assert (
         len(out) == 4
@@ -140,27 +140,27 @@
 
 
 def test_suspects_never_hold_more_than_their_share() -> None:
-    setups = Setups(8)
+    setups = SetupQueue(8)
     for i in range(20):
-        setups.done(setups.ask(f"d{i}", False, 0.0), False, 0.0)
-        ticket = setups.next()
+        setups.done(setups.enqueue(f"d{i}", False, 0.0), False, 0.0)
+        ticket = setups.next_ticket()
         if ticket is not None:
             setups.done(ticket, False, 0.0)
     for i in range(20):
         setups.failed[f"d{i}"] = 0.0
-        setups.ask(f"d{i}", False, 1.0)
+        setups.enqueue(f"d{i}", False, 1.0)
     assert len(drain(setups)) == 2
-    good = [setups.ask(f"g{i}", False, 1.0) for i in range(10)]
-    assert set(drain(setups)) <= set(good) and len(setups.out) == 8
-    fresh = Setups(8)
+    good = [setups.enqueue(f"g{i}", False, 1.0) for i in range(10)]
+    assert set(drain(setups)) <= set(good) and len(setups.active) == 8
+    fresh = SetupQueue(8)
     fresh.failed["d"] = 0.0
-    fresh.ask("d", False, REMEMBER + 1.0)
+    fresh.enqueue("d", False, FAILURE_MEMORY_MS + 1.0)
     assert not fresh.failed, "an old failure is forgotten"
 
 
 def test_a_destination_that_wakes_sets_up_one_connection_first() -> None:
-    setups = Setups(8)
-    tickets = [setups.ask("w", False, 0.0) for _ in range(5)]
+    setups = SetupQueue(8)
+    tickets = [setups.enqueue("w", False, 0.0) for _ in range(5)]
     assert drain(setups) == tickets[:1]
     setups.done(tickets[0], True, 1.0)
     assert drain(setups) == tickets[1:2]
--- a/tests/forward/server.py
+++ b/tests/forward/server.py
@@ -16,8 +16,8 @@
 from brassweir.forward.session import Admitted, Came, Denied, Session
 from brassweir.interface import EndpointInfo
 from brassweir.lab.standins.sink import Keys
-from brassweir.net.limiter import Pools
 from brassweir.net.limits import Limits
+from brassweir.net.pool_manager import PoolManager
 from tests.conftest import run
 
 KEY = b"shared"
@@ -112,7 +112,7 @@
 
 
 def made(url: str | None, batch: int = 1, key: bytes = KEY, notes: list[str] | None = None) -> ForwardCarrier:
-    pools = Pools(Limits(), 8, 5000.0, 500.0)
+    pools = PoolManager(Limits(), 8, 5000.0, 500.0)
     return ForwardCarrier(
         Urls(url),
         pools,
@@ -133,7 +133,7 @@
         try:
             return await carry(carrier, [attempt(number, span) for number in range(attempts)]), server
         finally:
-            carrier.pools.close()
+            carrier.pools.close_all_idle()
             server.stop()
 
     return run(work())
--- a/tests/forward/stage.py
+++ b/tests/forward/stage.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from brassweir.core.ledger import Ledger, Record, Taken
+from brassweir.core.ledger import Ledger, MessageRecord, SubmitStatus
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Answer, FinalAnswer, Submission
 from brassweir.forward import message
@@ -19,8 +19,8 @@
 from brassweir.forward.ports import Bounds, Source
 from brassweir.interface import Effect, MessageClass
 from brassweir.lab.standins.shipper import Line, connect
-from brassweir.undelivered.item import Item
-from brassweir.undelivered.store import Kept, read_all
+from brassweir.undelivered.item import UndeliveredItem
+from brassweir.undelivered.store import UndeliveredStore, read_all
 
 CLASSES = {
     "status": MessageClass("status", 500.0, 5000.0, Effect.SAFE),
@@ -49,21 +49,25 @@
         return asyncio.get_running_loop().time() * 1000.0
 
     def knows(self, owner: str, identity: str) -> bool:
-        record = self.ledger.by_name.get((owner, identity))
-        return record is not None and (record.answer is None or self.ledger.reopens(record, self.now) <= 0.0)
+        record = self.ledger.by_identity.get((owner, identity))
+        return record is not None and (
+            record.answer is None or self.ledger.retry_window(record, self.now) <= 0.0
+        )
 
-    def submit(self, submission: Submission, waiter: Callable[[FinalAnswer], None]) -> tuple[Taken, Record]:
-        how, record = self.ledger.take(submission, self.now, waiter)
+    def submit(
+        self, submission: Submission, waiter: Callable[[FinalAnswer], None]
+    ) -> tuple[SubmitStatus, MessageRecord]:
+        how, record = self.ledger.accept(submission, self.now, waiter)
         loop = asyncio.get_running_loop()
-        if how is Taken.ENDED:
+        if how is SubmitStatus.ENDED:
             assert record.answer is not None
             loop.call_soon(waiter, record.answer)
-        elif how is Taken.NEW:
+        elif how is SubmitStatus.NEW:
             self.taken.append(submission)
             loop.create_task(self._end(record))
         return how, record
 
-    async def _end(self, record: Record) -> None:
+    async def _end(self, record: MessageRecord) -> None:
         if self.hold is not None:
             await self.hold.wait()
         answer = self.answers.get(record.submission.identity, DELIVERED)
@@ -92,7 +96,7 @@
         self.engine, self.folder = Engine(), folder
         self.notes: list[tuple[str, dict[str, object]]] = []
         names = [f"edge-{i}" for i in range(sources)]
-        self.kept = Kept(folder, kept)
+        self.kept = UndeliveredStore(folder, kept)
         self.gate = Gate({name: f"key {name}".encode() for name in names})
         self.front = ForwardFront(
             {name: Source(name, RULES, acks) for name in names},
@@ -109,8 +113,8 @@
         self.port = 0
         self.lines: list[Line] = []
 
-    async def _keep(self, item: Item) -> None:
-        await asyncio.to_thread(self.kept.keep, item)
+    async def _keep(self, item: UndeliveredItem) -> None:
+        await asyncio.to_thread(self.kept.save, item)
 
     async def line(self, number: int = 0) -> Line:
         one = await connect("127.0.0.1", self.port, f"edge-{number}", f"key edge-{number}".encode())
@@ -120,8 +124,8 @@
     def noted(self, event: str) -> list[dict[str, object]]:
         return [details for name, details in self.notes if name == event]
 
-    def items(self) -> list[Item]:
-        return [item for _, item in read_all(self.folder) if isinstance(item, Item)]
+    def items(self) -> list[UndeliveredItem]:
+        return [item for _, item in read_all(self.folder) if isinstance(item, UndeliveredItem)]
 
 
 @asynccontextmanager
--- a/tests/forward/test_carrier.py
+++ b/tests/forward/test_carrier.py
@@ -8,9 +8,9 @@
 import pytest
 from msgpack import packb
 
-from brassweir.core.identity import onward
+from brassweir.core.identity import delivery_id
 from brassweir.core.offload import Offload
-from brassweir.core.ports import Bar, Payload
+from brassweir.core.ports import BlockReason, Payload
 from brassweir.forward import events, handshake, message
 from brassweir.forward.carrier import ForwardCarrier
 from brassweir.forward.link import Credentials
@@ -18,8 +18,8 @@
 from brassweir.forward.session import Admitted, Denied, Session
 from brassweir.interface import Result
 from brassweir.lab.standins.sink import Keys
-from brassweir.net.limiter import Pools
 from brassweir.net.limits import Limits
+from brassweir.net.pool_manager import PoolManager
 from tests.conftest import run
 from tests.forward.server import (
     KEY,
@@ -42,7 +42,12 @@
     (one,), server = outcomes(ack)
     assert one.result is Result.OK and not one.rejected
     (got,) = server.got
-    assert (got.tag, got.chunk, got.data, got.size) == ("log.a", onward("edge", "c0"), payload().content, 2)
+    assert (got.tag, got.chunk, got.data, got.size) == (
+        "log.a",
+        delivery_id("edge", "c0"),
+        payload().content,
+        2,
+    )
     assert server.lines[0].session.source == "s1"
 
 
@@ -102,7 +107,7 @@
 
 def test_a_batch_shares_a_call_and_each_has_its_own_ending() -> None:
     def act(line: Line, given: Message) -> None:
-        if given.chunk != onward("edge", "c1"):
+        if given.chunk != delivery_id("edge", "c1"):
             ack(line, given)
 
     found, server = outcomes(act, attempts=3, batch=4, span=0.4)
@@ -118,7 +123,7 @@
         for number in range(calls):
             await carry(carrier, [attempt(number, 0.2)])
             await asyncio.sleep(0.02)
-        carrier.pools.close()
+        carrier.pools.close_all_idle()
         server.stop()
         return len(server.lines)
 
@@ -167,7 +172,7 @@
         async with stage(tmp_path) as second:
             carrier = ForwardCarrier(
                 Urls(f"forward://127.0.0.1:{second.port}"),
-                Pools(Limits(), 8, 5000.0, 500.0),
+                PoolManager(Limits(), 8, 5000.0, 500.0),
                 Credentials("edge-0", b"key edge-0"),
                 Offload(1),
                 lambda *_: None,
@@ -177,13 +182,13 @@
             found = await carry(carrier, [attempt(number) for number in range(4)])
             assert [one.result for one in found] == [Result.OK] * 4
             assert {given.identity for given in second.engine.taken} == {
-                onward("edge", f"c{number}") for number in range(4)
+                delivery_id("edge", f"c{number}") for number in range(4)
             }
             again = await carry(carrier, [attempt(2)])
             assert again[0].result is Result.OK and len(second.engine.taken) == 4, (
                 "a repeat has no second effect"
             )
-            carrier.pools.close()
+            carrier.pools.close_all_idle()
 
     run(work())
 
@@ -193,13 +198,13 @@
         server = Server(ack)
         carrier = made(await server.start(), batch=2)
         try:
-            going, over = attempt(0, 8.0), attempt(1, 8.0)
-            over.going.check = lambda: Bar.MESSAGE_OVER
-            one, other = await asyncio.wait_for(carry(carrier, [going, over]), 4.0)
+            start_guard, over = attempt(0, 8.0), attempt(1, 8.0)
+            over.start_guard.check = lambda: BlockReason.MESSAGE_OVER
+            one, other = await asyncio.wait_for(carry(carrier, [start_guard, over]), 4.0)
             assert one.result is Result.OK and not other.may_have_run
-            assert [got.chunk for got in server.got] == [onward("edge", "c0")]
+            assert [got.chunk for got in server.got] == [delivery_id("edge", "c0")]
         finally:
-            carrier.pools.close()
+            carrier.pools.close_all_idle()
             server.stop()
 
     run(work())
--- a/tests/forward/test_decide.py
+++ b/tests/forward/test_decide.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassweir.config.tags import matcher
+from brassweir.config.tags import compile_pattern
 from brassweir.core.ports import Answer, FinalAnswer
 from brassweir.forward.decide import answers
 from brassweir.forward.decide.answers import Tell
@@ -33,7 +33,7 @@
     ],
 )
 def test_patterns_match_as_fluentd_has_them(pattern: str, yes: list[str], no: list[str]) -> None:
-    found = matcher(pattern)
+    found = compile_pattern(pattern)
     assert [tag for tag in yes if not found.fullmatch(tag)] == []
     assert [tag for tag in no if found.fullmatch(tag)] == []
 
@@ -41,14 +41,14 @@
 @pytest.mark.parametrize("pattern", ["", "  ", "a..b", ".a", "a.", "{a", "a}", "{a,}", "{a,{b}}"])
 def test_patterns_that_mean_nothing(pattern: str) -> None:
     with pytest.raises(ValueError):
-        matcher(pattern)
+        compile_pattern(pattern)
 
 
 @given(st.text("ab.*{},", max_size=12))
 @settings(max_examples=300, deadline=None)
 def test_no_pattern_breaks_the_maker(pattern: str) -> None:
     try:
-        assert isinstance(matcher(pattern), re.Pattern)
+        assert isinstance(compile_pattern(pattern), re.Pattern)
     except ValueError:
         pass
 
--- a/tests/forward/test_front.py
+++ b/tests/forward/test_front.py
@@ -31,7 +31,7 @@
             )
             assert isinstance(given.payload, Payload) and given.payload.content_type == events.LINES
             assert given.payload.content.count(b"\n") == (1 if mode is Mode.MESSAGE else 2)
-            assert given.left == 4900.0
+            assert given.time_left == 4900.0
             assert await send(one.lines[0], "c2", chunk("c2", "pay.x", mode)) == "acked"
             packed = one.engine.taken[1].payload
             assert (
--- a/tests/journal/made.py
+++ b/tests/journal/made.py
@@ -29,7 +29,7 @@
             Final(ident, "delivered", "", 0.0, 10.0 * ident + 6),
         ):
             writer.add(record, None)
-            group = writer.take()
+            group = writer.next_group()
             assert group is not None
-            writer.done(group, writer.commit(group))
+            writer.group_committed(group, writer.commit(group))
     return disk
--- a/tests/journal/test_crashes.py
+++ b/tests/journal/test_crashes.py
@@ -9,7 +9,7 @@
 
 from brassweir.core.ports import Fact
 from brassweir.journal import durability, recover, store
-from brassweir.journal.group import Broken
+from brassweir.journal.group import JournalBroken
 from brassweir.journal.scan import scan
 from brassweir.lab.simulated import crash
 from brassweir.lab.simulated.crash import Run, sweep
@@ -38,7 +38,11 @@
     ],
 )
 def test_a_barrier_left_out_is_caught(monkeypatch: pytest.MonkeyPatch, fact: Fact, words: str) -> None:
-    monkeypatch.setattr(store, "waits", lambda one, effect: one is not fact and durability.waits(one, effect))
+    monkeypatch.setattr(
+        store,
+        "waits_for_commit",
+        lambda one, effect: one is not fact and durability.waits_for_commit(one, effect),
+    )
     problems: list[str] = []
     for seed in (1, 2):
         problems += sweep(seed, 30, ["lost"], range(1, TOTAL + 1, 2)).problems
@@ -88,7 +92,7 @@
     run.storage.bad_sync = step
     try:
         run.life(30_000.0)
-    except Broken:
+    except JournalBroken:
         pass
     assert run.broken or step < 4
     told = {name for name, got in run.world.answers.items() if got}
@@ -108,6 +112,6 @@
     run = Run(Script.draw(SEED, COUNT, 2500.0), SEED, Sick())
     try:
         run.life(10_000.0)
-    except Broken:
+    except JournalBroken:
         pass
     assert run.broken and "Input/output error" in str(run.broken[0])
--- a/tests/journal/test_plan.py
+++ b/tests/journal/test_plan.py
@@ -9,9 +9,9 @@
 from brassweir.control import Sender
 from brassweir.interface import Result
 from brassweir.journal import records, recover
-from brassweir.journal.life import Lives
 from brassweir.journal.records import Began, Ended, Final, Intent, Taken, Told
 from brassweir.journal.recover import Hole
+from brassweir.journal.state import JournalState
 from brassweir.lab.simulated.crash_world import BY_NAME
 from tests.journal.made import taken
 
@@ -23,10 +23,10 @@
     remember: float = 1e9,
     unknown: tuple[str, ...] = (),
 ) -> recover.Plan:
-    lives = Lives()
+    lives = JournalState()
     for record in all_records:
         lives.apply(record)
-    return recover.plan(lives, holes, BY_NAME, wall, remember, 100.0, unknown)
+    return recover.plan_recovery(lives, holes, BY_NAME, wall, remember, 100.0, unknown)
 
 
 @pytest.mark.parametrize(
@@ -58,10 +58,10 @@
 ) -> None:
     plan = made(taken(1, cls), *seen, wall=wall)
     if answer:
-        assert [one.final.answer for one in plan.answered] == [answer] and plan.answered[0].fresh
-        assert not plan.again
+        assert [one.final.answer for one in plan.answered] == [answer] and plan.answered[0].unpersisted
+        assert not plan.resumed
     else:
-        assert [one.left for one in plan.again] == [left] and not plan.answered
+        assert [one.left for one in plan.resumed] == [left] and not plan.answered
 
 
 @pytest.mark.parametrize(
@@ -77,13 +77,13 @@
     seen: list[records.Record], answers: list[str], again: list[int]
 ) -> None:
     """Nothing tells after a restart in which zone it may have run: neither another attempt nor a refusal is harmless."""
-    lives = Lives()
+    lives = JournalState()
     for record in (taken(1, "near"), *seen):
         lives.apply(record)
     near = api.MessageClass("near", 1000.0, 6000.0, api.Effect.KEYED, group="zone", window=5000.0)
-    plan = recover.plan(lives, (), {"near": near}, 700.0, 1e9, 100.0)
+    plan = recover.plan_recovery(lives, (), {"near": near}, 700.0, 1e9, 100.0)
     assert [one.final.answer for one in plan.answered] == answers and [
-        one.taken.id for one in plan.again
+        one.taken.id for one in plan.resumed
     ] == again
 
 
@@ -99,14 +99,14 @@
 def test_what_came_before_its_class_was_keyed_has_no_key_to_go_again_by(
     effect: api.Effect, subject: str, seen: list[records.Record], answers: list[str]
 ) -> None:
-    lives = Lives()
+    lives = JournalState()
     for record in (msgspec.structs.replace(taken(1, "note", reply=b"n"), subject=subject), *seen):
         lives.apply(record)
     known = {"note": api.MessageClass("note", 1000.0, 6000.0, effect, window=5000.0)}
-    plan = recover.plan(lives, (), known, 700.0, 1e9, 100.0)
-    recover.keyless(plan, known, 700.0)
-    assert [one.final.answer for one in plan.answered] == answers and len(plan.again) == 1 - len(answers)
-    assert all(one.owed and one.fresh for one in plan.answered)
+    plan = recover.plan_recovery(lives, (), known, 700.0, 1e9, 100.0)
+    recover.end_keyless_messages(plan, known, 700.0)
+    assert [one.final.answer for one in plan.answered] == answers and len(plan.resumed) == 1 - len(answers)
+    assert all(one.receipt_pending and one.unpersisted for one in plan.answered)
 
 
 def test_answers_are_remembered_for_their_time_and_receipts_until_told() -> None:
@@ -114,7 +114,7 @@
     assert made(taken(1), final, wall=1500.0, remember=1000.0).answered[0].ago == 500.0
     assert not made(taken(1), final, wall=2500.0, remember=1000.0).answered
     owed = made(taken(1, reply=b"x"), final, wall=9e9, remember=1000.0).answered
-    assert owed[0].owed and not owed[0].fresh
+    assert owed[0].receipt_pending and not owed[0].unpersisted
     assert not made(taken(1, reply=b"x"), final, Told(1), wall=9e9, remember=1000.0).answered
 
 
@@ -128,15 +128,15 @@
     )
     assert [(one.taken.id, one.final.answer) for one in plan.answered] == [(2, "delivered")]
     plan = made(taken(1, reply=b"reply"), Final(1, "refused", "", 0.0, 100.0), again)
-    assert not plan.answered and [one.taken.id for one in plan.again] == [2]
+    assert not plan.answered and [one.taken.id for one in plan.resumed] == [2]
 
 
 def test_what_a_hole_hides_counts_as_may_have_run() -> None:
     hole = Hole("x", known=1)
     plan = made(taken(1), taken(2), holes=(hole,))
     assert [one.final.answer for one in plan.answered] == ["failed"]
-    assert [one.taken.id for one in plan.again] == [2], "one taken after the hole is not in doubt"
-    assert made(taken(1, "safe"), holes=(hole,)).again
+    assert [one.taken.id for one in plan.resumed] == [2], "one taken after the hole is not in doubt"
+    assert made(taken(1, "safe"), holes=(hole,)).resumed
 
 
 def test_keys_rest_if_one_was_out_and_destinations_may_be_gone() -> None:
@@ -154,7 +154,7 @@
     )
     assert [(one.endpoint, one.result, one.ago, one.wait) for one in plan.past][-1] == (
         "w",
-        Result.FULL,
+        Result.BUSY,
         500.0,
         2000.0,
     )
@@ -162,7 +162,7 @@
     sender = Sender(sets, 1, 0.0)
     entries = (api.EndpointInfo("e", 1, ""), api.EndpointInfo("w", 2, ""), api.EndpointInfo("n", 3, ""))
     news = [api.NewMessage(i, "safe", i, 5000.0) for i in (1, 2, 3)]
-    actions = sender.handle(0.0, [api.ListNews(api.ListKind.FULL, entries), *plan.past, *news])
+    actions = sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, entries), *plan.past, *news])
     assert [one.endpoint for one in actions if isinstance(one, api.Send)] == ["n"], (
         "one shut, one told to wait"
     )
--- a/tests/journal/test_ready.py
+++ b/tests/journal/test_ready.py
@@ -13,12 +13,12 @@
 from brassweir.core.engine import Engine
 from brassweir.journal import compact, frame, recover
 from brassweir.journal.records import Ended, Final, Intent, Record, Taken, Told
-from brassweir.journal.restart import carry_out
+from brassweir.journal.restart import apply_plan
 from brassweir.journal.scan import scan
-from brassweir.journal.sizes import within
+from brassweir.journal.sizes import limits_within
 from brassweir.journal.writer import Writer
 from brassweir.lab.simulated.disk import SimStorage
-from tests.core.made import Slow, Store
+from tests.core.engines import SlowCarrier, Store
 
 NOW = 100_000.0
 CLASSES = (
@@ -56,29 +56,29 @@
     refused: list[str] = []
     for one in some:
         writer.add(one, None, refused.append)
-    group = writer.take()
+    group = writer.next_group()
     assert group is not None
-    writer.done(group, writer.commit(group))
+    writer.group_committed(group, writer.commit(group))
     return not refused
 
 
 def started(disk: SimStorage) -> tuple[Engine, SimClock]:
     """From the folder to the end of the module's first turn."""
     found, clock = scan(disk), SimClock(NOW + 700.0)
-    carrier = Slow(clock)
+    carrier = SlowCarrier(clock)
     engine = Engine(
         api.Settings(classes=CLASSES, slots=8, max_open=60), 1, clock, lambda _: carrier, store=Store(clock)
     )
-    engine.news(
-        api.ListNews(
+    engine.update_list(
+        api.ListUpdate(
             api.ListKind.CACHED,
             tuple(api.EndpointInfo(f"d{i}-{j}", i, "") for i in (1, 2, 3, 4) for j in (0, 1)),
         )
     )
-    plan = recover.plan(
-        found.lives, found.holes, {cls.name: cls for cls in CLASSES}, clock.now(), 3000.0, 0.0
+    plan = recover.plan_recovery(
+        found.state, found.holes, {cls.name: cls for cls in CLASSES}, clock.now(), 3000.0, 0.0
     )
-    carry_out(plan, engine, Store(clock), int, lambda *_: lambda _: None)  # type: ignore[arg-type]
+    apply_plan(plan, engine, Store(clock), int, lambda *_: lambda _: None)  # type: ignore[arg-type]
     clock.run(clock.now())
     return engine, clock
 
@@ -88,11 +88,11 @@
     monkeypatch: pytest.MonkeyPatch, rewritten: bool
 ) -> None:
     disk, ident = SimStorage(), 0
-    writer = Writer(disk, scan(disk), within(256 * 1024))
+    writer = Writer(disk, scan(disk), limits_within(256 * 1024))
     writer.open()
     while put(writer, *records(ident := ident + 1, ident % 4 > 0)):
         if rewritten and ident == 300:
-            writer.snapshot(list(compact.kept(writer.lives, NOW, 1e9)), writer.close_segment())
+            writer.snapshot(list(compact.live_records(writer.state, NOW, 1e9)), writer.close_segment())
     read, decoded = Counter[str](), Counter[int]()
     real_read, real_one = SimStorage.read, frame._one
 
@@ -110,7 +110,7 @@
     snapshot = sum(name.endswith(".snap") for name in read)
     assert snapshot == rewritten and all(times == 1 + name.endswith(".snap") for name, times in read.items())
     assert found.records <= decoded[1] <= 2 * found.records
-    assert 100_000 < found.size <= 160_000 and len(found.lives.by_id) > 300
+    assert 100_000 < found.size <= 160_000 and len(found.state.by_id) > 300
 
 
 @pytest.mark.parametrize("ended", [False, True])
--- a/tests/journal/test_real_time.py
+++ b/tests/journal/test_real_time.py
@@ -19,35 +19,35 @@
 def test_a_step_of_the_wall_clock_moves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seconds: float
 ) -> None:
-    before = real_time.opened(tmp_path, 0.0).now()
+    before = real_time.open_clock(tmp_path, 0.0).now()
     stepped(monkeypatch, seconds)
-    assert 0.0 <= real_time.opened(tmp_path, before).now() - before < 1000.0
+    assert 0.0 <= real_time.open_clock(tmp_path, before).now() - before < 1000.0
 
 
 def test_after_a_restart_of_the_machine_the_wall_clock_says_how_long_it_was(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = real_time.opened(tmp_path, 0.0).now()
+    before = real_time.open_clock(tmp_path, 0.0).now()
     stepped(monkeypatch, 60.0)
     monkeypatch.setattr(real_time, "_boot", lambda: "another")
-    assert 60_000.0 <= real_time.opened(tmp_path, before).now() - before < 61_000.0
+    assert 60_000.0 <= real_time.open_clock(tmp_path, before).now() - before < 61_000.0
 
 
 def test_a_monotonic_clock_that_lies_behind_the_journal_is_not_trusted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = real_time.opened(tmp_path, 0.0).now()
+    before = real_time.open_clock(tmp_path, 0.0).now()
     stepped(monkeypatch, 2.0)
     monkeypatch.setattr(real_time, "monotonic", lambda: 5.0)
-    assert 2000.0 <= real_time.opened(tmp_path, before).now() - before < 3000.0
+    assert 2000.0 <= real_time.open_clock(tmp_path, before).now() - before < 3000.0
 
 
 @pytest.mark.parametrize("content", [b"", b"{", b'{"boot": 1}', b"\xff"])
 def test_a_note_that_cannot_be_read_is_written_anew(tmp_path: Path, content: bytes) -> None:
-    (tmp_path / real_time.NAME).write_bytes(content)
-    first = real_time.opened(tmp_path, 0.0)
+    (tmp_path / real_time.CLOCK_FILE).write_bytes(content)
+    first = real_time.open_clock(tmp_path, 0.0)
     assert abs(first.now() - time.time() * 1000.0) < 1000.0
-    assert real_time.opened(tmp_path, first.now()).ahead == first.ahead
+    assert real_time.open_clock(tmp_path, first.now()).ahead == first.ahead
 
 
 def test_a_folder_that_takes_no_note_leaves_the_wall_clock(
@@ -57,5 +57,5 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(Path, "write_bytes", fails)
-    assert abs(real_time.opened(tmp_path, 0.0).now() - time.time() * 1000.0) < 1000.0
-    assert not (tmp_path / real_time.NAME).exists()
+    assert abs(real_time.open_clock(tmp_path, 0.0).now() - time.time() * 1000.0) < 1000.0
+    assert not (tmp_path / real_time.CLOCK_FILE).exists()
--- a/tests/journal/test_torn.py
+++ b/tests/journal/test_torn.py
@@ -25,16 +25,16 @@
     writer.open()
     for record in records:
         writer.add(record, None)
-        group = writer.take()
+        group = writer.next_group()
         assert group is not None
-        writer.done(group, writer.commit(group))
+        writer.group_committed(group, writer.commit(group))
     return writer
 
 
 def goes_on(found: Scan) -> tuple[list[int], list[int]]:
     """Ids that are tried again, and those that are given up."""
-    plan = recover.plan(found.lives, found.holes, BY_NAME, 1000.0, 1e9, 0.0)
-    return [one.taken.id for one in plan.again], [one.taken.id for one in plan.answered]
+    plan = recover.plan_recovery(found.state, found.holes, BY_NAME, 1000.0, 1e9, 0.0)
+    return [one.taken.id for one in plan.resumed], [one.taken.id for one in plan.answered]
 
 
 @pytest.mark.parametrize("cut", [1, 5, 30, 60])
@@ -42,18 +42,18 @@
 def test_a_torn_end_stays_no_damage_when_another_segment_follows(torn: Record, cut: int) -> None:
     disk = SimStorage()
     life(disk, taken(1), taken(2, "key"), torn)
-    size = len(frame.frame(3, torn))
+    size = len(frame.encode_frame(3, torn))
     disk.synced[FIRST] = disk.synced[FIRST][: -min(cut, size - 1)]
     for more in (4, 5, 6):
         found = scan(disk)
-        assert found.problems == [] and found.holes == [] and found.torn == size - min(cut, size - 1)
+        assert found.problems == [] and found.holes == [] and found.torn_bytes == size - min(cut, size - 1)
         assert goes_on(found) == ([1, 2, *range(4, more)], []), (
             "what was taken on and is untried is still tried"
         )
         life(disk, taken(more))
 
 
-@pytest.mark.parametrize("left", [0, 7, frame.HEADER - 1])
+@pytest.mark.parametrize("left", [0, 7, frame.HEADER_BYTES - 1])
 @pytest.mark.parametrize("starts", [1, 3])
 @pytest.mark.parametrize("before", [[], [taken(1)]])
 def test_a_segment_that_got_no_whole_header_is_no_damage_either(
@@ -74,7 +74,7 @@
 
 
 def whole_record(data: bytes) -> bytes:
-    return data[: -len(frame.frame(2, Intent(1, 0, "e", 500.0)))]
+    return data[: -len(frame.encode_frame(2, Intent(1, 0, "e", 500.0)))]
 
 
 def flipped(data: bytes) -> bytes:
--- a/tests/journal/test_untried.py
+++ b/tests/journal/test_untried.py
@@ -12,10 +12,10 @@
 from brassweir.core.engine import Engine
 from brassweir.core.ports import FinalAnswer, Submission
 from brassweir.journal import compact, recover
-from brassweir.journal.life import Lives
 from brassweir.journal.records import Ended, Intent, Record
-from brassweir.journal.restart import carry_out
-from tests.core.made import Slow, Store
+from brassweir.journal.restart import apply_plan
+from brassweir.journal.state import JournalState
+from tests.core.engines import SlowCarrier, Store
 from tests.journal.made import taken
 
 NOW = 100_000.0
@@ -42,7 +42,7 @@
 ) -> Counter[str]:
     """How messages found untried, for four destinations with two endpoints each, fared: tried, or given up with
     what part of their time left."""
-    lives, clock = Lives(), SimClock(NOW)
+    lives, clock = JournalState(), SimClock(NOW)
     for ident in range(1, count + 1):
         lives.apply(taken(ident, CLASSES[ident % 3].name, NOW + left, reply=b"n"))
         taken_on = lives.by_id[ident].taken
@@ -62,7 +62,7 @@
         )
     for record in past:
         lives.apply(record)
-    carrier = Slow(clock)
+    carrier = SlowCarrier(clock)
     sets = api.Settings(
         classes=CLASSES,
         slots=slots,
@@ -75,8 +75,8 @@
         weights="rough",
     )
     engine = Engine(sets, 1, clock, lambda _: carrier, store=Store(clock))
-    engine.news(
-        api.ListNews(
+    engine.update_list(
+        api.ListUpdate(
             api.ListKind.CACHED,
             tuple(api.EndpointInfo(f"d{i}-{j}", i, "", rate=50.0) for i in (1, 2, 3, 4) for j in (0, 1)),
         )
@@ -91,7 +91,7 @@
 
         return give
 
-    carry_out(recover.plan(lives, (), BY_NAME, NOW, 1e9, 0.0), engine, Store(clock), int, owing)  # type: ignore[arg-type]
+    apply_plan(recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0), engine, Store(clock), int, owing)  # type: ignore[arg-type]
     clock.run(NOW + left + 1000.0)
     assert len(given_up) == count, "each has its end"
     tried = {name for _, name in carrier.written}
@@ -151,7 +151,7 @@
 
 
 def test_what_stands_of_the_past_is_what_stood_when_the_process_ran() -> None:
-    lives = Lives()
+    lives = JournalState()
     for record in [
         *ends("a", *FAILS),
         *ends("b", "ok", ago=925.0),
@@ -159,12 +159,12 @@
         *ends("c", "full", ago=990.0, wait=100.0),
     ]:
         lives.apply(record)
-    plan = recover.plan(lives, (), BY_NAME, NOW, 1e9, 0.0)
+    plan = recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0)
     agos = [one.ago for one in plan.past]
     assert agos == sorted(agos, reverse=True), "oldest first, whatever the endpoint"
 
     def left(place: Callable[[str], object]) -> list[tuple[str, float]]:
-        return [(one.endpoint, one.ago) for one in recover.standing(plan, place)]
+        return [(one.endpoint, one.ago) for one in recover.relevant_past(plan, place)]
 
     assert left(lambda name: name) == [("a", 1000.0), ("c", 990.0), ("a", 950.0), ("a", 900.0), ("b", 700.0)]
     assert left(lambda _: 1) == [("c", 990.0), ("a", 900.0), ("b", 700.0)], (
@@ -173,33 +173,35 @@
 
 
 def test_a_snapshot_keeps_the_last_pass_and_what_comes_twice_counts_once() -> None:
-    lives = Lives()
+    lives = JournalState()
     for record in [*ends("b", "ok"), *ends("a", "reset", "reset", ago=500.0)]:
         lives.apply(record)
-    again = Lives()
-    kept = list(compact.kept(lives, NOW, 1e9))
+    again = JournalState()
+    kept = list(compact.live_records(lives, NOW, 1e9))
     for record in [
         *kept,
         *ends("a", "reset", "reset", ago=500.0),
     ]:  # the last two stand behind the snapshot too
         again.apply(record)
-    assert again.passed == lives.passed and again.trails == lives.trails
-    assert list(compact.kept(again, NOW, 1e9)) == kept
+    assert again.passed == lives.passed and again.recent_outcomes == lives.recent_outcomes
+    assert list(compact.live_records(again, NOW, 1e9)) == kept
 
 
 def test_what_was_our_own_doing_drives_no_evidence_out() -> None:
-    lives = Lives()
+    lives = JournalState()
     for record in [*ends("a", *FAILS), *ends("a", *["moot", "cancelled"] * 6, ago=800.0)]:
         lives.apply(record)
-    assert [one.result.value for one in recover.plan(lives, (), BY_NAME, NOW, 1e9, 0.0).past] == list(FAILS)
+    assert [
+        one.result.value for one in recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0).past
+    ] == list(FAILS)
 
 
 def test_an_attempt_after_damage_has_a_number_of_its_own() -> None:
     """Else its ending could pass for that of an earlier attempt, which may have run."""
-    lives = Lives()
+    lives = JournalState()
     for record in (
         taken(1, "key", NOW + 4000.0),
         Intent(1, 1, "e", NOW - 100.0),
     ):  # the first attempt is lost
         lives.apply(record)
-    assert recover.plan(lives, (), BY_NAME, NOW, 1e9, 0.0).again[0].number == 2
+    assert recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0).resumed[0].number == 2
