--- a/tests/journal/test_windows.py
+++ b/tests/journal/test_windows.py
@@ -9,10 +9,10 @@
 from brassweir import interface as api
 from brassweir.core.ports import Answer, FinalAnswer
 from brassweir.journal import recover
-from brassweir.journal.life import Lives
 from brassweir.journal.records import Ended, Intent, Record, Taken
-from brassweir.journal.restart import carry_out
-from tests.core.made import Slow, Store, slow, stand_still
+from brassweir.journal.restart import apply_plan
+from brassweir.journal.state import JournalState
+from tests.core.engines import SlowCarrier, Store, make_slow_engine, stall_loop
 
 FIRST = 10_000.0  # wall ms at which the first attempt's intent was written
 
@@ -23,24 +23,24 @@
     ready: float,
     pause: float = 0.0,
     turn: float = 0.0,
-    prepare: Callable[[Slow], None] = lambda _: None,
-) -> tuple[Slow, list[tuple[float, FinalAnswer]]]:
+    prepare: Callable[[SlowCarrier], None] = lambda _: None,
+) -> tuple[SlowCarrier, list[tuple[float, FinalAnswer]]]:
     """A process that reads ``records`` at ``ready``, takes ``pause`` until it carries its plan out and ``turn`` until
     the module's first turn after that; what it wrote and answered in the next 10 s."""
-    lives = Lives()
+    lives = JournalState()
     for record in records:
         lives.apply(record)
-    engine, clock, carrier = slow(classes=classes, at=ready)
+    engine, clock, carrier = make_slow_engine(classes=classes, at=ready)
     prepare(carrier)
-    plan = recover.plan(lives, (), {cls.name: cls for cls in classes}, ready, 1e9, 0.0)
-    stand_still(clock, pause)
+    plan = recover.plan_recovery(lives, (), {cls.name: cls for cls in classes}, ready, 1e9, 0.0)
+    stall_loop(clock, pause)
     got: list[tuple[float, FinalAnswer]] = []
 
     def owing(*_: object) -> Callable[[FinalAnswer], None]:
         return lambda answer: got.append((clock.now(), answer))
 
-    carry_out(plan, engine, Store(clock), int, owing)  # type: ignore[arg-type]
-    stand_still(clock, turn)
+    apply_plan(plan, engine, Store(clock), int, owing)  # type: ignore[arg-type]
+    stall_loop(clock, turn)
     clock.run(ready + 10_000.0)
     return carrier, got
 
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize(("pause", "turn"), [(0.0, 0.0), (400.0, 0.0), (0.0, 400.0)])
 def test_a_message_that_goes_on_ends_in_its_own_time(pause: float, turn: float) -> None:
-    def hangs(carrier: Slow) -> None:
+    def hangs(carrier: SlowCarrier) -> None:
         carrier.connects = [1e9] * 20
 
     safe = api.MessageClass("safe", 1000.0, 2000.0, api.Effect.SAFE)
--- a/tests/lab/between/test_folders.py
+++ b/tests/lab/between/test_folders.py
@@ -10,7 +10,7 @@
 from brassweir.agreed.messages import COMMAND, Entry, Membership
 from brassweir.agreed.records import Added, Agreed, Ballot, Cut, Snapshot
 from brassweir.agreed.store import Store, recover
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.lab.between.folders import read_folder
 
 
@@ -19,7 +19,7 @@
 
 
 def test_both_readers_agree_also_on_a_torn_end(tmp_path: Path) -> None:
-    store = Store(Files(tmp_path), Random(1))
+    store = Store(DirectoryStorage(tmp_path), Random(1))
     store.write((Ballot(3, "b"), Added((entry(1), entry(2), entry(3)))))
     store.write((Cut(3), Added((entry(3, b"y", 3),)), Agreed(2)))
     state = Snapshot(2, 1, Membership((("a", "1"),)), 0, b"state")
@@ -27,7 +27,7 @@
     last = max(tmp_path.glob("log-*"))
     for cut in (0, 1, 30):
         last.write_bytes(last.read_bytes()[: -cut or None])
-        mine, theirs = read_folder(tmp_path, 1.0, "a", 0), recover(Files(tmp_path, write=False))[0]
+        mine, theirs = read_folder(tmp_path, 1.0, "a", 0), recover(DirectoryStorage(tmp_path, write=False))[0]
         assert mine is not None
         assert (mine.member, mine.term, mine.vote, mine.agreed, mine.last) == (
             theirs.identity.member,
@@ -46,7 +46,7 @@
 
 def test_nothing_and_a_gap(tmp_path: Path) -> None:
     assert read_folder(tmp_path, 1.0, "a", 0) is None
-    store = Store(Files(tmp_path), Random(1))
+    store = Store(DirectoryStorage(tmp_path), Random(1))
     store.write((Added((entry(2),)),))
     with pytest.raises(ValueError, match="entry 2 stands behind 0"):
         read_folder(tmp_path, 1.0, "a", 0)
--- a/tests/lab/models/test_models.py
+++ b/tests/lab/models/test_models.py
@@ -67,7 +67,10 @@
         (
             2,
             Strike("lost", [1, 2, 3], 2000.0, 8000.0, 0.7),
-            ("_may_retry", lambda self, message: not message.over and message.tries < 4 and not message.live),
+            (
+                "_may_retry",
+                lambda self, message: not message.ended and message.attempts < 4 and not message.in_flight,
+            ),
         ),
         (6, Strike("shut", [1], 2000.0, 8000.0, 1.0, 1.0), None),
     ],
@@ -88,7 +91,7 @@
                 now,
                 [
                     replace(one, wait=0.0, result=api.Result.OK)
-                    if isinstance(one, api.AttemptEnded) and one.result is api.Result.FULL
+                    if isinstance(one, api.AttemptEnded) and one.result is api.Result.BUSY
                     else one
                     for one in events
                 ],
--- a/tests/lab/models/test_trials.py
+++ b/tests/lab/models/test_trials.py
@@ -14,7 +14,7 @@
 from brassweir import interface as api
 from brassweir.cli.main import main
 from brassweir.config.load import ConfigError
-from brassweir.control import choosing, ending, gate
+from brassweir.control import dispatch, gate, outcomes
 from brassweir.lab.models import verdicts
 from brassweir.lab.models.day import ClassPlan, Day, Strike
 from brassweir.lab.models.drawing import draw
@@ -32,7 +32,7 @@
     runs.play(draw(small(), 3), ("s1", path))
     same = trace.retrace(path)
     assert same.difference is None and same.turns > 50
-    monkeypatch.setattr(choosing, "TIMEOUT_MEANS", 2.0)
+    monkeypatch.setattr(dispatch, "TIMEOUT_FACTOR", 2.0)
     other = trace.retrace(path)
     assert (
         other.difference is not None
@@ -48,11 +48,13 @@
 
 def test_flat_values_come_back() -> None:
     values = [
-        api.AttemptEnded(1, 0, "e", api.Result.FULL, 5.0, True, 3.0, None, 2.5),
+        api.AttemptEnded(1, 0, "e", api.Result.BUSY, 5.0, True, 3.0, None, 2.5),
         api.TimerDue(),
         api.NewMessage(1, "c", 2, 5.0, "k"),
-        api.ListNews(api.ListKind.DELTA, (api.EndpointInfo("e", 1, "k", "z", api.State.DRAINING, 1.0),)),
-        api.Past("e", api.Result.OK, 1.0),
+        api.ListUpdate(
+            api.ListKind.DELTA, (api.EndpointInfo("e", 1, "k", "z", api.EntryState.DRAINING, 1.0),)
+        ),
+        api.PastAttempt("e", api.Result.OK, 1.0),
     ]
     assert [
         trace.whole(msgspec.msgpack.decode(msgspec.msgpack.encode(trace.flat(one)))) for one in values
@@ -88,7 +90,8 @@
 
 def test_an_experiment_pairs_days_resumes_and_tells(tmp_path: Path) -> None:
     path = experiment(
-        tmp_path, "  - {name: a}\n  - {name: b, senders: {slots: 1}}\n  - {name: c, constants: {CAP: 0.1}}\n"
+        tmp_path,
+        "  - {name: a}\n  - {name: b, senders: {slots: 1}}\n  - {name: c, constants: {HEALTHY_CAP: 0.1}}\n",
     )
     told: list[str] = []
     outcome = Experiment(path, tmp_path / "r", 3).run(told.append)
@@ -133,11 +136,11 @@
 
 
 def test_a_tuned_value_is_set_wherever_it_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    users = (gate, choosing, ending)
+    users = (gate, dispatch, outcomes)
     for module in users:
-        monkeypatch.setattr(module, "LATELY", module.LATELY)  # given back at the end
-    constants(VariantModel(name="x", constants={"LATELY": 9.0}))
-    assert [module.LATELY for module in users] == [9.0] * 3
+        monkeypatch.setattr(module, "RECENT_FACTOR", module.RECENT_FACTOR)  # given back at the end
+    constants(VariantModel(name="x", constants={"RECENT_FACTOR": 9.0}))
+    assert [module.RECENT_FACTOR for module in users] == [9.0] * 3
 
 
 def test_a_bad_day_is_shrunk_to_what_matters() -> None:
--- a/tests/lab/test_faults.py
+++ b/tests/lab/test_faults.py
@@ -9,7 +9,7 @@
 
 from brassweir import interface as api
 from brassweir.control.gate import Gate
-from brassweir.core.ledger import Record
+from brassweir.core.ledger import MessageRecord
 from brassweir.core.ports import FinalAnswer
 from brassweir.lab.judges.verdict import Verdict
 from brassweir.lab.models.desk import Manner
@@ -25,7 +25,7 @@
     """Every fourth answer is lost on its way to the front."""
     right = process.engine._finish
 
-    def finish(record: Record, answer: FinalAnswer) -> None:
+    def finish(record: MessageRecord, answer: FinalAnswer) -> None:
         if record.id % 4:
             right(record, answer)
         else:
@@ -37,33 +37,33 @@
 def sends_again(process: SenderProcess) -> None:
     """The module forgets that an unsafe message may have run."""
     sender = process.engine.sender
-    sender._may_retry = lambda message: not message.over and message.tries < 4 and not message.live  # type: ignore[method-assign]
+    sender._may_retry = lambda message: not message.ended and message.attempts < 4 and not message.in_flight  # type: ignore[method-assign]
 
 
 def hears_no_drain(process: SenderProcess) -> None:
     """The list's word that an endpoint drains or is gone is not passed on."""
-    right = process.engine.news
+    right = process.engine.update_list
 
-    def news(told: api.ListNews) -> None:
+    def news(told: api.ListUpdate) -> None:
         entries = tuple(
             api.EndpointInfo(one.name, one.destination, one.kind, one.zone) for one in told.entries
         )
-        right(api.ListNews(api.ListKind.DELTA, entries))
+        right(api.ListUpdate(api.ListKind.DELTA, entries))
 
-    process.engine.news = news  # type: ignore[method-assign,assignment]
+    process.engine.update_list = news  # type: ignore[method-assign,assignment]
 
 
 def each_gate(process: SenderProcess, careless: type[Gate]) -> None:
     """Make every gate of the module a careless one."""
     sender = process.engine.sender
-    right = sender._dest
+    right = sender._destination
 
     def dest(ident: int) -> Any:
         made = right(ident)
         made.gate.__class__ = careless
         return made
 
-    sender._dest = dest  # type: ignore[method-assign]
+    sender._destination = dest  # type: ignore[method-assign]
 
 
 class NeverShut(Gate):
@@ -71,14 +71,14 @@
 
     __slots__ = ()
 
-    def close(self, now: float, wait: float = 0.0) -> None:
+    def open_circuit(self, now: float, wait: float = 0.0) -> None:
         """Stay open."""
 
-    def allowed(self, now: float) -> float:
+    def allowed_rate(self, now: float) -> float:
         """Everything."""
         return float("inf")
 
-    def when(self, now: float, last: bool = False) -> float:
+    def next_call_at(self, now: float, last: bool = False) -> float:
         """Now."""
         return now
 
@@ -88,24 +88,24 @@
 
     __slots__ = ()
 
-    def told_wait(self, now: float, wait: float) -> None:
+    def on_requested_wait(self, now: float, wait: float) -> None:
         """Hear nothing."""
 
-    def full(self, now: float, wait: float, trial: bool, sent: float) -> None:
+    def on_busy(self, now: float, wait: float, trial: bool, sent: float) -> None:
         """Learn nothing."""
 
 
 def never_shuts(process: SenderProcess) -> None:
     """No outage is seen by gates or judge."""
     each_gate(process, NeverShut)
-    process.engine.sender._silent = lambda dest: False  # type: ignore[method-assign]
-    process.engine.sender._judge = lambda dest: False  # type: ignore[method-assign]
+    process.engine.sender._is_silent = lambda dest: False  # type: ignore[method-assign]
+    process.engine.sender._update_degraded = lambda dest: False  # type: ignore[method-assign]
 
 
 def no_turns(process: SenderProcess) -> None:
     """Messages of one key go as they come."""
     process.engine.sender._has_turn = lambda message: True  # type: ignore[method-assign]
-    right = process.engine.sender._hold
+    right = process.engine.sender._enqueue
     admit = process.engine.sender._admit
 
     def admit_all(event: api.NewMessage) -> None:
--- a/tests/lab/test_forward_days.py
+++ b/tests/lab/test_forward_days.py
@@ -102,7 +102,7 @@
     """The module keeps no order by key."""
     sender = process.engine.sender
     sender._has_turn = lambda message: True  # type: ignore[method-assign]
-    hold, admit = sender._hold, sender._admit
+    hold, admit = sender._enqueue, sender._admit
 
     def admit_all(event: Any) -> None:
         admit(event)
--- a/tests/net/peers.py
+++ b/tests/net/peers.py
@@ -11,17 +11,17 @@
 
 import uvloop
 
-from brassweir.destinations.budget import Budget
-from brassweir.destinations.setups import Setups
-from brassweir.net.client import CallFailed, Pool, Reply
+from brassweir.destinations.budget import ConnectionBudget
+from brassweir.destinations.setup_queue import SetupQueue
+from brassweir.net.client import CallFailed, HttpPool, Reply
 from brassweir.net.connection import Connection, Stage
 from brassweir.net.headers import Headers
-from brassweir.net.limiter import Pools
 from brassweir.net.limits import Limits
+from brassweir.net.pool_manager import PoolManager
 
 _T = TypeVar("_T")
 LOOPS = [uvloop.new_event_loop, asyncio.new_event_loop]
-LIMITS = Limits(head=2000, body=5000)
+LIMITS = Limits(head_bytes=2000, body_bytes=5000)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
 
@@ -50,7 +50,7 @@
     try:
         return (await task).status
     except CallFailed as failed:
-        return failed.stage, failed.late
+        return failed.stage, failed.timed_out
 
 
 class End:
@@ -83,7 +83,7 @@
 class Scene:
     """Endpoints by number, and the pools that call them."""
 
-    def __init__(self, pools: Pools) -> None:
+    def __init__(self, pools: PoolManager) -> None:
         self.pools = pools
         self.servers: list[asyncio.Server] = []
         self.came: list[asyncio.Queue[End]] = []
@@ -100,9 +100,9 @@
         self.came.append(queue)
         return len(self.servers) - 1
 
-    def pool(self, number: int = 0) -> Pool:
+    def pool(self, number: int = 0) -> HttpPool:
         """The pool of an endpoint."""
-        return self.pools.of(f"http://127.0.0.1:{self.servers[number].sockets[0].getsockname()[1]}/x")
+        return self.pools.http_pool(f"http://127.0.0.1:{self.servers[number].sockets[0].getsockname()[1]}/x")
 
     def call(
         self, number: int = 0, seconds: float = 2.0, hold: float = 0.0, body: bytes = b"body"
@@ -124,18 +124,18 @@
         await end.request()
         return end
 
-    def seam(self, change: Callable[[Connection], object], pool: Pool | None = None) -> None:
+    def seam(self, change: Callable[[Connection], object], pool: HttpPool | None = None) -> None:
         """Change the next connection that a pool makes, before it is dialled."""
         pool = pool or self.pool()
-        make = pool.make
+        make = pool.new_connection
 
         def made(loop: asyncio.AbstractEventLoop) -> Connection:
-            pool.make = make  # type: ignore[method-assign]
+            pool.new_connection = make  # type: ignore[method-assign]
             connection = make(loop)
             change(connection)
             return connection
 
-        pool.make = made  # type: ignore[method-assign]
+        pool.new_connection = made  # type: ignore[method-assign]
 
     def counts(self) -> dict[str, object]:
         """All that is counted and not zero."""
@@ -146,9 +146,9 @@
             "holders": budget.holders,
             "rooms": pools.rooms,
             "turns": pools.turns,
-            "out": setups.out,
+            "out": setups.active,
             "waking": setups.waking,
-            "lines": [line for line in setups.lines.values() if line],
+            "lines": [line for line in setups.queues.values() if line],
             "pools": [
                 vars(pool)
                 for pool in pools.pools.values()
@@ -160,7 +160,7 @@
     async def ended(self) -> None:
         """Wait for the calls, close what is unused; then all counts are zero again."""
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        self.pools.close()
+        self.pools.close_all_idle()
         try:
             await until(lambda: not self.counts(), 1.0)
         except TimeoutError:
@@ -179,7 +179,9 @@
     settling: frozenset[int] = frozenset({200}),
 ) -> AsyncIterator[Scene]:
     """Endpoints and pools; at the end, all counts must be zero again."""
-    made = Scene(Pools(LIMITS, cap, idle, connect, Budget(budget), Setups(places), settling))
+    made = Scene(
+        PoolManager(LIMITS, cap, idle, connect, ConnectionBudget(budget), SetupQueue(places), settling)
+    )
     try:
         for _ in range(endpoints):
             await made.endpoint()
--- a/tests/net/raw_peer.py
+++ b/tests/net/raw_peer.py
@@ -5,16 +5,16 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from brassweir.net.client import Address, Pool, Reply
+from brassweir.net.client import Address, HttpPool, Reply
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 
-LIMITS = Limits(head=2000, body=5000)
+LIMITS = Limits(head_bytes=2000, body_bytes=5000)
 Peer = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def with_peer(
-    peer: Peer, work: Callable[[Pool], Awaitable[object]], *, cap: int = 4, idle: float = 500.0
+    peer: Peer, work: Callable[[HttpPool], Awaitable[object]], *, cap: int = 4, idle: float = 500.0
 ) -> object:
     async def guard(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -26,7 +26,7 @@
 
     server = await asyncio.start_server(guard, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    pool = Pool(Address.of(f"http://127.0.0.1:{port}/x"), LIMITS, cap, idle, 300.0)
+    pool = HttpPool(Address.parse(f"http://127.0.0.1:{port}/x"), LIMITS, cap, idle, 300.0)
     try:
         return await work(pool)
     finally:
@@ -50,7 +50,7 @@
     return peer
 
 
-async def post(pool: Pool, seconds: float = 1.0) -> Reply:
+async def post(pool: HttpPool, seconds: float = 1.0) -> Reply:
     return await pool.post(Headers([("X", "y")]), b"body", asyncio.get_running_loop().time() + seconds)
 
 
--- a/tests/net/server_client.py
+++ b/tests/net/server_client.py
@@ -8,15 +8,15 @@
 from brassweir.net.server import Abort, Request, Response, Server
 
 SMALL = Limits(
-    head=2000,
-    headers=20,
-    body=5000,
-    buffered=20_000,
+    head_bytes=2000,
+    max_headers=20,
+    body_bytes=5000,
+    buffered_bytes=20_000,
     connections=50,
-    head_time=300.0,
-    body_time=300.0,
-    idle_time=600.0,
-    write_time=300.0,
+    head_ms=300.0,
+    body_ms=300.0,
+    idle_ms=600.0,
+    write_ms=300.0,
 )
 
 
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassweir.net.client import Address, CallFailed, Pool, Reply, Stage
+from brassweir.net.client import Address, CallFailed, HttpPool, Reply, Stage
 from brassweir.net.headers import DuplicateHeader, Headers
 from tests.conftest import run
 from tests.net.raw_peer import LIMITS, answering, ok, post, request, with_peer
@@ -42,7 +42,7 @@
 def test_answers_that_are_none(raw: bytes, stage: Stage) -> None:
     with pytest.raises(CallFailed) as caught:
         run(with_peer(answering(raw), post))
-    assert caught.value.stage is stage and not caught.value.late
+    assert caught.value.stage is stage and not caught.value.timed_out
 
 
 def test_time_runs_out_while_connected_and_the_connection_is_not_used_again() -> None:
@@ -51,10 +51,10 @@
         await asyncio.sleep(0.3)
         writer.write(ok(b"late"))
 
-    async def work(pool: Pool) -> object:
+    async def work(pool: HttpPool) -> object:
         with pytest.raises(CallFailed) as caught:
             await post(pool, 0.1)
-        assert (caught.value.stage, caught.value.late) == (Stage.SENT, True)
+        assert (caught.value.stage, caught.value.timed_out) == (Stage.SENT, True)
         await asyncio.sleep(0.05)
         return pool.open, len(pool.idle)
 
@@ -68,11 +68,11 @@
         port = server.sockets[0].getsockname()[1]
         server.close()
         await server.wait_closed()
-        pool = Pool(Address.of(f"http://127.0.0.1:{port}/"), LIMITS, 1, 100.0, 200.0)
+        pool = HttpPool(Address.parse(f"http://127.0.0.1:{port}/"), LIMITS, 1, 100.0, 200.0)
         try:
             await post(pool)
         except CallFailed as failed:
-            found.append((failed.stage, failed.late))
+            found.append((failed.stage, failed.timed_out))
         assert pool.open == 0
         return found
 
@@ -94,7 +94,7 @@
 )
 def test_urls_that_are_none(url: str) -> None:
     with pytest.raises(ValueError):
-        Address.of(url)
+        Address.parse(url)
 
 
 def test_headers_split_no_head_and_do_not_contradict_themselves() -> None:
--- a/tests/net/test_client_pool.py
+++ b/tests/net/test_client_pool.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassweir.net.client import CallFailed, Pool, Reply, Stage
+from brassweir.net.client import CallFailed, HttpPool, Reply, Stage
 from brassweir.net.headers import Headers
 from tests.conftest import run
 from tests.net.peers import LOOPS, OK, on, scene, until
@@ -14,7 +14,7 @@
 
 
 def test_connections_are_kept_used_again_and_closed_when_idle() -> None:
-    async def work(pool: Pool) -> object:
+    async def work(pool: HttpPool) -> object:
         for _ in range(3):
             await post(pool)
         assert (pool.made, pool.calls, pool.open) == (1, 3, 1)
@@ -29,7 +29,7 @@
 
 
 def test_a_connection_closed_by_the_peer_while_idle_is_not_used() -> None:
-    async def work(pool: Pool) -> object:
+    async def work(pool: HttpPool) -> object:
         await post(pool)
         await asyncio.sleep(0.05)  # the peer closes after one answer
         reply = await post(pool)
@@ -45,11 +45,11 @@
             await asyncio.sleep(0.2)
             writer.write(ok())
 
-    async def work(pool: Pool) -> object:
+    async def work(pool: HttpPool) -> object:
         results = await asyncio.gather(*(post(pool) for _ in range(8)), return_exceptions=True)
         good = [one for one in results if isinstance(one, Reply)]
         bad = [one for one in results if isinstance(one, CallFailed)]
-        assert all(one.stage is Stage.CONNECT and one.late for one in bad)
+        assert all(one.stage is Stage.CONNECT and one.timed_out for one in bad)
         return pool.made, len(good), len(bad), len(pool.waiting)
 
     assert run(with_peer(slow, work, cap=2)) == (2, 4, 4, 0)
@@ -61,7 +61,7 @@
         writer.write(ok() + ok(b"unasked"))
         await reader.read()
 
-    async def work(pool: Pool) -> object:
+    async def work(pool: HttpPool) -> object:
         reply = await post(pool)
         await asyncio.sleep(0.05)
         return reply.body, pool.open
@@ -78,13 +78,13 @@
             await asyncio.sleep(0.2)
             writer.write(ok())
 
-    async def work(pool: Pool) -> None:
+    async def work(pool: HttpPool) -> None:
         loop = asyncio.get_running_loop()
         first = asyncio.ensure_future(post(pool))
         await asyncio.sleep(0.05)
         with pytest.raises(CallFailed) as caught:  # it is listened to for long, and must be written by then
             await pool.post(Headers(), b"late", loop.time() + 5.0, loop.time() + 0.05)
-        assert caught.value.stage is Stage.CONNECT and caught.value.late
+        assert caught.value.stage is Stage.CONNECT and caught.value.timed_out
         await first
         with pytest.raises(CallFailed):  # a free connection, and no time left
             await pool.post(Headers(), b"late", loop.time() + 5.0, loop.time())
@@ -107,7 +107,7 @@
             if came.endswith(b"body"):
                 writer.write(ok())
 
-    async def work(pool: Pool) -> object:
+    async def work(pool: HttpPool) -> object:
         says, until = iter([True, False]), asyncio.get_running_loop().time() + 1.0
         try:
             return (await pool.post(Headers(), b"body", until, until, lambda: next(says), hold)).status
--- a/tests/net/test_early.py
+++ b/tests/net/test_early.py
@@ -86,7 +86,7 @@
         async with scene() as at:
             thread.start()
             pool, here = (
-                at.pools.of(f"http://127.0.0.1:{listener.getsockname()[1]}/x"),
+                at.pools.http_pool(f"http://127.0.0.1:{listener.getsockname()[1]}/x"),
                 asyncio.get_running_loop(),
             )
 
@@ -159,7 +159,11 @@
             end.close() if how == "closes" else end.reset()
             with pytest.raises(CallFailed) as caught:
                 await asyncio.wait_for(call, 0.5)  # it does not wait for the hold to be over
-            assert (caught.value.stage, caught.value.late, caught.value.kept) == (Stage.CONNECT, False, kept)
+            assert (caught.value.stage, caught.value.timed_out, caught.value.reused) == (
+                Stage.CONNECT,
+                False,
+                kept,
+            )
 
     on(loop, work())
 
--- a/tests/net/test_held_byte.py
+++ b/tests/net/test_held_byte.py
@@ -7,7 +7,7 @@
 import struct
 import threading
 
-from brassweir.net.client import Address, CallFailed, Pool, Stage
+from brassweir.net.client import Address, CallFailed, HttpPool, Stage
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 from tests.conftest import run
@@ -35,8 +35,8 @@
 def test_a_reset_that_came_while_the_loop_stood_still_is_read_before_the_last_byte() -> None:
     async def work() -> None:
         loop, peer = asyncio.get_running_loop(), Resetting()
-        pool = Pool(
-            Address.of(f"http://127.0.0.1:{peer.listener.getsockname()[1]}/x"), Limits(), 4, 500.0, 300.0
+        pool = HttpPool(
+            Address.parse(f"http://127.0.0.1:{peer.listener.getsockname()[1]}/x"), Limits(), 4, 500.0, 300.0
         )
 
         def begins() -> bool:
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -135,7 +135,7 @@
             free = await hung_dial(at, 1)
             if spent == "set-ups":
                 at.call(1)
-                await until(lambda: len(at.pools.setups.out) == 1)
+                await until(lambda: len(at.pools.setups.active) == 1)
             second = at.call(0)
             await until(lambda: at.pool(0).open == 2)
             end.write(OK)
@@ -155,7 +155,7 @@
         async with scene(3, places=1) as at:
             free = await hung_dial(at, 0)
             at.call(0)
-            await until(lambda: len(at.pools.setups.out) == 1)
+            await until(lambda: len(at.pools.setups.active) == 1)
             second = at.call(1)
             await until(lambda: len(at.pools.turns) == 2)
             third = at.call(2)
@@ -205,12 +205,12 @@
                 gone = asyncio.Event()
                 after(connection, "connection_lost", gone.set)
 
-                async def greet() -> None:
+                async def perform_handshake() -> None:
                     await gone.wait()
                     raise CallFailed(Stage.CONNECT, "closed during the handshake")
 
                 if greets:
-                    connection.greet = greet  # type: ignore[method-assign]
+                    connection.perform_handshake = perform_handshake  # type: ignore[method-assign]
                 after(connection, "connection_made", connection.drop)
 
             at.seam(lost)
--- a/tests/net/test_schedules.py
+++ b/tests/net/test_schedules.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from brassweir.net.connection import Connection
-from brassweir.net.pool import Short
+from brassweir.net.pool import ResourceShortage
 from tests.net.peers import LOOPS, OK, End, Scene, after, on, scene
 
 ENDPOINTS, HURRY = 3, 0.008  # HURRY: seconds that a hurried call has
@@ -106,7 +106,7 @@
         async def spoilt(loop: asyncio.AbstractEventLoop, connection: Connection) -> None:
             pool._dial = dial  # type: ignore[method-assign]
             if how == "short":
-                raise Short
+                raise ResourceShortage
             if how == "refused":
                 raise ConnectionRefusedError(111, "refused")
             task = asyncio.current_task()
@@ -127,15 +127,21 @@
         for pool in pools.pools.values():
             fresh = any(one.fresh(now) for one in pool.idle)
             waits = any(not one.done() for one in pool.waiting)
-            assert not (waits and (fresh or pool.open < pool.cap)), "a call beside its own pool's connection"
+            assert not (waits and (fresh or pool.open < pool.max_connections)), (
+                "a call beside its own pool's connection"
+            )
             assert not (fresh and any(not one.done() for one in pool.entering)), (
                 "a set-up beside a free connection"
             )
         budget = pools.budget
         for turn, url in pools.rooms.items():
-            most = budget.most if pools.pools[url].open == 1 else max(1, int(budget.most * 0.9))
+            most = (
+                budget.max_connections
+                if pools.pools[url].open == 1
+                else max(1, int(budget.max_connections * 0.9))
+            )
             assert turn.done() or budget.open >= most, "a wish beside room in the budget"
-        assert pools.setups.out or all(one.done() for one in pools.turns.values()), (
+        assert pools.setups.active or all(one.done() for one in pools.turns.values()), (
             "a set-up beside a free place"
         )
         assert all(one.busy >= 0 for one in budget.holders.values())
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -128,7 +128,9 @@
 def test_no_bytes_end_the_server(parts: list[bytes]) -> None:
     async def work() -> bytes:
         seen = Seen()
-        server = Server(seen, Limits(head=2000, body=500, head_time=50.0, body_time=50.0, idle_time=50.0))
+        server = Server(
+            seen, Limits(head_bytes=2000, body_bytes=500, head_ms=50.0, body_ms=50.0, idle_ms=50.0)
+        )
         port = await server.listen("127.0.0.1", 0)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
--- a/tests/net/test_server_limits.py
+++ b/tests/net/test_server_limits.py
@@ -42,7 +42,7 @@
     async def work() -> tuple[int, int]:
         seen = Seen()
         seen.gate = asyncio.Event()
-        limits = Limits(head=2000, body=5000, buffered=12_000, body_time=5000.0)
+        limits = Limits(head_bytes=2000, body_bytes=5000, buffered_bytes=12_000, body_ms=5000.0)
         server = Server(seen, limits)
         port = await server.listen("127.0.0.1", 0)
 
--- a/tests/relay/breaking.py
+++ b/tests/relay/breaking.py
@@ -12,17 +12,17 @@
 from typing import Any
 
 from brassweir.cli.main import main
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.service import node
 
 if __name__ == "__main__":
-    sign, real = Path(sys.argv[1]), Files.append
+    sign, real = Path(sys.argv[1]), DirectoryStorage.append
 
-    def append(self: Files, *args: Any) -> None:
+    def append(self: DirectoryStorage, *args: Any) -> None:
         if sign.exists():
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         real(self, *args)
 
-    Files.append = append  # type: ignore[assignment, method-assign]
+    DirectoryStorage.append = append  # type: ignore[assignment, method-assign]
     node.SERVES_ON = 60.0
     main(["node"])
--- a/tests/relay/dying.py
+++ b/tests/relay/dying.py
@@ -9,29 +9,29 @@
 from typing import Any
 
 from brassweir.cli.main import main
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 
-STEPS = ("create", "append", "cut", "rename", "remove")
+STEPS = ("create", "append", "truncate", "rename", "remove")
 
 
 def after(at: int) -> None:
     """The process ends right after a write."""
-    real, done = Files.append, list[str]()
+    real, done = DirectoryStorage.append, list[str]()
 
-    def append(self: Files, name: str, data: bytes) -> None:
+    def append(self: DirectoryStorage, name: str, data: bytes) -> None:
         real(self, name, data)
         done.append(name)
         if len(done) == at:
             os.kill(os.getpid(), signal.SIGKILL)
 
-    Files.append = append  # type: ignore[method-assign]
+    DirectoryStorage.append = append  # type: ignore[method-assign]
 
 
 def dying(name: str, at: int, done: list[str]) -> None:
     """Let one kind of step count, and the process end at the ``at``-th of all."""
-    real = getattr(Files, name)
+    real = getattr(DirectoryStorage, name)
 
-    def step(self: Files, *args: Any) -> None:
+    def step(self: DirectoryStorage, *args: Any) -> None:
         done.append(name)
         if len(done) == at:
             if name == "append":
@@ -39,7 +39,7 @@
             os.kill(os.getpid(), signal.SIGKILL)
         real(self, *args)
 
-    setattr(Files, name, step)
+    setattr(DirectoryStorage, name, step)
 
 
 if __name__ == "__main__":
--- a/tests/relay/failing_disk.py
+++ b/tests/relay/failing_disk.py
@@ -9,17 +9,17 @@
 from typing import Any
 
 from brassweir.cli.main import main
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 
 FLAG = "disk-fails"  # its content names the error
 
 
 def failing(name: str) -> None:
     """Let one kind of step fail while the flag stands."""
-    real = getattr(Files, name)
+    real = getattr(DirectoryStorage, name)
     flag = Path(os.environ["RELAY_STATE"]).parent / FLAG
 
-    def step(self: Files, *args: Any) -> None:
+    def step(self: DirectoryStorage, *args: Any) -> None:
         if not flag.exists():
             real(self, *args)
             return
@@ -28,7 +28,7 @@
         code = getattr(errno, flag.read_text())
         raise OSError(code, os.strerror(code))
 
-    setattr(Files, name, step)
+    setattr(DirectoryStorage, name, step)
 
 
 if __name__ == "__main__":
--- a/tests/relay/moved.py
+++ b/tests/relay/moved.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from brassweir.relay.discovery import Discovery, Hearers
-from brassweir.relay.listing import Change
+from brassweir.relay.endpoint_list import Change
 
 ALL_READ = 0.002  # real seconds without a byte, after which nothing is under way on loopback
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/relay/test_knowledge.py
+++ b/tests/relay/test_knowledge.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from brassweir.relay.knowledge import HOLD, LEAST, Knowledge, ListState
+from brassweir.relay.list_state import HOLD, LEAST, Knowledge, ListState
 
 
 def test_nothing_begins_until_a_watch_has_answered() -> None:
--- a/tests/relay/test_list_crossings.py
+++ b/tests/relay/test_list_crossings.py
@@ -11,9 +11,9 @@
 import structlog
 
 from brassweir.core.ports import Answer, FinalAnswer, Payload, Submission
-from brassweir.interface import State
+from brassweir.interface import EntryState
 from brassweir.relay import settings
-from brassweir.relay.listing import Change, Target
+from brassweir.relay.endpoint_list import Change, Target
 from brassweir.service.node import NodeProcess
 from tests.relay.moved import Full, Peer, moved, says_200
 from tests.relay.world import configuration
@@ -37,30 +37,40 @@
 @pytest.mark.parametrize(
     ("change", "more", "states", "rev"),
     [
-        (Change(4, True, [target("a"), target("b")]), [], {"a": State.READY, "b": State.DRAINING}, 5),
-        (Change(4, False, [target("b")]), [], {"a": State.READY, "b": State.DRAINING}, 5),
-        (Change(4, True, []), [], {"a": State.READY, "b": State.DRAINING}, 5),
+        (
+            Change(4, True, [target("a"), target("b")]),
+            [],
+            {"a": EntryState.READY, "b": EntryState.DRAINING},
+            5,
+        ),
+        (Change(4, False, [target("b")]), [], {"a": EntryState.READY, "b": EntryState.DRAINING}, 5),
+        (Change(4, True, []), [], {"a": EntryState.READY, "b": EntryState.DRAINING}, 5),
         (
             Change(5, True, [target("a"), target("b", "leaving")]),
             [],
-            {"a": State.READY, "b": State.DRAINING},
+            {"a": EntryState.READY, "b": EntryState.DRAINING},
+            5,
+        ),
+        (Change(5, False, []), [], {"a": EntryState.READY, "b": EntryState.DRAINING}, 5),
+        (
+            Change(5, False, [target("c")]),
+            [],
+            {"a": EntryState.READY, "b": EntryState.DRAINING, "c": EntryState.READY},
             5,
         ),
-        (Change(5, False, []), [], {"a": State.READY, "b": State.DRAINING}, 5),
-        (Change(5, False, [target("c")]), [], {"a": State.READY, "b": State.DRAINING, "c": State.READY}, 5),
-        (Change(6, True, [target("b", "leaving")]), [], {"b": State.DRAINING}, 6),
+        (Change(6, True, [target("b", "leaving")]), [], {"b": EntryState.DRAINING}, 6),
         (
             Change(6, True, [target("a", "leaving"), target("b")]),
             [],
-            {"a": State.DRAINING, "b": State.READY},
+            {"a": EntryState.DRAINING, "b": EntryState.READY},
             6,
         ),
-        (Change(9, False, [target("a", "left")]), [], {"b": State.DRAINING}, 9),
-        (Change(6, True, []), [Change(7, False, [target("a")])], {"a": State.READY}, 7),
+        (Change(9, False, [target("a", "left")]), [], {"b": EntryState.DRAINING}, 9),
+        (Change(6, True, []), [Change(7, False, [target("a")])], {"a": EntryState.READY}, 7),
         (
             Change(6, True, []),
             [Change(5, True, [target("a")]), Change(6, True, [target("b")])],
-            {"b": State.READY},
+            {"b": EntryState.READY},
             6,
         ),
     ],
@@ -79,7 +89,7 @@
     ],
 )
 def test_what_a_version_may_change(
-    tmp_path: Path, change: Change, more: list[Change], states: dict[str, State], rev: int
+    tmp_path: Path, change: Change, more: list[Change], states: dict[str, EntryState], rev: int
 ) -> None:
     """As after a move to an agent that knows less, as much or more."""
 
@@ -98,11 +108,11 @@
         assert sender.list.listing.rev == rev and set(sender.list.listing.places) == set(states)
         usable = {
             name
-            for dest in sender.engine.sender.dests.values()
+            for dest in sender.engine.sender.destinations.values()
             for name, one in dest.endpoints.items()
             if one.usable
         }
-        assert not usable - {name for name, state in states.items() if state is State.READY}
+        assert not usable - {name for name, state in states.items() if state is EntryState.READY}
         sender.journal.close()
 
     moved(play())
@@ -129,7 +139,7 @@
                 )
                 await asyncio.sleep(0.1)
                 assert [one.answer for one in answers] == [Answer.DELIVERED] and len(other.seen) == 1
-                assert not sender.engine.unbegun.by_destination
+                assert not sender.engine.unstarted.by_destination
                 await asyncio.sleep(0.5)  # the set-up ends with its own time
                 assert f"http://{full}/receive a" not in sender.pools.budget.holders
             sender.journal.close()
--- a/tests/relay/test_node_disk.py
+++ b/tests/relay/test_node_disk.py
@@ -13,7 +13,7 @@
 from tests.relay.world import World
 
 WRITES = ("append", "create")
-ALL = ("append", "create", "cut", "rename", "remove")
+ALL = ("append", "create", "truncate", "rename", "remove")
 
 
 async def hand_in(world: World, first: int, count: int) -> list[bytes]:
--- a/tests/relay/test_node_restarts.py
+++ b/tests/relay/test_node_restarts.py
@@ -11,7 +11,7 @@
 
 from brassweir.journal.records import Began, Taken
 from brassweir.journal.scan import scan
-from brassweir.journal.storage import Files
+from brassweir.journal.storage import DirectoryStorage
 from brassweir.journal.writer import Writer
 from brassweir.lab.standins.platform import Endpoint, after, good, hang, wall
 from tests.relay.plays import play, together
@@ -146,14 +146,14 @@
 
 def left_behind(folder: Path, name: str, taken: Taken) -> None:
     """The journal of a sender that died with one message open."""
-    files = Files(World(folder).folder / "state", synced=False)
+    files = DirectoryStorage(World(folder).folder / "state", synced=False)
     writer = Writer(files, scan(files))
     writer.open()
     writer.add(Began(1.0, name), None)
     writer.add(taken, None)
-    group = writer.take()
+    group = writer.next_group()
     assert group is not None
-    writer.done(group, writer.commit(group))
+    writer.group_committed(group, writer.commit(group))
     files.close()
 
 
--- a/tests/relay/test_notice_handovers.py
+++ b/tests/relay/test_notice_handovers.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from brassweir.net.limiter import Pools
 from brassweir.net.limits import Limits
+from brassweir.net.pool_manager import PoolManager
 from brassweir.relay import notices
 from brassweir.relay.notices import Notice, Notices
 from tests.conftest import run
@@ -78,7 +78,7 @@
         told, line = (
             list[int](),
             Notices(
-                pools := Pools(Limits(), 8, 500.0, 300.0),
+                pools := PoolManager(Limits(), 8, 500.0, 300.0),
                 "127.0.0.1:1",
                 lambda one: told.append(one),
                 lambda *_: None,
@@ -105,7 +105,7 @@
         assert old.got[0] == ["m1"] and (len(old.got) == 1 if moves else not new.got)
         # Read twice it does no harm, and a post that is under way may be given up for the platform's new address.
         assert rest == [["m1", "m2"]] or (not again and rest == [["m2"]])
-        pools.close()
+        pools.close_all_idle()
         old.server.close()
         new.server.close()
 
--- a/tests/relay/test_notices.py
+++ b/tests/relay/test_notices.py
@@ -10,10 +10,10 @@
 import pytest
 import structlog
 
-from brassweir.destinations.budget import Budget
+from brassweir.destinations.budget import ConnectionBudget
 from brassweir.net.client import CallFailed
 from brassweir.net.headers import Headers
-from brassweir.net.limiter import Pools
+from brassweir.net.pool_manager import PoolManager
 from brassweir.relay import notices, settings
 from brassweir.relay.notices import Notice, Notices
 from brassweir.service.node import ANSWERS, NodeProcess
@@ -30,7 +30,7 @@
         self.told: list[int] = []
         self.more = asyncio.Event()
         self.notes: list[str] = []
-        self.pools = Pools(ANSWERS, 2, 3000.0, 1000.0, Budget(2))
+        self.pools = PoolManager(ANSWERS, 2, 3000.0, 1000.0, ConnectionBudget(2))
         self.line = Notices(self.pools, address, self.tell, lambda event, _: self.notes.append(event))
 
     def tell(self, message: int) -> None:
@@ -84,7 +84,7 @@
                 wheres = [full] * 2 if setups else [*[ill.address] * 7, worse.address]
                 calls = [
                     asyncio.ensure_future(
-                        process.pools.of(f"http://{where}/receive").post(Headers(), b"", now() + 4.0)
+                        process.pools.http_pool(f"http://{where}/receive").post(Headers(), b"", now() + 4.0)
                     )
                     for where in wheres
                 ]
--- a/tests/relay/test_pool_queue.py
+++ b/tests/relay/test_pool_queue.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassweir.core.ports import Answer, FinalAnswer, Payload, Submission
-from brassweir.relay.listing import Change
+from brassweir.relay.endpoint_list import Change
 from tests.relay.moved import Peer, moved, now, says_200
 from tests.relay.test_list_crossings import process, target
 
@@ -28,7 +28,7 @@
     async def play() -> None:
         async with Peer(slow) as old, Peer(says_200) as spare:
             sender = process(tmp_path, target("a", "active", old.address))
-            sender.pools.cap = 1
+            sender.pools.connections_per_endpoint = 1
             answers: list[FinalAnswer] = []
             for i in range(count):
                 given = Submission("c", f"m{i}", "note", 1, 4000.0, payload=Payload("", b"x"))
--- a/tests/relay/test_pure.py
+++ b/tests/relay/test_pure.py
@@ -8,9 +8,9 @@
 import pytest
 
 from brassweir.core.ports import Answer, FinalAnswer
-from brassweir.interface import ListKind, Result, State
-from brassweir.relay import endings, settings
-from brassweir.relay.listing import Change, ListError, Listing, Objects, Target, read
+from brassweir.interface import EntryState, ListKind, Result
+from brassweir.relay import outcomes, settings
+from brassweir.relay.endpoint_list import Change, ListError, Listing, Objects, Target, read
 from brassweir.relay.notices import notice
 from tests.relay.world import configuration
 
@@ -20,31 +20,33 @@
     [
         (200, {}, Result.OK, 0.0, True, False),
         (500, {}, Result.ERROR, 0.0, True, False),
-        (429, {}, Result.FULL, 0.0, False, False),
-        (429, {"X-Backoff-Ms": "480"}, Result.FULL, 480.0, False, False),
-        (429, {"X-Backoff-Ms": "soon"}, Result.FULL, 0.0, False, False),
-        (503, {}, Result.FULL, 0.0, False, False),
-        (503, {"X-Egress-Full": "1"}, Result.MOOT, 0.0, False, False),
-        (503, {"Connection": "close"}, Result.CROWDED, 0.0, False, False),
-        (503, {"Connection": "close", "X-Egress-Full": "1"}, Result.MOOT, 0.0, False, False),
-        (503, {"Connection": "close", "X-Backend-Load": "x0=0,x1=9"}, Result.FULL, 0.0, False, False),
-        (504, {}, Result.MOOT, 0.0, False, False),
-        (410, {}, Result.MOOT, 0.0, False, True),
+        (429, {}, Result.BUSY, 0.0, False, False),
+        (429, {"X-Backoff-Ms": "480"}, Result.BUSY, 480.0, False, False),
+        (429, {"X-Backoff-Ms": "soon"}, Result.BUSY, 0.0, False, False),
+        (503, {}, Result.BUSY, 0.0, False, False),
+        (503, {"X-Egress-Full": "1"}, Result.NOT_STARTED, 0.0, False, False),
+        (503, {"Connection": "close"}, Result.CONNECTION_LIMIT, 0.0, False, False),
+        (503, {"Connection": "close", "X-Egress-Full": "1"}, Result.NOT_STARTED, 0.0, False, False),
+        (503, {"Connection": "close", "X-Backend-Load": "x0=0,x1=9"}, Result.BUSY, 0.0, False, False),
+        (504, {}, Result.NOT_STARTED, 0.0, False, False),
+        (410, {}, Result.NOT_STARTED, 0.0, False, True),
         (302, {}, Result.ERROR, 0.0, True, False),
     ],
 )
 def test_each_row(
     code: int, fields: dict[str, str], result: Result, wait: float, may_have_run: bool, over: bool
 ) -> None:
-    found = endings.status(code, lambda name: fields.get(name, ""), False)
+    found = outcomes.status(code, lambda name: fields.get(name, ""), False)
     assert (found.result, found.wait, found.may_have_run, found.rejected) == (
         result,
         wait,
         may_have_run,
         over,
     )
-    kept = endings.status(code, lambda name: fields.get(name, ""), True).result
-    assert kept is (Result.FULL if result is Result.CROWDED else result), "a kept connection is none too many"
+    kept = outcomes.status(code, lambda name: fields.get(name, ""), True).result
+    assert kept is (Result.BUSY if result is Result.CONNECTION_LIMIT else result), (
+        "a kept connection is none too many"
+    )
 
 
 @pytest.mark.parametrize(
@@ -66,7 +68,7 @@
 def test_reports_that_cannot_be_read_are_passed_over(
     text: str, told: tuple[float | None, float | None]
 ) -> None:
-    assert endings.report(text) == told
+    assert outcomes.report(text) == told
 
 
 def test_notices() -> None:
@@ -96,12 +98,15 @@
     listing = Listing()
     listing.take(Change(1, True, [target("a"), target("b"), target("c")]), ListKind.CACHED)
     news = listing.take(Change(2, False, [target("d"), target("b", "leaving")]))
-    assert [(one.name, one.state) for one in news.entries] == [("b", State.DRAINING), ("d", State.READY)]
+    assert [(one.name, one.state) for one in news.entries] == [
+        ("b", EntryState.DRAINING),
+        ("d", EntryState.READY),
+    ]
     news = listing.take(Change(3, True, [target("a"), target("d"), target("e", "leaving", 81)]))
     assert {(one.name, one.state) for one in news.entries} == {
-        ("b", State.GONE),
-        ("c", State.GONE),
-        ("e", State.DRAINING),
+        ("b", EntryState.GONE),
+        ("c", EntryState.GONE),
+        ("e", EntryState.DRAINING),
     }
     assert listing.url("b") is None and listing.url("e") == "http://10.0.0.1:81/receive" and listing.rev == 3
     assert listing.take(Change(4, False, [target("z", "left")])).entries == (), "never known, nothing to tell"
@@ -148,7 +153,7 @@
     assert (
         [cls.name for cls in sets.classes] == ["note", "order", "pay"]
         and sets.slots == 30
-        and sets.second_copies
+        and sets.concurrent_attempts
     )
     assert (
         (sets.kinds[0].name, sets.kinds[0].batch) == ("office", 1)
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -9,17 +9,17 @@
 from brassweir.control import Sender
 from brassweir.interface import (
     AttemptEnded,
+    DestinationKind,
     Effect,
     EndpointInfo,
-    Kind,
     ListKind,
-    ListNews,
+    ListUpdate,
     NewMessage,
     Result,
     Send,
 )
-from brassweir.relay import endings, settings
-from brassweir.resp import handin
+from brassweir.relay import outcomes, settings
+from brassweir.resp import msg_put
 from tests.relay.settings_samples import GONE, classes, told
 
 
@@ -101,10 +101,10 @@
 def test_a_class_is_found_by_its_name_as_it_stands(name: str) -> None:
     found = {cls.name: cls for cls in settings.read(told(Classes=classes({"Name": name}))).settings.classes}
     args = [b"MSG.PUT", b"0", b"id", f"c={name},d=100,dest=7".encode(), b""]
-    assert handin.read(args, found, {7}.__contains__).class_name == name
+    assert msg_put.parse(args, found, {7}.__contains__).class_name == name
     assert settings.read(told(Skus=[name, "x"], Specifics__KindApart=[True])).settings.kinds == (
-        Kind(name, True),
-        Kind("x"),
+        DestinationKind(name, True),
+        DestinationKind("x"),
     )
 
 
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize(("mode", "asks"), [("push", False), ("ask", True), ("odd", False), (3, False)])
 def test_the_list_is_watched_whatever_its_mode(mode: object, asks: bool) -> None:
     """The platform has one watch; the mode only lets the module ask again for what the watch brings anyway."""
-    assert settings.read(told(RegistryMode=mode)).settings.ask_list is asks
+    assert settings.read(told(RegistryMode=mode)).settings.request_list is asks
 
 
 @pytest.mark.parametrize("names", [["x0", "x1"], ["x1", "x0"], ["x1"], [], ["load"]])
@@ -139,7 +139,7 @@
     settings.read(told(Report__Names=names))
     values = {"x0": "0.4", "x1": "25", "load": "7"}
     text = ",".join(f"{name}={values[name]}" for name in names)
-    assert endings.report(text) == (0.4 if "x0" in names else None, 25.0 if "x1" in names else None)
+    assert outcomes.report(text) == (0.4 if "x0" in names else None, 25.0 if "x1" in names else None)
 
 
 @pytest.mark.parametrize(
@@ -154,7 +154,7 @@
     given = settings.read(told(Classes=classes({"Idempotency": "token"}), Classes__0__Window=window)).settings
     assert (given.classes[0].effect, given.classes[0].window) == (Effect.KEYED, 0.0)
     sender = Sender(given, 1, 0.0)
-    list_news = ListNews(ListKind.FULL, tuple(EndpointInfo(name, 1, "office") for name in "ab"))
+    list_news = ListUpdate(ListKind.FULL, tuple(EndpointInfo(name, 1, "office") for name in "ab"))
     sent = [
         one
         for one in sender.handle(0.0, [list_news, NewMessage(1, "note", 1, 5000.0, "k")])
--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassweir.relay.discovery import Hearers
-from brassweir.relay.listing import Change
+from brassweir.relay.endpoint_list import Change
 from tests.conftest import run
 from tests.relay.moved import (
     HEAD,
--- a/tests/resp/desk.py
+++ b/tests/resp/desk.py
@@ -22,7 +22,7 @@
         self.holding = False
         self.facts: list[tuple[Fact, Callable[[], None]]] = []
 
-    def keep(
+    def persist(
         self,
         fact: Fact,
         message: int,
@@ -67,7 +67,7 @@
         self.store, self.carrier = Held(), Silent()
         sets = api.Settings(classes=classes, slots=6, max_open=max_open, max_retry_after=3000.0)
         self.engine = Engine(sets, 1, LoopClock(self.loop), lambda _: self.carrier, store=self.store)
-        self.engine.news(api.ListNews(api.ListKind.FULL, (api.EndpointInfo("a", 1, ""),)))
+        self.engine.update_list(api.ListUpdate(api.ListKind.FULL, (api.EndpointInfo("a", 1, ""),)))
         self.ends: list[FinalAnswer] = []
         self.front = Front(
             self.engine, Admission(100, 100), lambda one: one == 1, lambda _: self.ends.append, lambda _: None
--- a/tests/resp/test_closing.py
+++ b/tests/resp/test_closing.py
@@ -145,10 +145,10 @@
         if until == "promised":
             desk.store.let_go()  # the module hears of it in the next turn, which does not come any more
         desk.front.close()
-        desk.front.abandon()
+        desk.front.withdraw_unanswered()
         desk.store.let_go()
         await asyncio.sleep(0.01)
-        assert desk.carrier.sent == [] and desk.engine.ledger.held == 0
+        assert desk.carrier.sent == [] and desk.engine.ledger.open_count == 0
         assert desk.front.counts.taken == 0
 
     play(day)
@@ -166,7 +166,7 @@
         await desk.until(lambda: not desk.front.connections)
         desk.store.let_go()
         await asyncio.sleep(0.01)
-        assert desk.carrier.sent == [] and desk.engine.ledger.held == 0
+        assert desk.carrier.sent == [] and desk.engine.ledger.open_count == 0
 
     play(day, max_open=500)
 
--- a/tests/resp/test_handin.py
+++ b/tests/resp/test_msg_put.py
@@ -6,7 +6,7 @@
 
 from brassweir.core.ports import Payload
 from brassweir.interface import Effect, MessageClass
-from brassweir.resp.handin import Unreadable, read
+from brassweir.resp.msg_put import Unreadable, parse
 
 CLASSES = {
     "note": MessageClass("note", 1000.0, 9000.0, Effect.SAFE),
@@ -20,18 +20,18 @@
 
 
 def test_a_whole_one() -> None:
-    found = read(args(b"c=order,d=12000,k=k1,dest=7,again=1,new=thing"), CLASSES, {7}.__contains__)
+    found = parse(args(b"c=order,d=12000,k=k1,dest=7,again=1,new=thing"), CLASSES, {7}.__contains__)
     assert (found.identity, found.class_name, found.destination, found.key) == ("ab12", "order", 7, "")
-    assert found.resent and found.left == 9000.0, "no longer than the class lets it be delivered"
+    assert found.resent and found.time_left == 9000.0, "no longer than the class lets it be delivered"
     assert found.payload == Payload("application/octet-stream", b"\r\n\0x", "k1")
-    assert not read(args(b"c=note,d=1.5,dest=7"), CLASSES, {7}.__contains__).resent
+    assert not parse(args(b"c=note,d=1.5,dest=7"), CLASSES, {7}.__contains__).resent
 
 
 @pytest.mark.parametrize(
     ("name", "key", "order"), [(b"line", b"0af1", "0af1"), (b"line", b"0000", ""), (b"note", b"0af1", "")]
 )
 def test_the_first_word_orders_where_the_class_asks_for_it(name: bytes, key: bytes, order: str) -> None:
-    assert read(args(b"c=" + name + b",d=100,dest=7", key=key), CLASSES, {7}.__contains__).key == order
+    assert parse(args(b"c=" + name + b",d=100,dest=7", key=key), CLASSES, {7}.__contains__).key == order
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
 )
 def test_bad_names(names: bytes) -> None:
     with pytest.raises(Unreadable):
-        read(args(names), CLASSES, {7}.__contains__)
+        parse(args(names), CLASSES, {7}.__contains__)
 
 
 @pytest.mark.parametrize(
@@ -75,4 +75,4 @@
 )
 def test_bad_parts(given: list[bytes]) -> None:
     with pytest.raises(Unreadable):
-        read(given, CLASSES, {7}.__contains__)
+        parse(given, CLASSES, {7}.__contains__)
--- a/tests/rules_driver.py
+++ b/tests/rules_driver.py
@@ -24,7 +24,9 @@
         )
         for i, effect in enumerate(api.Effect)
     )
-    kinds = tuple(api.Kind(f"k{i}", rng.random() < 0.4, rng.choice([1, 1, 3, 20])) for i in range(2))
+    kinds = tuple(
+        api.DestinationKind(f"k{i}", rng.random() < 0.4, rng.choice([1, 1, 3, 20])) for i in range(2)
+    )
     return api.Settings(
         classes=classes,
         slots=rng.choice([1, 2, 6]),
@@ -35,8 +37,8 @@
         max_attempts=rng.choice([1, 3, 8]),
         max_retry_after=rng.choice([0.0, 2000.0]),
         tick=5.0,
-        second_copies=rng.random() < 0.5,
-        ask_list=rng.random() < 0.3,
+        concurrent_attempts=rng.random() < 0.5,
+        request_list=rng.random() < 0.3,
         weights=rng.choice(["none", "nominal", "rough"]),
         connect_timeout=rng.choice([250.0, 1000.0]),
         cold=3000.0,
@@ -54,7 +56,7 @@
         self.out: list[tuple[float, int, int, str]] = []
         self.zones: dict[int, str] = {}
 
-    def news(self) -> api.ListNews:
+    def news(self) -> api.ListUpdate:
         """A list: delta, full or failed, with drains and endpoints that go; or whether it may be relied on."""
         rng = self.rng
         kind = rng.choice(list(api.ListKind))
@@ -64,7 +66,7 @@
                 (i + (rng.random() < 0.02)) % 4,  # now and then it moves to another destination
                 f"k{i % 2}",
                 rng.choice(["a", "b"]) if i not in self.zones else self.zones[i],
-                rng.choice([api.State.READY] * 4 + [api.State.DRAINING, api.State.GONE]),
+                rng.choice([api.EntryState.READY] * 4 + [api.EntryState.DRAINING, api.EntryState.GONE]),
                 rng.choice([0.5, 5.0, 50.0]),
             )
             for i in range(8)
@@ -73,7 +75,7 @@
         for info in entries:
             self.zones.setdefault(int(info.name[1:]), info.zone)
         bare = kind in (api.ListKind.FAILED, api.ListKind.UNCONFIRMED, api.ListKind.USABLE)
-        return api.ListNews(kind, () if bare else entries)
+        return api.ListUpdate(kind, () if bare else entries)
 
     def outcome(self, good: float) -> api.AttemptEnded | None:
         """Some outstanding attempt ends, mostly soon, sometimes badly; time-outs come at their time."""
@@ -85,7 +87,7 @@
         result = api.Result.TIMEOUT if due else self.rng.choice(RESULTS)
         if not due and self.rng.random() < good:
             result = api.Result.OK
-        wait = self.rng.choice([0.0, 0.0, 150.0, 2500.0]) if result is api.Result.FULL else 0.0
+        wait = self.rng.choice([0.0, 0.0, 150.0, 2500.0]) if result is api.Result.BUSY else 0.0
         closed = result is api.Result.OK or self.box.tracks[pick[1]].over
         return api.AttemptEnded(
             pick[1],
--- a/tests/service/as2_door.py
+++ b/tests/service/as2_door.py
@@ -14,7 +14,7 @@
 from brassweir.lab.rigs.fleet import HUB, Fleet
 from brassweir.lab.rigs.local import LocalSender
 from brassweir.lab.rigs.plan import FleetPlan
-from brassweir.net.client import Address, Pool, Reply
+from brassweir.net.client import Address, HttpPool, Reply
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 from tests.conftest import identity
@@ -32,7 +32,7 @@
         self.offload = Offload(1)
 
     async def knock(self, fields: dict[str, str], body: bytes = b"x", url: str = "") -> Reply:
-        pool = Pool(Address.of(url or self.url), Limits(), 1, 100.0, 1000.0)
+        pool = HttpPool(Address.parse(url or self.url), Limits(), 1, 100.0, 1000.0)
         try:
             return await pool.post(
                 Headers(list(fields.items())), body, asyncio.get_running_loop().time() + 5.0
@@ -50,7 +50,7 @@
             ident,
             wait=wait,
         )
-        pool = Pool(Address.of(self.url), Limits(), 1, 100.0, 1000.0)
+        pool = HttpPool(Address.parse(self.url), Limits(), 1, 100.0, 1000.0)
         try:
             told = await post(pool, sent, self.hub, asyncio.get_running_loop().time() + 5.0, self.offload)
             return told.answer
--- a/tests/service/test_asked.py
+++ b/tests/service/test_asked.py
@@ -15,17 +15,17 @@
 from brassweir.config.load import load
 from brassweir.config.model import Config
 from brassweir.core.ports import Answer, FinalAnswer, Payload, Submission
-from brassweir.destinations.budget import Budget
-from brassweir.destinations.setups import Setups
+from brassweir.destinations.budget import ConnectionBudget
+from brassweir.destinations.setup_queue import SetupQueue
 from brassweir.lab.rigs.idle_setup import KEY, Plan, Quiet, write
 from brassweir.lab.rigs.load import Mix
 from brassweir.lab.standins import hooks
 from brassweir.net import client
 from brassweir.net.client import CallFailed, Reply, Stage
 from brassweir.net.headers import Headers
-from brassweir.net.limiter import Pools
 from brassweir.net.limits import Limits
-from brassweir.net.pool import Short
+from brassweir.net.pool import ResourceShortage
+from brassweir.net.pool_manager import PoolManager
 from brassweir.service.process import SenderProcess
 from tests.conftest import run
 
@@ -90,17 +90,17 @@
     async def work() -> tuple[list[FinalAnswer], SenderProcess]:
         sender, receivers = await running(tmp_path)
         dials = refused = 0
-        dial = client.Pool._dial
+        dial = client.HttpPool._dial
 
-        async def dial_short(pool: client.Pool, of: asyncio.AbstractEventLoop, connection: Any) -> None:
+        async def dial_short(pool: client.HttpPool, of: asyncio.AbstractEventLoop, connection: Any) -> None:
             nonlocal dials, refused
             dials += 1
             if 8 < dials <= 48:
                 refused += 1
-                raise Short
+                raise ResourceShortage
             await dial(pool, of, connection)
 
-        monkeypatch.setattr(client.Pool, "_dial", dial_short)
+        monkeypatch.setattr(client.HttpPool, "_dial", dial_short)
         answers = await asyncio.gather(*(deliver(sender, f"hook-{i}", f"m{i}") for i in range(30)))
         assert refused >= 3 and receivers.report()["repeated"] == 0
         await sender.drain()
@@ -109,7 +109,9 @@
 
     answers, sender = run(work())
     assert [answer.answer for answer in answers] == [Answer.DELIVERED] * 30
-    assert sender.pools.budget.most < sender.pools.budget.configured, "it lives with less from then on"
+    assert sender.pools.budget.max_connections < sender.pools.budget.configured, (
+        "it lives with less from then on"
+    )
 
 
 def test_ten_dead_wakes_do_not_hold_up_the_living() -> None:
@@ -123,7 +125,7 @@
             one.connect_ex(blackhole.getsockname())
         receivers = hooks.Receivers(10, KEY, 0.0, [], 1)
         port = await receivers.server.listen("127.0.0.1", 0)
-        pools = Pools(Limits(), 4, 1000.0, 1000.0, Budget(100), Setups(4))
+        pools = PoolManager(Limits(), 4, 1000.0, 1000.0, ConnectionBudget(100), SetupQueue(4))
         loop = asyncio.get_running_loop()
         dead = [
             loop.create_task(post(pools, f"http://127.0.0.1:{blackhole.getsockname()[1]}/{i}"))
@@ -141,13 +143,13 @@
         failed = [one for one in await asyncio.gather(*dead, return_exceptions=True)]
         assert all(isinstance(one, CallFailed) and one.stage is Stage.CONNECT for one in failed)
         assert all(isinstance(one, Reply) for one in living)
-        pools.close()
+        pools.close_all_idle()
         receivers.server.abort()
         for one in [blackhole, *filled]:
             one.close()
         return [took]
 
-    async def post(pools: Pools, url: str) -> Reply:
-        return await pools.of(url).post(Headers(), b"", asyncio.get_running_loop().time() + 3.0)
+    async def post(pools: PoolManager, url: str) -> Reply:
+        return await pools.http_pool(url).post(Headers(), b"", asyncio.get_running_loop().time() + 3.0)
 
     assert run(work())[0] < 1.0, "one place is held by the dead, three serve the living"
--- a/tests/service/test_bad_input.py
+++ b/tests/service/test_bad_input.py
@@ -8,7 +8,7 @@
 from brassweir.as2 import cms, mdn, message
 from brassweir.as2.message import Security
 from brassweir.core.ports import Payload
-from brassweir.net.client import Address, CallFailed, Pool
+from brassweir.net.client import Address, CallFailed, HttpPool
 from brassweir.net.headers import Headers
 from brassweir.net.limits import Limits
 from tests.conftest import identity, run
@@ -31,7 +31,7 @@
         ):
             assert (await knock(bad)).status == status
         twice = Headers([*fields().items(), ("AS2-From", "other")])
-        pool = Pool(Address.of(door.url), Limits(), 1, 100.0, 1000.0)
+        pool = HttpPool(Address.parse(door.url), Limits(), 1, 100.0, 1000.0)
         assert (await pool.post(twice, b"x", asyncio.get_running_loop().time() + 5.0)).status == 400
         pool.close_idle()
         assert (await knock(fields(), url=door.url + "/elsewhere")).status == 404
--- a/tests/service/test_configuration.py
+++ b/tests/service/test_configuration.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.config.test_forward import GOOD, folder
+from tests.config.test_forward import VALID_SETTINGS, write_settings
 from tests.service.processes import WAIT, Processes
 
 NAMES = ("c1", "c2", "s1", "s2")
@@ -34,8 +34,10 @@
             shared = f"{PEERS}agreed: {{voters: [c1, c2, s1], configuration: {edits}}}\n"
             metrics = f"metrics: '127.0.0.1:{self.metrics[name]}'"
             if name in SENDERS:
-                text = GOOD.replace("name: s1,", f"name: {name}, {metrics},")
-                folder(home / name, text.replace("endpoints: endpoints.yaml", "endpoints: agreed") + shared)
+                text = VALID_SETTINGS.replace("name: s1,", f"name: {name}, {metrics},")
+                write_settings(
+                    home / name, text.replace("endpoints: endpoints.yaml", "endpoints: agreed") + shared
+                )
             else:
                 self.settings(name).write_text(f"sender: {{name: {name}, {metrics}}}\n{shared}")
                 (home / name / "list.yaml").write_text(endpoints("a"))
--- a/tests/service/test_control_machines.py
+++ b/tests/service/test_control_machines.py
@@ -13,7 +13,7 @@
 
 from brassweir.regions import planning
 from brassweir.regions.epochs import parse
-from tests.config.test_forward import GOOD, folder
+from tests.config.test_forward import VALID_SETTINGS, write_settings
 from tests.service.processes import WAIT, Processes
 
 AGREED = "agreed: {voters: [c1, c2, c3], lease_ms: 6000, first_epoch: first.json}\n"
@@ -30,8 +30,8 @@
             f"sender: {{name: {name}, metrics: '127.0.0.1:{made.metrics[name]}'}}\n{PEERS}{AGREED}"
             "region: {name: r1, source: agreed, longest_deadline_ms: 8000}\n"
         )
-    text = GOOD.replace("name: s1,", f"name: s1, metrics: '127.0.0.1:{made.metrics['s1']}',")
-    folder(tmp_path / "s1", f"{text}{PEERS}{AGREED}region: {{name: r1, source: agreed}}\n")
+    text = VALID_SETTINGS.replace("name: s1,", f"name: s1, metrics: '127.0.0.1:{made.metrics['s1']}',")
+    write_settings(tmp_path / "s1", f"{text}{PEERS}{AGREED}region: {{name: r1, source: agreed}}\n")
     for name in made.names:
         (tmp_path / name / "first.json").write_bytes(first)
     yield made
--- a/tests/service/test_lean.py
+++ b/tests/service/test_lean.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.config.test_copies import SETTINGS, put
-from tests.config.test_forward import folder
+from tests.config.test_copies import SETTINGS, write_copies_settings
+from tests.config.test_forward import write_settings
 
 START = """
 import asyncio, sys
@@ -46,7 +46,7 @@
 
 
 def test_a_sender_without_peers_imports_neither(tmp_path: Path) -> None:
-    assert imported(START, str(folder(tmp_path))) == []
+    assert imported(START, str(write_settings(tmp_path))) == []
 
 
 def test_nor_does_a_node() -> None:
@@ -61,11 +61,11 @@
         else SETTINGS[: SETTINGS.index("region:")]
         + "peers: {copies: copies.yaml, keys: [peers.key], listen: '127.0.0.1:7201'}\n"
     )
-    found = imported(START, str(put(tmp_path, text)))
+    found = imported(START, str(write_copies_settings(tmp_path, text)))
     assert "brassweir.peers.port" in found and ("brassweir.agreed.member" in found) is agreed
     assert not [name for name in found if name.startswith("brassweir.configstream")]
 
 
 def test_versions_of_the_endpoint_list_are_imported_where_the_settings_have_them(tmp_path: Path) -> None:
-    path = put(tmp_path, SETTINGS.replace("first.json}", "first.json, configuration: {}}"))
+    path = write_copies_settings(tmp_path, SETTINGS.replace("first.json}", "first.json, configuration: {}}"))
     assert "brassweir.configstream.core" in imported(START, str(path))
--- a/tests/service/test_loop_disk.py
+++ b/tests/service/test_loop_disk.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
-from brassweir.service.journaling import LoopDisk
+from brassweir.service.journaling import LoopIo
 
 
 def test_the_end_writes_what_waits_and_lets_nothing_more_go_on() -> None:
     async def run() -> list[str]:
-        disk, seen = LoopDisk(asyncio.get_running_loop()), list[str]()
+        disk, seen = LoopIo(asyncio.get_running_loop()), list[str]()
 
         def done(_: object) -> None:
             seen.append("done")
@@ -27,7 +27,7 @@
 
 def test_an_error_is_told_and_the_next_goes_on() -> None:
     async def run() -> list[str]:
-        disk, seen = LoopDisk(asyncio.get_running_loop()), list[str]()
+        disk, seen = LoopIo(asyncio.get_running_loop()), list[str]()
 
         def bad() -> None:
             raise OSError("gone")
--- a/tests/service/test_regions.py
+++ b/tests/service/test_regions.py
@@ -21,7 +21,7 @@
 from brassweir.regions.ownership import Assumed
 from brassweir.service.process import SenderProcess
 from brassweir.service.regionfile import RegionFile
-from tests.config.test_forward import GOOD, folder
+from tests.config.test_forward import VALID_SETTINGS, write_settings
 from tests.conftest import run
 
 ASSUMED = Assumed(500.0, 8_000.0, 3_600_000.0)
@@ -38,7 +38,7 @@
 def sender(tmp_path: Path, region: str, epoch: Epoch | None) -> SenderProcess:
     home = tmp_path / region
     home.mkdir(exist_ok=True)
-    path = folder(home, GOOD + f"region: {{name: {region}, epochs: epochs.json}}\n")
+    path = write_settings(home, VALID_SETTINGS + f"region: {{name: {region}, epochs: epochs.json}}\n")
     if epoch is not None:
         (home / "epochs.json").write_bytes(msgspec.json.encode(epoch))
     return SenderProcess(load(path, Config), home, Lines())
--- a/tests/service/test_saved_list.py
+++ b/tests/service/test_saved_list.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brassweir.relay.listing import Change, Listing, Target
+from brassweir.relay.endpoint_list import Change, Listing, Target
 from brassweir.service.saved_list import NAME, SavedList
 
 FOLDER = 3 * 1024 * 1024
--- a/tests/service/test_three.py
+++ b/tests/service/test_three.py
@@ -15,7 +15,7 @@
 from brassweir.regions import planning
 from brassweir.regions.epochs import parse
 from brassweir.regions.ownership import Assumed
-from tests.config.test_forward import GOOD, folder
+from tests.config.test_forward import VALID_SETTINGS, write_settings
 from tests.service.processes import WAIT, Processes
 
 NAMES = ("s1", "s2", "s3")
@@ -33,9 +33,11 @@
             turn=1,
         )
         for name in NAMES:
-            folder(
+            write_settings(
                 home / name,
-                GOOD.replace("name: s1,", f"name: {name}, metrics: '127.0.0.1:{self.metrics[name]}',")
+                VALID_SETTINGS.replace(
+                    "name: s1,", f"name: {name}, metrics: '127.0.0.1:{self.metrics[name]}',"
+                )
                 + (
                     f"region: {{name: r{name[1]}, source: agreed}}\npeers: {{copies: copies.yaml, keys: [peers.key]}}\n"
                     "agreed: {voters: [s1, s2, s3], lease_ms: 6000, first_epoch: first.json}\n"
--- a/tests/service/test_versionedlist.py
+++ b/tests/service/test_versionedlist.py
@@ -12,10 +12,10 @@
 from brassweir.config.model import Config
 from brassweir.configstream.catalog import EMPTY, Catalog
 from brassweir.configstream.entries import Entry
-from brassweir.interface import ListNews, State
+from brassweir.interface import EntryState, ListUpdate
 from brassweir.service.versionedlist import VersionedList
-from tests.config.test_control import FOLLOWS
-from tests.config.test_copies import put
+from tests.config.test_control import LOG_LIST_SETTINGS
+from tests.config.test_copies import write_copies_settings
 
 
 def entry(name: str, state: str = "ready", kind: str = "collectors", rate: float = 0.0) -> Entry:
@@ -30,21 +30,23 @@
     """What the decision module of one sender is told."""
 
     def __init__(self, home: Path) -> None:
-        self.news: list[ListNews] = []
+        self.news: list[ListUpdate] = []
         self.notes: list[tuple[str, dict[str, object]]] = []
         self.in_force: list[int] = []
         self.list = VersionedList(
-            load(put(home, FOLLOWS), Config), self.tell, lambda event, more: self.notes.append((event, more))
+            load(write_copies_settings(home, LOG_LIST_SETTINGS), Config),
+            self.tell,
+            lambda event, more: self.notes.append((event, more)),
         )
         self.list.on_told = self.in_force.append
         self.between: list[tuple[int, Catalog]] = []  # versions that come after the next steps
 
-    def tell(self, news: ListNews) -> None:
+    def tell(self, news: ListUpdate) -> None:
         self.news.append(news)
         if self.between:
             self.list.follow(*self.between.pop(0))
 
-    def states(self) -> dict[str, State]:
+    def states(self) -> dict[str, EntryState]:
         return {one.name: one.state for news in self.news for one in news.entries}
 
 
@@ -93,12 +95,12 @@
         while not sender.list.refused:
             await asyncio.sleep(0)
         assert "kind 'other' is not in the settings" in sender.list.refused and sender.list.told == 3
-        assert sender.notes[-1][0] == "configuration_unusable" and sender.states() == {"a": State.READY}
+        assert sender.notes[-1][0] == "configuration_unusable" and sender.states() == {"a": EntryState.READY}
         task.cancel()
         sender.list.follow(5, catalog(entry("c")))
         await until_told(sender, 5)
         assert sender.in_force == [3, 5] and not sender.list.refused
-        assert sender.states() == {"a": State.GONE, "c": State.READY}
+        assert sender.states() == {"a": EntryState.GONE, "c": EntryState.READY}
         with pytest.raises(ConfigError, match="kind 'other' is not in the settings"):
             sender.list.check([entry("b", kind="other")])
 
@@ -113,7 +115,7 @@
         sender.between = [(2, catalog(entry("a", "draining"), entry("b"), entry("e")))]
         await sender.list.open()
         assert sender.in_force == [2] and len(sender.news) <= 5
-        told = {name for name, state in sender.states().items() if state is not State.GONE}
+        told = {name for name, state in sender.states().items() if state is not EntryState.GONE}
         assert told == {"a", "b", "e"}
 
     run(work())
--- a/tests/sites/test_view.py
+++ b/tests/sites/test_view.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from brassweir.interface import State
+from brassweir.interface import EntryState
 from brassweir.sites import plan as planning
 from brassweir.sites.facts import Agreed, Ending, Facts, Line, Word
 from brassweir.sites.parts import ALONE
@@ -43,7 +43,7 @@
     steps = run(view, 6_000.0, 6, 1.0, WELL)
     assert Said("b", Word.LOST, False) in steps and Propose("b", Word.LOST) in steps
     entries = {one.info.name: one.info for one in steps if isinstance(one, Entry)}
-    assert sorted(info.state is State.READY for info in entries.values()) == [False, True], (
+    assert sorted(info.state is EntryState.READY for info in entries.values()) == [False, True], (
         "one endpoint is tried by this copy"
     )
     assert all(info.zone == "b" and info.rate <= 200.0 for info in entries.values())
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -100,7 +100,7 @@
 def test_batch_sizes_for_fewer_kinds_are_filled_up() -> None:
     kinds = launched("Specifics.KindBatch=20 Specifics.KindApart=false,true").kinds
     assert [kind.batch for kind in kinds] == [20, 1]
-    assert [kind.apart for kind in kinds] == [False, True]
+    assert [kind.separate_routes for kind in kinds] == [False, True]
 
 
 @pytest.mark.parametrize(("batch", "word"), [("many,1", "KindBatch"), ("0,1", r"k\.batch")])
@@ -112,6 +112,6 @@
 def test_no_word_when_to_come_back_where_none_is_allowed() -> None:
     sender = Sender(launched("Allowed.RetryAfter=false"), 1, 0.0)
     sender.handle(0.0, [listed(1)])
-    sender._dest(1).gate.told_wait(0.0, 30000.0)
+    sender._destination(1).gate.on_requested_wait(0.0, 30000.0)
     refused = [a for a in sender.handle(1.0, [new(1, name="a", left=9000.0)]) if isinstance(a, api.Refuse)]
     assert [a.retry_after for a in refused] == [0.0]
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -9,9 +9,9 @@
 
 from brassweir import interface as api
 from brassweir.control import Sender
-from brassweir.control.bound import PERIOD
-from brassweir.control.holding import DOZE
-from brassweir.control.open import Destination
+from brassweir.control.backlog import PERIOD_MS
+from brassweir.control.entities import Destination
+from brassweir.control.state import COMPACT_AFTER_PERIODS
 
 CLASSES = (
     api.MessageClass("safe", 500.0, 3000.0, api.Effect.SAFE),
@@ -23,14 +23,18 @@
 class Sleepless(Sender):
     """Never folds anything up."""
 
-    def _doze(self, dest: Destination) -> None:
+    def _compact(self, dest: Destination) -> None:
         pass
 
 
 def drive(seed: int, senders: tuple[type[Sender], ...], until: float = 90_000.0) -> list[Sender]:
     """The same random day to each: busy and quiet spells, lists, every ending; all must act alike."""
     rng = Random(seed)
-    kinds = (api.Kind("a", apart=True), api.Kind("b", batch=2), api.Kind("c"))
+    kinds = (
+        api.DestinationKind("a", separate_routes=True),
+        api.DestinationKind("b", batch=2),
+        api.DestinationKind("c"),
+    )
     sets = api.Settings(
         classes=CLASSES,
         slots=rng.choice([3, 8]),
@@ -50,7 +54,7 @@
         for i in range(rng.randint(1, 3))
     ]
     told = rng.random() < 0.5
-    events: list[api.Event] = [api.ListNews(api.ListKind.FULL, tuple(infos))]
+    events: list[api.Event] = [api.ListUpdate(api.ListKind.FULL, tuple(infos))]
     pending: list[tuple[float, int, api.Event]] = []
     now, messages, tries = 0.0, 0, dict[int, int]()
     while now < until:
@@ -64,11 +68,11 @@
                 at, result = now + rng.expovariate(1 / 100.0), api.Result.OK
                 if rng.random() < 0.25:
                     result = rng.choice(
-                        [api.Result.ERROR, api.Result.FULL, api.Result.RESET, api.Result.NO_CONNECTION]
+                        [api.Result.ERROR, api.Result.BUSY, api.Result.RESET, api.Result.NO_CONNECTION]
                     )
                 if at >= action.abandon_at:
                     at, result = action.abandon_at, api.Result.TIMEOUT
-                wait = rng.choice([0.0, 300.0, 4000.0]) if result is api.Result.FULL else 0.0
+                wait = rng.choice([0.0, 300.0, 4000.0]) if result is api.Result.BUSY else 0.0
                 limit = rng.choice([5.0, 10.0]) if told else None
                 ended = api.AttemptEnded(
                     action.id,
@@ -92,11 +96,11 @@
             events = [entry[2] for entry in due]
         elif rng.random() < 0.04:
             now = at
-            states = [api.State.READY] * 4 + [api.State.DRAINING, api.State.GONE]
+            states = [api.EntryState.READY] * 4 + [api.EntryState.DRAINING, api.EntryState.GONE]
             kind = rng.choice([api.ListKind.DELTA, api.ListKind.FULL])
             share = 0.95 if kind is api.ListKind.FULL else 0.2
             events = [
-                api.ListNews(
+                api.ListUpdate(
                     kind,
                     tuple(
                         api.EndpointInfo(
@@ -131,15 +135,15 @@
     slept = 0
     for seed in range(12):
         made = drive(seed, (Sender, Sleepless))
-        slept += len(made[0].asleep)
+        slept += len(made[0].compacted)
     assert slept > 20, "the days were meant to let destinations sleep"
 
 
 def test_a_fold_that_forgets_is_noticed() -> None:
     class Forgetful(Sender):
-        def _doze(self, dest: Destination) -> None:
-            dest.mean.value = dest.mean.usual = 0.0
-            super()._doze(dest)
+        def _compact(self, dest: Destination) -> None:
+            dest.call_times.mean = dest.call_times.baseline = 0.0
+            super()._compact(dest)
 
     with pytest.raises(AssertionError):
         for seed in range(12):
@@ -151,18 +155,18 @@
     sets = api.Settings(classes=CLASSES, slots=4, max_open=40, max_retry_after=2000.0, cold=10_000.0)
     sender = Sender(sets, 1, 0.0)
     info = api.EndpointInfo("e", 1, "k")
-    sender.handle(0.0, [api.ListNews(api.ListKind.FULL, (info,)), api.NewMessage(1, "unsafe", 1, 4000.0)])
+    sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, (info,)), api.NewMessage(1, "unsafe", 1, 4000.0)])
     sender.handle(50.0, [api.AttemptEnded(1, 0, "e", result, 50.0, True, **more)])
     now = 0.0
-    while 1 in sender.dests:
-        now += PERIOD
-        assert now < 20 * DOZE * PERIOD
+    while 1 in sender.destinations:
+        now += PERIOD_MS
+        assert now < 20 * COMPACT_AFTER_PERIODS * PERIOD_MS
         sender.handle(now, [api.TimerDue()])
     return sender, info, now
 
 
 def test_a_wait_outlives_the_sleep() -> None:
-    sender, _, now = asleep(api.Result.FULL, wait=86_400_000.0)
+    sender, _, now = asleep(api.Result.BUSY, wait=86_400_000.0)
     later = now + 3_600_000.0
     actions = sender.handle(later, [api.NewMessage(2, "safe", 1, 3000.0)])
     assert not [one for one in actions if isinstance(one, api.Send)], "told to wait a day, an hour has passed"
@@ -173,7 +177,7 @@
         classes=CLASSES, slots=4, max_open=40, max_retry_after=2000.0, cold=10_000.0, senders=50
     )
     sender = Sender(sets, 1, 0.0)
-    sender.handle(0.0, [api.ListNews(api.ListKind.FULL, (api.EndpointInfo("e", 1, "k"),))])
+    sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, (api.EndpointInfo("e", 1, "k"),))])
     for i in range(6):
         now = i * 700.0
         sent = [
@@ -183,10 +187,10 @@
         ]
         for one in sent:
             sender.handle(now + 10.0, [api.AttemptEnded(one.id, 0, "e", api.Result.RESET, 10.0, True)])
-    assert sender._dest(1).gate.shut
+    assert sender._destination(1).gate.circuit_open
     now = 4200.0
-    while 1 in sender.dests:
-        now += PERIOD
+    while 1 in sender.destinations:
+        now += PERIOD_MS
         assert now < 900_000.0
         sender.handle(now, [api.TimerDue()])
     actions = sender.handle(
@@ -201,21 +205,23 @@
     sets = api.Settings(classes=CLASSES, slots=4, max_open=40)
     sender = Sender(sets, 1, 0.0)
     infos = tuple(api.EndpointInfo(f"e{i}", i, "k") for i in range(2000))
-    sender.handle(0.0, [api.ListNews(api.ListKind.FULL, infos)])
-    assert len(sender.asleep) == 2000 and not sender.dests and not sender.stirred
+    sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, infos)])
+    assert len(sender.compacted) == 2000 and not sender.destinations and not sender.adjusting_gates
     for i in range(50):
         actions = sender.handle(10.0 + i, [api.NewMessage(i, "safe", i, 3000.0)])
         for one in actions:
             if isinstance(one, api.Send):
                 sender.handle(10.5 + i, [api.AttemptEnded(one.id, 0, one.endpoint, api.Result.OK, 0.5, True)])
     for second in range(1, 40):
-        sender.handle(second * PERIOD, [api.TimerDue()])
-    assert not sender.dests and not sender.idle and not sender.stirred, "all is folded up again"
+        sender.handle(second * PERIOD_MS, [api.TimerDue()])
+    assert not sender.destinations and not sender.idle_since and not sender.adjusting_gates, (
+        "all is folded up again"
+    )
 
 
 def test_a_drain_told_of_a_sleeper_is_heard() -> None:
     sender, info, now = asleep(api.Result.OK)
-    gone = api.EndpointInfo(info.name, 1, "k", state=api.State.DRAINING)
-    sender.handle(now, [api.ListNews(api.ListKind.DELTA, (gone,))])
+    gone = api.EndpointInfo(info.name, 1, "k", state=api.EntryState.DRAINING)
+    sender.handle(now, [api.ListUpdate(api.ListKind.DELTA, (gone,))])
     actions = sender.handle(now + 1.0, [api.NewMessage(2, "safe", 1, 3000.0)])
     assert not [one for one in actions if isinstance(one, api.Send)]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -33,7 +33,7 @@
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1, 2)])
     sender.handle(1.0, [new(1)])
-    sender.handle(2.0, [over(1, api.Result.FULL, wait=900.0)])
+    sender.handle(2.0, [over(1, api.Result.BUSY, wait=900.0)])
     assert sends(sender.handle(3.0, [new(2), new(3, 2)])) == [3]
 
 
@@ -42,7 +42,7 @@
     sender.handle(0.0, [listed(1)])
     sender.handle(1.0, [new(1, left=1000.0)])
     sender.handle(800.0, [api.TimerDue()])  # the look shortly before the deadline
-    answers = list(sender.handle(850.0, [over(1, api.Result.FULL, wait=600.0)]))
+    answers = list(sender.handle(850.0, [over(1, api.Result.BUSY, wait=600.0)]))
     for now in (900.0, 950.0, 1001.0):
         answers += sender.handle(now, [api.TimerDue()])
     assert [a.id for a in answers if isinstance(a, api.Refuse)] == [1]
@@ -57,7 +57,7 @@
 
 def test_late_message_yields_only_where_worth_halves() -> None:
     for by_half, first in ((True, [2]), (False, [1])):
-        sender = Sender(replace(SETTINGS, by_half=by_half), 1, 0.0)
+        sender = Sender(replace(SETTINGS, worth_halves=by_half), 1, 0.0)
         sender.handle(0.0, [new(1)])
         sender.handle(1900.0, [new(2)])
         actions = sender.handle(2500.0, [listed(1), api.TimerDue()])
@@ -84,8 +84,8 @@
         ("connect_timeout", float("nan")),
         ("classes", (SAFE, SAFE)),
         ("classes", ()),
-        ("kinds", (api.Kind("k", batch=0),)),
-        ("kinds", (api.Kind("k"), api.Kind("k"))),
+        ("kinds", (api.DestinationKind("k", batch=0),)),
+        ("kinds", (api.DestinationKind("k"), api.DestinationKind("k"))),
         ("classes", (replace(SAFE, deadline=float("nan")),)),
     ],
 )
@@ -118,30 +118,32 @@
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
     moved = api.EndpointInfo("e1", 2, "k", rate=10.0)
-    sender.handle(1.0, [api.ListNews(api.ListKind.DELTA, (moved,))])
+    sender.handle(1.0, [api.ListUpdate(api.ListKind.DELTA, (moved,))])
     assert sends(sender.handle(2.0, [new(1, 1), new(2, 2)])) == [2]
 
 
 def test_empty_list_stops_sends() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
-    sender.handle(1.0, [api.ListNews(api.ListKind.FULL)])
+    sender.handle(1.0, [api.ListUpdate(api.ListKind.FULL)])
     assert sends(sender.handle(2.0, [new(1)])) == []
 
 
 def test_unknown_and_late_news_is_ignored() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [over(7, api.Result.OK), api.Withdrawn(9), api.TimerDue()])
-    sender.handle(1.0, [api.ListNews(api.ListKind.FAILED)])
+    sender.handle(1.0, [api.ListUpdate(api.ListKind.FAILED)])
 
 
 def test_a_fresh_fleet_spreads_over_routes_by_their_rates() -> None:
-    settings = replace(SETTINGS, kinds=(api.Kind("k", apart=True),), senders=200, weights="rough")
+    settings = replace(
+        SETTINGS, kinds=(api.DestinationKind("k", separate_routes=True),), senders=200, weights="rough"
+    )
     routes = (api.EndpointInfo("a", 1, "k", rate=9.0), api.EndpointInfo("b", 1, "k", rate=3.0))
     first = []
     for seed in range(200):
         sender = Sender(settings, seed, 0.0)
-        sender.handle(0.0, [api.ListNews(api.ListKind.FULL, routes)])
+        sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, routes)])
         actions = sender.handle(1.0, [new(1)])
         first += [action.endpoint for action in actions if isinstance(action, api.Send)]
     assert 30 < first.count("b") < 70
@@ -151,14 +153,14 @@
 def test_a_message_that_cannot_go_in_time_is_answered_at_once() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
-    sender._dest(1).gate.told_wait(0.0, 30000.0)
+    sender._destination(1).gate.on_requested_wait(0.0, 30000.0)
     assert any(isinstance(a, api.Refuse) for a in sender.handle(1.0, [new(1)]))
 
 
 def test_a_standing_queue_under_a_limit_is_refused_at_the_door() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
-    sender._dest(1).gate.pace, sender._dest(1).gate.tokens = 2.0, 0.0
+    sender._destination(1).gate.pace, sender._destination(1).gate.tokens = 2.0, 0.0
     refused = sum(isinstance(a, api.Refuse) for a in sender.handle(1.0, [new(i) for i in range(20)]))
     assert 10 <= refused <= 12  # two calls a second, twice an aim of two seconds
 
@@ -167,11 +169,11 @@
 def test_a_queue_is_kept_where_its_rate_will_grow(ramp: bool) -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
-    gate = sender._dest(1).gate
+    gate = sender._destination(1).gate
     if ramp:
-        gate.ramp, gate.tokens = 0.0, 0.0
+        gate.ramp_start, gate.tokens = 0.0, 0.0
     else:
-        gate.limit(10.0, True)
+        gate.set_limit(10.0, True)
         gate.pace, gate.tokens = 1.0, 0.0
     assert not any(isinstance(a, api.Refuse) for a in sender.handle(1.0, [new(i) for i in range(20)]))
 
@@ -180,26 +182,26 @@
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
     sender.handle(1.0, [new(1), replace(new(2), resent=True), replace(new(3), resent=True)])
-    assert sender._dest(1).gate.arrivals == 1.0
+    assert sender._destination(1).gate.arrivals == 1.0
 
 
 def test_a_call_that_cannot_be_repeated_is_not_begun_where_the_end_of_its_sender_could_cut_it() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     sender.handle(0.0, [listed(1)])
     now = warm(sender, 2)
-    assert not sender.handle(now, [api.Leaving(now + 200.0)])
+    assert not sender.handle(now, [api.StopScheduled(now + 200.0)])
     assert sends(sender.handle(now, [new(1, name="unsafe")])) == [1], "50 ms a call: there is time"
     assert sends(sender.handle(now + 100.0, [new(2, name="unsafe"), new(3)])) == [3], (
         "what may be repeated goes"
     )
-    assert 2 in sender.messages and not sender.messages[2].over, "and it is kept for after the restart"
+    assert 2 in sender.messages and not sender.messages[2].ended, "and it is kept for after the restart"
 
 
 def test_what_was_taken_on_before_a_restart_is_not_refused_at_the_door() -> None:
     sender = Sender(SETTINGS, 1, 0.0)
     back = [replace(new(ident, 1 + ident % 2), admitted=True, resent=True) for ident in range(1, 31)]
     actions = sender.handle(0.0, [listed(1, 2), *back])
-    assert not [one for one in actions if isinstance(one, api.Refuse)] and sender.load.open == 30
+    assert not [one for one in actions if isinstance(one, api.Refuse)] and sender.load.open_messages == 30
     assert [one.id for one in sender.handle(1.0, [new(99)]) if isinstance(one, api.Refuse)] == [99], (
         "others are: the backlog is over the bound"
     )
--- a/tests/undelivered/test_kept.py
+++ b/tests/undelivered/test_kept.py
@@ -11,50 +11,52 @@
 from hypothesis import strategies as st
 
 from brassweir.cli.main import main
-from brassweir.undelivered.item import Item, Room, decode, encode, name_of
-from brassweir.undelivered.store import Full, Kept, read_all
+from brassweir.undelivered.item import StorageQuota, UndeliveredItem, decode, encode, file_name
+from brassweir.undelivered.store import StoreFull, UndeliveredStore, read_all
 
 
-def item(identity: str = "c1", size: int = 100, at: float = 1000.0, destination: str = "bank") -> Item:
-    return Item(
+def item(
+    identity: str = "c1", size: int = 100, at: float = 1000.0, destination: str = "bank"
+) -> UndeliveredItem:
+    return UndeliveredItem(
         "edge", identity, destination, "order", "pay.x", "it said no", at, "application/x-ndjson", b"x" * size
     )
 
 
 def test_an_item_is_kept_once_and_read_again(tmp_path: Path) -> None:
-    kept = Kept(tmp_path / "new" / "kept", 10_000)
-    kept.keep(item())
-    kept.keep(item(at=2000.0))
+    kept = UndeliveredStore(tmp_path / "new" / "kept", 10_000)
+    kept.save(item())
+    kept.save(item(at=2000.0))
     assert kept.has("edge", "c1") and not kept.has("edge", "c2") and not kept.has("other", "c1")
-    ((path, one),) = read_all(kept.folder)
-    assert one == item() and path.name == name_of("edge", "c1")
-    assert Kept(kept.folder, 10_000).room.total == path.stat().st_size
+    ((path, one),) = read_all(kept.directory)
+    assert one == item() and path.name == file_name("edge", "c1")
+    assert UndeliveredStore(kept.directory, 10_000).quota.total == path.stat().st_size
 
 
 def test_the_bound_holds_and_room_comes_back_when_an_operator_takes_one_out(tmp_path: Path) -> None:
-    kept = Kept(tmp_path, 700)
-    kept.keep(item("a", 200))
-    kept.keep(item("b", 200))
-    with pytest.raises(Full, match="of at most 700"):
-        kept.keep(item("c", 200))
+    kept = UndeliveredStore(tmp_path, 700)
+    kept.save(item("a", 200))
+    kept.save(item("b", 200))
+    with pytest.raises(StoreFull, match="of at most 700"):
+        kept.save(item("c", 200))
     assert len(list(read_all(tmp_path))) == 2 and not list(tmp_path.glob("*.new"))
-    (tmp_path / name_of("edge", "a")).unlink()
-    kept.keep(item("c", 200))
-    assert {one.identity for _, one in read_all(tmp_path) if isinstance(one, Item)} == {"b", "c"}
+    (tmp_path / file_name("edge", "a")).unlink()
+    kept.save(item("c", 200))
+    assert {one.identity for _, one in read_all(tmp_path) if isinstance(one, UndeliveredItem)} == {"b", "c"}
 
 
 def test_a_sick_disk_is_an_error_and_leaves_no_half(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = Kept(tmp_path, 10_000)
+    kept = UndeliveredStore(tmp_path, 10_000)
 
     def sick(_: int) -> None:
         raise OSError(5, "Input/output error")
 
     monkeypatch.setattr("os.fsync", sick)
     with pytest.raises(OSError):
-        kept.keep(item())
+        kept.save(item())
     assert not list(read_all(tmp_path)) and not kept.has("edge", "c1")
     monkeypatch.undo()
-    kept.keep(item())
+    kept.save(item())
     assert len(list(read_all(tmp_path))) == 1
 
 
@@ -68,7 +70,7 @@
 
 
 def test_a_room_counts_what_it_holds() -> None:
-    room = Room(100)
+    room = StorageQuota(100)
     room.add("a", 60)
     assert room.has("a") and room.fits(40) and not room.fits(41)
     room.add("a", 10)
@@ -79,9 +81,9 @@
 
 
 def test_the_commands(tmp_path: Path) -> None:
-    kept = Kept(tmp_path, 10_000)
-    kept.keep(item("late", at=2000.0))
-    kept.keep(item("early", at=1000.0, destination="shop"))
+    kept = UndeliveredStore(tmp_path, 10_000)
+    kept.save(item("late", at=2000.0))
+    kept.save(item("early", at=1000.0, destination="shop"))
     invoke = CliRunner().invoke
     listed = [
         json.loads(line)
@@ -102,7 +104,7 @@
         == "late"
     )
     assert not kept.has("edge", "late")
-    path = tmp_path / name_of("edge", "early")
+    path = tmp_path / file_name("edge", "early")
     path.write_bytes(path.read_bytes()[:-1] + b"?")
     damaged = invoke(main, ["kept", "list", str(tmp_path)])
     assert damaged.exit_code == 1 and "checksum" in damaged.output
--- a/tests/webhook/test_webhook.py
+++ b/tests/webhook/test_webhook.py
@@ -6,14 +6,14 @@
 
 import pytest
 
+from brassweir.core.http_responses import ServerHints
 from brassweir.core.ports import Payload
-from brassweir.core.reading import Told
 from brassweir.interface import Result
 from brassweir.webhook import codec, endings
 from brassweir.webhook.codec import WebhookError
 
 SECRET = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"  # the specification's own example
-KEY = codec.secret(SECRET)
+KEY = codec.parse_secret(SECRET)
 
 
 def test_the_example_of_the_specification() -> None:
@@ -22,7 +22,7 @@
 
 
 def test_a_receiver_takes_what_we_send_and_nothing_else() -> None:
-    other = codec.secret(base64.b64encode(b"another key, long enough").decode())
+    other = codec.parse_secret(base64.b64encode(b"another key, long enough").decode())
     fields = dict(codec.headers("id1", 1000, Payload("application/json", b"{}"), (other, KEY)))
     check = (fields["webhook-id"], fields["webhook-timestamp"], fields["webhook-signature"])
     codec.verify((KEY,), *check, b"{}", 1100.0)
@@ -47,7 +47,7 @@
 )
 def test_secrets_that_are_none(text: str) -> None:
     with pytest.raises(WebhookError):
-        codec.secret(text)
+        codec.parse_secret(text)
 
 
 @pytest.mark.parametrize(
@@ -55,8 +55,8 @@
     [
         (200, 0.0, Result.OK, True, False),
         (204, 0.0, Result.OK, True, False),
-        (429, 0.0, Result.FULL, False, False),
-        (503, 2000.0, Result.FULL, False, False),
+        (429, 0.0, Result.BUSY, False, False),
+        (503, 2000.0, Result.BUSY, False, False),
         (503, 0.0, Result.ERROR, True, False),
         (500, 0.0, Result.ERROR, True, False),
         (302, 0.0, Result.ERROR, True, False),
@@ -67,5 +67,5 @@
     ],
 )
 def test_endings(code: int, wait: float, result: Result, ran: bool, rejected: bool) -> None:
-    got = endings.status(code, Told(wait))
+    got = endings.status(code, ServerHints(wait))
     assert (got.result, got.may_have_run, got.rejected) == (result, ran, rejected)
