--- a/brassweir/journal/__init__.py
+++ b/brassweir/journal/__init__.py
@@ -1,4 +1,5 @@
-"""The crash-safe journal: every message taken on gets its one final answer, through a crash at any point.
+"""The write-ahead log of a sender: every accepted message gets exactly one final answer, even after a crash.
 
-Pure parts: records, frame, life, recover, compact. Storage sits behind a port; files.py is the real one.
+records, frame, state, recover, compact, durability, sizes and table do no I/O. The others write and read
+through the Storage interface of storage.py, which also holds its implementation on a directory.
 """
--- a/brassweir/journal/compact.py
+++ b/brassweir/journal/compact.py
@@ -1,8 +1,7 @@
-"""When to rewrite the journal and what to keep. Pure.
+"""Decides when to compact the journal and which records a snapshot keeps. Pure.
 
-A snapshot is a segment that holds all that still matters and ends with a record that says so. Until that end
-is durable the older segments stand; after it they go. So at every moment the directory holds one whole
-history.
+A snapshot is a segment that holds all live records and ends with a Whole record. The older segments are
+removed only once that end is durable, so the directory holds a complete journal at every moment.
 """
 
 from __future__ import annotations
@@ -14,49 +13,54 @@
 from brassweir.journal.sizes import MIN_COMPACT_BYTES
 from brassweir.journal.state import JournalState, MessageState
 
-GARBAGE = 2.0  # x what a snapshot would hold: the journal is rewritten when it is larger
-ANSWER = 200  # bytes that an ended message takes in a snapshot, about
+MAX_SIZE_RATIO = 2.0  # size of the journal by that of a snapshot; above it the journal is compacted
+ENDED_BYTES = 200  # estimated size of an ended message in a snapshot
 
 
-def should_compact(size: int, live: int, least: int = MIN_COMPACT_BYTES) -> bool:
-    """Is it time to rewrite a journal of ``size`` bytes of which about ``live`` matter?"""
-    return size > least and size > GARBAGE * live
+def should_compact(size: int, live_bytes: int, min_bytes: int = MIN_COMPACT_BYTES) -> bool:
+    """Return whether to compact a journal of ``size`` bytes of which about ``live_bytes`` are live."""
+    return size > min_bytes and size > MAX_SIZE_RATIO * live_bytes
 
 
-def is_live(life: MessageState, now: float, remember: float) -> bool:
-    """Is a message still asked for: open, owed a receipt, or within the memory of answers?"""
-    if life.final is None or (life.taken is not None and life.taken.reply and not life.receipt_delivered):
+def is_live(message: MessageState, now: float, remember: float) -> bool:
+    """Return whether a snapshot must keep a message: it is open, its receipt is pending, or its answer is not
+    older than ``remember`` ms."""
+    if message.final is None or (
+        message.taken is not None and message.taken.reply and not message.receipt_delivered
+    ):
         return True
-    return now - life.final.at <= remember
+    return now - message.final.at <= remember
 
 
-def live_records(lives: JournalState, now: float, remember: float) -> Iterator[Record]:
-    """The records of a whole snapshot."""
-    for life in list(lives.by_id.values()):
-        if is_live(life, now, remember):
-            yield from message_records(life)
-    yield from endpoint_records(lives)
+def live_records(state: JournalState, now: float, remember: float) -> Iterator[Record]:
+    """Yield the records of a complete snapshot. Times in wall ms."""
+    for message in list(state.by_id.values()):
+        if is_live(message, now, remember):
+            yield from message_records(message)
+    yield from endpoint_records(state)
 
 
-def message_records(life: MessageState) -> Iterator[Record]:
-    """What a snapshot holds of one message. Ended ones keep name, answer and first attempt, not their
-    content."""
-    if life.taken is not None:
-        yield life.taken
-    if life.final is None:
-        yield from life.intents.values()
-        yield from life.ended.values()
+def message_records(message: MessageState) -> Iterator[Record]:
+    """Yield what a snapshot keeps of one message. An ended one keeps its identity, its answer and the time of
+    its first attempt, not its content."""
+    if message.taken is not None:
+        yield message.taken
+    if message.final is None:
+        yield from message.intents.values()
+        yield from message.ended.values()
     else:
-        yield life.final
-        if life.receipt_delivered:
-            yield Told(life.id)
+        yield message.final
+        if message.receipt_delivered:
+            yield Told(message.id)
 
 
-def endpoint_records(lives: JournalState) -> Iterator[Record]:
-    """Endings of messages that are forgotten still say how an endpoint fared: its last pass, and what came
-    since."""
-    for endpoint, at in lives.passed.items():
+def endpoint_records(state: JournalState) -> Iterator[Record]:
+    """Yield each endpoint's last success and its outcomes since then, with message id 0.
+
+    The engine needs them after a restart even if the messages are no longer kept.
+    """
+    for endpoint, at in state.passed.items():
         yield Ended(0, 0, endpoint, Result.OK.value, at)
-    for trail in lives.recent_outcomes.values():
-        for one in trail:
-            yield Ended(0, 0, one.endpoint, one.result, one.at, one.wait)
+    for outcomes in state.recent_outcomes.values():
+        for outcome in outcomes:
+            yield Ended(0, 0, outcome.endpoint, outcome.result, outcome.at, outcome.wait)
--- a/brassweir/journal/durability.py
+++ b/brassweir/journal/durability.py
@@ -1,13 +1,16 @@
-"""Which facts hold up what follows them until they are durable. Pure: one table, argued row by row.
+"""Decides which facts must be durable before the engine goes on. Pure.
+
+The columns are the effects of a message class: what sending a message of it twice would do.
 
 =========  ======  =====  ====  ==============================================================================
 fact       unsafe  keyed  safe  why
 =========  ======  =====  ====  ==============================================================================
-taken      wait    wait   wait  from then on a client may rely on an answer: a 202, or that asking again joins
-intent     wait    wait   no    a payment must not go out unless a restart would know that it may have; a safe
-                                message that goes again does no harm
-outcome    no      no     no    if it is lost the attempt counts as may-have-run, the cautious reading
-final      wait    wait   wait  who was told an answer is told the same one after a restart
+taken      wait    wait   wait  once accepted, a client relies on getting an answer, or on joining the message
+                                when it submits it again
+intent     wait    wait   no    a restart must know that an attempt may have been sent; a safe message may be
+                                sent again
+outcome    no      no     no    without it a restart treats the attempt as one that may have run
+final      wait    wait   wait  a client that received an answer receives the same one after a restart
 =========  ======  =====  ====  ==============================================================================
 """
 
@@ -18,7 +21,7 @@
 
 
 def waits_for_commit(fact: Fact, effect: Effect) -> bool:
-    """Must this fact be durable before what follows it?"""
+    """Return whether this fact must be durable before the engine goes on."""
     if fact is Fact.OUTCOME:
         return False
     return fact is not Fact.INTENT or effect is not Effect.SAFE
--- a/brassweir/journal/frame.py
+++ b/brassweir/journal/frame.py
@@ -1,8 +1,9 @@
-"""Bytes of a segment: a header, then framed records. Pure; the layout is docs/journal-format.md.
+"""Encodes and decodes the bytes of a segment: a header, then framed records. Pure; docs/journal-format.md
+describes the layout.
 
-A frame is: mark (4 bytes), sequence number (8), length (4), CRC-32C of number, length and payload (4),
-payload. All numbers little-endian. The mark lets a reader find the next record behind damage; the CRC says
-that it is one.
+A frame is: mark (4 bytes), sequence number (8), length (4), CRC-32C of sequence number, length and payload
+(4), payload. All numbers are little-endian. After damage, the reader searches for the next mark and accepts
+the frame there if its checksum is right.
 """
 
 from __future__ import annotations
@@ -17,45 +18,49 @@
 
 MARK = b"\xb7JRN"
 MAGIC = b"BRWSJRN\n"
-_HEAD = struct.Struct("<8sHQQ")  # magic, version, segment, first sequence number
-_FRAME = struct.Struct("<4sQII")
-HEADER_BYTES = _HEAD.size + 4
-FRAME_HEADER_BYTES = _FRAME.size
-MAX_RECORD_BYTES = 256 * 1024 * 1024  # bytes of one record
+_HEADER = struct.Struct("<8sHQQ")  # magic, version, segment, first sequence number
+_FRAME_HEADER = struct.Struct("<4sQII")  # mark, sequence number, payload length, CRC-32C
+HEADER_BYTES = _HEADER.size + 4  # with its CRC-32C
+FRAME_HEADER_BYTES = _FRAME_HEADER.size
+MAX_RECORD_BYTES = 256 * 1024 * 1024
 
 
 class FormatError(ValueError):
-    """A segment is none of ours, or of a later format than this program knows."""
+    """A segment was written in a later format than this program can read."""
 
 
 def encode_header(segment: int, first: int) -> bytes:
-    """The header of a segment."""
-    head = _HEAD.pack(MAGIC, VERSION, segment, first)
-    return head + struct.pack("<I", google_crc32c.value(head))
+    """Encode the header of a segment, given its number and its first record's sequence number."""
+    header = _HEADER.pack(MAGIC, VERSION, segment, first)
+    return header + struct.pack("<I", google_crc32c.value(header))
 
 
 def read_header(data: bytes) -> tuple[int, int] | None:
-    """Segment and first sequence number; None if it is cut or damaged. Raises FormatError."""
+    """Return the segment's number and its first record's sequence number; None if the header is truncated or
+    damaged.
+
+    Raises FormatError if the segment has a later format than this program can read.
+    """
     if len(data) < HEADER_BYTES or not data.startswith(MAGIC):
         return None
-    _, version, segment, first = _HEAD.unpack_from(data)
+    _, version, segment, first = _HEADER.unpack_from(data)
     if version > VERSION:
-        raise FormatError(f"written in format {version}; this program knows up to {VERSION}")
-    if struct.unpack_from("<I", data, _HEAD.size)[0] != google_crc32c.value(data[: _HEAD.size]):
+        raise FormatError(f"written in format {version}; this program reads formats up to {VERSION}")
+    if struct.unpack_from("<I", data, _HEADER.size)[0] != google_crc32c.value(data[: _HEADER.size]):
         return None
     return segment, first
 
 
 def encode_frame(sequence: int, record: Record) -> bytes:
-    """One framed record."""
+    """Encode one record as a frame."""
     payload = encode(record)
     checked = struct.pack("<QI", sequence, len(payload)) + payload
-    return _FRAME.pack(MARK, sequence, len(payload), google_crc32c.value(checked)) + payload
+    return _FRAME_HEADER.pack(MARK, sequence, len(payload), google_crc32c.value(checked)) + payload
 
 
 @dataclass(frozen=True, slots=True)
 class FramedRecord:
-    """A record that holds, and where."""
+    """A valid record, with the offsets at which its frame starts and ends in the segment."""
 
     sequence: int
     record: Record
@@ -65,7 +70,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Bytes that are no record. ``tail`` says that nothing good follows in the segment."""
+    """A range of bytes that holds no valid frame. ``tail`` is true if no valid frame follows it in the
+    segment."""
 
     offset: int
     end: int
@@ -74,45 +80,46 @@
 
 
 def read_frames(data: bytes, start: int = HEADER_BYTES) -> Iterator[FramedRecord | Damage]:
-    """All records of a segment in order, and every stretch of damage between them."""
-    at = start
-    while at < len(data):
-        found = _one(data, at)
-        if isinstance(found, FramedRecord):
-            yield found
-            at = found.end
+    """Yield all records of a segment in order, and every range of damage between them."""
+    offset = start
+    while offset < len(data):
+        frame = _read_frame(data, offset)
+        if isinstance(frame, FramedRecord):
+            yield frame
+            offset = frame.end
             continue
-        after = _next(data, at + 1)
-        end = after.offset if after is not None else len(data)
-        yield Damage(at, end, found, after is None)
-        at = end
+        following = _next_frame(data, offset + 1)
+        end = following.offset if following is not None else len(data)
+        yield Damage(offset, end, frame, following is None)
+        offset = end
 
 
-def _one(data: bytes, at: int) -> FramedRecord | str:
-    if len(data) - at < FRAME_HEADER_BYTES:
-        return "cut within a frame"
-    mark, sequence, length, crc = _FRAME.unpack_from(data, at)
+def _read_frame(data: bytes, offset: int) -> FramedRecord | str:
+    """Decode the frame at ``offset``; returns the reason as text if there is no valid one."""
+    if len(data) - offset < FRAME_HEADER_BYTES:
+        return "truncated within a frame header"
+    mark, sequence, length, crc = _FRAME_HEADER.unpack_from(data, offset)
     if mark != MARK:
         return "no record begins here"
     if length > MAX_RECORD_BYTES:
-        return f"a record of {length} bytes"
-    end = at + FRAME_HEADER_BYTES + length
+        return f"a record of {length} bytes is too long"
+    end = offset + FRAME_HEADER_BYTES + length
     if end > len(data):
-        return "cut within a record"
-    payload = data[at + FRAME_HEADER_BYTES : end]
+        return "truncated within a record"
+    payload = data[offset + FRAME_HEADER_BYTES : end]
     if google_crc32c.value(struct.pack("<QI", sequence, length) + payload) != crc:
         return "checksum differs"
     try:
-        return FramedRecord(sequence, decode(payload), at, end)
+        return FramedRecord(sequence, decode(payload), offset, end)
     except ValueError as error:
         return str(error)
 
 
-def _next(data: bytes, at: int) -> FramedRecord | None:
-    """The next record that holds, from ``at`` on."""
-    while (at := data.find(MARK, at)) >= 0:
-        found = _one(data, at)
-        if isinstance(found, FramedRecord):
-            return found
-        at += 1
+def _next_frame(data: bytes, offset: int) -> FramedRecord | None:
+    """Return the first valid frame at or after ``offset``; None if there is none."""
+    while (offset := data.find(MARK, offset)) >= 0:
+        frame = _read_frame(data, offset)
+        if isinstance(frame, FramedRecord):
+            return frame
+        offset += 1
     return None
--- a/brassweir/journal/group.py
+++ b/brassweir/journal/group.py
@@ -1,4 +1,4 @@
-"""What is committed together, and the two ways in which a commit fails."""
+"""The unit of group commit, and the two errors that a commit can raise."""
 
 from __future__ import annotations
 
@@ -9,20 +9,24 @@
 
 
 class JournalBroken(Exception):
-    """The disk did not do what it must: the process has to end without going on as if it had."""
+    """The journal can no longer be written or trusted: the process must end and act on no unwritten one."""
 
 
 class JournalStalled(Exception):
-    """The disk took no write; what it left behind the last good one is cut off before the next.
+    """A write failed and may be retried; the bytes that it left are truncated before the next one.
 
-    The same group may be tried again, but only in a folder that is not synced: after a failed sync no try can
-    be trusted.
+    Raised only for a directory that is not synced: after a failed fsync, what is on the disk is unknown, and
+    a retry could not be trusted.
     """
 
 
 @dataclass(slots=True)
 class CommitGroup:
-    """Records of one commit; ``admits`` are those that take a message on, which a full disk refuses."""
+    """Records that are written and synced together.
+
+    ``then`` are the callbacks to run once the group is durable. ``admits`` holds the records that accept a
+    message, each with its callbacks for success and refusal: a full disk refuses these only.
+    """
 
     records: list[Record] = field(default_factory=list)
     then: list[Callable[[], None]] = field(default_factory=list)
--- a/brassweir/journal/scan.py
+++ b/brassweir/journal/scan.py
@@ -1,4 +1,4 @@
-"""Reads a whole journal back: segments in order, from the newest whole snapshot on, with every hole named."""
+"""Reads a journal back: segments in order, from the newest complete snapshot on, with every gap reported."""
 
 from __future__ import annotations
 
@@ -16,13 +16,18 @@
 
 
 def segment_name(number: int, snapshot: bool = False) -> str:
-    """The file of a segment."""
+    """Return the file name of a segment, or of the snapshot that replaces the segments up to ``number``."""
     return f"{number:010d}.{'snap' if snapshot else 'log'}"
 
 
 @dataclass(slots=True)
 class Scan:
-    """What a journal holds. ``stale`` are files that a snapshot has replaced, or that were never finished."""
+    """What a journal's directory holds.
+
+    ``problems`` describes the damage found, one line each; ``holes`` are the records lost to it. ``stale``
+    names files that a snapshot has replaced, or that are unfinished snapshots; ``segments`` the files that
+    were read, in order. ``size`` is their total size in bytes.
+    """
 
     state: JournalState = field(default_factory=JournalState)
     holes: list[Hole] = field(default_factory=list)
@@ -33,113 +38,125 @@
     next_sequence: int = 1
     records: int = 0
     size: int = 0
-    torn_bytes: int = 0  # bytes at ends of segments that were being written when a process died
-    tail: tuple[str, int] | None = None  # where such bytes may stand, until the next segment tells
+    torn_bytes: int = 0  # incomplete writes at ends of segments, left by processes that died
+    # Place and size of invalid bytes at the end of the segment read last: a torn write, or damage. The
+    # next segment's header decides.
+    tail: tuple[str, int] | None = None
 
 
 def scan(storage: Storage) -> Scan:
-    """Read everything. Raises FormatError for a later format, and OSError."""
-    found = Scan()
+    """Read the whole journal. Raises FormatError for a later format, and OSError."""
+    result = Scan()
     named = {}
     for name in storage.names():
         match = _NAME.fullmatch(name)
         if match is not None:
             named[int(match[1]), match[2] == "snap"] = name
         elif name.endswith(".new"):
-            found.stale.append(name)  # a snapshot that was being written
+            result.stale.append(name)  # an unfinished snapshot
     order = sorted(named)
-    found.next_segment = order[-1][0] + 1 if order else 1
-    start = _newest_snapshot(storage, order, named, found)
-    expected = 1 if order[:1] == [(1, False)] and start is None else None  # of the next record
-    before = None
+    result.next_segment = order[-1][0] + 1 if order else 1
+    start = _newest_snapshot(storage, order, named, result)
+    # The sequence number that the next record must have; None if it is unknown.
+    expected = 1 if order[:1] == [(1, False)] and start is None else None
+    previous = None
     for key in order:
         name = named[key]
         if start is not None and key < start:
-            found.stale.append(name)
-        if name in found.stale:
+            result.stale.append(name)
+        if name in result.stale:
             continue
-        if before is not None and key[0] > before + 1:
-            missing = f"segments {before + 1} to {key[0] - 1} are missing"
-            _problem(missing, found)
-        before = key[0]
-        expected = _segment(storage.read(name), name, expected, found)
-    if found.tail is not None:
-        found.torn_bytes += found.tail[1]  # the very end: never synced, and nobody relied on it
-    return found
+        if previous is not None and key[0] > previous + 1:
+            missing = f"segments {previous + 1} to {key[0] - 1} are missing"
+            _add_problem(missing, result)
+        previous = key[0]
+        expected = _read_segment(storage.read(name), name, expected, result)
+    if result.tail is not None:
+        result.torn_bytes += result.tail[1]  # the end of the last segment: never synced, so never relied on
+    return result
 
 
 def _newest_snapshot(
-    storage: Storage, order: list[tuple[int, bool]], named: dict[tuple[int, bool], str], found: Scan
+    storage: Storage, order: list[tuple[int, bool]], named: dict[tuple[int, bool], str], result: Scan
 ) -> tuple[int, bool] | None:
+    """Return the key of the snapshot to start from; None if there is none.
+
+    That is the newest complete one. An incomplete snapshot is used only if no older segment is left.
+    """
     for key in reversed(order):
         if not key[1]:
             continue
         data = storage.read(named[key])
         parts = list(frame.read_frames(data)) if frame.read_header(data) is not None else []
         records = [part.record for part in parts if isinstance(part, FramedRecord)]
-        whole = records[-1] if records else None
-        if isinstance(whole, Whole) and whole.records == len(records) - 1 and len(parts) == len(records):
+        last = records[-1] if records else None
+        if isinstance(last, Whole) and last.records == len(records) - 1 and len(parts) == len(records):
             return key
-        found.problems.append(f"{named[key]}: snapshot is not whole; older segments are read instead")
+        result.problems.append(f"{named[key]}: snapshot is incomplete; older segments are read instead")
         if any(not other[1] and other < key for other in order):
-            found.stale.append(named[key])
+            result.stale.append(named[key])
             continue
-        found.problems.append(f"{named[key]}: and nothing older is left: what of it holds is used")
+        result.problems.append(f"{named[key]}: no older segment is left; its valid records are used")
         return key
     return None
 
 
-def _segment(data: bytes, name: str, expected: int | None, found: Scan) -> int | None:
-    """One segment's records; returns the sequence number due next."""
-    found.segments.append(name)
-    found.size += len(data)
-    head, snapshot = frame.read_header(data), name.endswith(".snap")
-    if head is None and len(data) < frame.HEADER_BYTES:
-        where, size = found.tail or (f"{name}:0: header is damaged", 0)
-        found.tail = where, size + len(data)
+def _read_segment(data: bytes, name: str, expected: int | None, result: Scan) -> int | None:
+    """Add one segment's records to ``result``; returns the sequence number expected next, or None."""
+    result.segments.append(name)
+    result.size += len(data)
+    header, snapshot = frame.read_header(data), name.endswith(".snap")
+    if header is None and len(data) < frame.HEADER_BYTES:
+        where, size = result.tail or (f"{name}:0: header is damaged", 0)
+        result.tail = where, size + len(data)
         return expected
-    _settle(head[1] if head is not None and not snapshot else None, expected, found)
-    if head is None:
-        _problem(f"{name}:0: header is damaged", found)
+    _resolve_tail(header[1] if header is not None and not snapshot else None, expected, result)
+    if header is None:
+        _add_problem(f"{name}:0: header is damaged", result)
     elif not snapshot:
-        if expected is not None and head[1] != expected:
-            _problem(f"{name}:0: record {head[1]} where {expected} was due", found)
-        expected = head[1]  # behind a snapshot nothing is due: its records have numbers of their own
-        found.next_sequence = max(found.next_sequence, expected)
+        if expected is not None and header[1] != expected:
+            _add_problem(f"{name}:0: record {header[1]} where {expected} was expected", result)
+        expected = header[1]  # a snapshot numbers its own records, so none is expected after it
+        result.next_sequence = max(result.next_sequence, expected)
     for part in frame.read_frames(data, min(frame.HEADER_BYTES, len(data))):
         if isinstance(part, Damage):
             where = f"{name}:{part.offset}: {part.end - part.offset} bytes: {part.why}"
             if part.tail:
-                found.tail = where, part.end - part.offset
+                result.tail = where, part.end - part.offset
                 continue
-            _problem(where, found)
+            _add_problem(where, result)
             expected = None
             continue
         if expected is not None and part.sequence != expected and not snapshot:
-            _problem(f"{name}:{part.offset}: record {part.sequence} where {expected} was due", found)
+            _add_problem(
+                f"{name}:{part.offset}: record {part.sequence} where {expected} was expected", result
+            )
         record: Record = part.record
-        found.state.apply(record)
-        found.records += 1
+        result.state.apply(record)
+        result.records += 1
         expected = part.sequence + 1
-        found.next_sequence = max(found.next_sequence, expected)
+        result.next_sequence = max(result.next_sequence, expected)
     return None if snapshot else expected
 
 
-def _settle(begins: int | None, expected: int | None, found: Scan) -> None:
-    """What stands at the end of the segment before was being written when its process died if the next one
-    begins with that very record; if a later one follows, it was whole once, and is lost."""
-    if found.tail is not None:
-        where, size = found.tail
-        found.tail = None
-        if begins is not None and begins == expected:
-            found.torn_bytes += size
+def _resolve_tail(first: int | None, expected: int | None, result: Scan) -> None:
+    """Decide whether the invalid bytes at the end of the previous segment are a torn write or damage.
+
+    ``first`` is the sequence number with which the next segment begins. If it is the expected one, the
+    bytes were never a complete record. Otherwise at least one complete record is lost.
+    """
+    if result.tail is not None:
+        where, size = result.tail
+        result.tail = None
+        if first is not None and first == expected:
+            result.torn_bytes += size
         else:
-            _problem(where, found)
+            _add_problem(where, result)
 
 
-def _problem(where: str, found: Scan) -> None:
-    found.problems.append(where)
-    found.holes.append(Hole(where, found.state.last_id))
+def _add_problem(where: str, result: Scan) -> None:
+    result.problems.append(where)
+    result.holes.append(Hole(where, result.state.last_id))
 
 
 __all__ = ["FormatError", "Scan", "scan", "segment_name"]
--- a/brassweir/journal/sizes.py
+++ b/brassweir/journal/sizes.py
@@ -1,31 +1,37 @@
-"""How large a journal's parts may grow. Pure.
+"""The limits on the sizes of a journal's parts. Pure.
 
-A disk of its own needs no bound but its own end; a small folder shared with nothing else has one that must
-never be passed, counted over all files. What is derived here keeps a whole history and the snapshot that is
-to replace it within that bound together.
+By default only the disk limits the journal. On a platform that limits the size of the directory, all its
+files together must never exceed that bound: limits_within divides it so that the segments and the snapshot
+that is to replace them fit at the same time.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SEGMENT_BYTES = 16 * 1024 * 1024  # bytes after which a segment is closed
-MIN_COMPACT_BYTES = 4 * 1024 * 1024  # bytes under which rewriting is not worth it
-RESERVE_BYTES = 1 << 20  # bytes set aside, so that open messages still end on a full disk
-CHECK_INTERVAL_MS = 1000.0  # ms between two looks at whether it is time to rewrite
+SEGMENT_BYTES = 16 * 1024 * 1024
+MIN_COMPACT_BYTES = 4 * 1024 * 1024
+RESERVE_BYTES = 1 << 20
+CHECK_INTERVAL_MS = 1000.0
 
-# Shares of a bounded folder. At the worst moment there are the history, at most ``most`` and the endings of
-# what it holds open (a fifth more), and its snapshot, at most half of that: nine tenths of the folder.
-OF_SEGMENT = 1 / 16
-OF_LEAST = 1 / 5
-OF_RESERVE = 1 / 64
-OF_MOST = 1 / 2
-LOOK_SMALL = 100.0  # ms: a small folder fills in seconds
+# Shares of a bounded directory. The worst case is at the end of a compaction: the segments (``max_bytes`` and
+# a fifth more for the endings of open messages) and their snapshot (at most half of that) take nine tenths.
+SEGMENT_SHARE = 1 / 16
+MIN_COMPACT_SHARE = 1 / 5
+RESERVE_SHARE = 1 / 64
+MAX_SHARE = 1 / 2
+BOUNDED_CHECK_INTERVAL_MS = 100.0  # a small directory fills in seconds
 
 
 @dataclass(frozen=True, slots=True)
 class SizeLimits:
-    """Bytes. Over ``most`` nothing new is taken on, and what is open still ends; 0: the disk decides."""
+    """The limits of one journal; sizes in bytes.
+
+    A segment is closed at ``segment_bytes``. A journal under ``min_compact_bytes`` is not compacted; whether
+    it is time for it is checked every ``check_interval_ms``. ``reserve_bytes`` are set aside in a file, which
+    is removed on a full disk so that open messages can still be ended. Over ``max_bytes`` no new message is
+    accepted, and open ones are still ended; 0 means no limit but the disk.
+    """
 
     segment_bytes: int = SEGMENT_BYTES
     min_compact_bytes: int = MIN_COMPACT_BYTES
@@ -34,14 +40,16 @@
     check_interval_ms: float = CHECK_INTERVAL_MS
 
 
-def limits_within(folder: int) -> SizeLimits:
-    """Sizes for a folder that may hold so many bytes. Raises ValueError where that is too little."""
-    if folder < 256 * 1024:
-        raise ValueError(f"a folder of {folder} bytes is too small for a journal; 262144 is the least")
+def limits_within(total_bytes: int) -> SizeLimits:
+    """Return limits for a directory bounded to ``total_bytes``. Raises ValueError if that is too little."""
+    if total_bytes < 256 * 1024:
+        raise ValueError(
+            f"a directory of {total_bytes} bytes is too small for a journal; the minimum is 262144"
+        )
     return SizeLimits(
-        int(folder * OF_SEGMENT),
-        int(folder * OF_LEAST),
-        int(folder * OF_RESERVE),
-        int(folder * OF_MOST),
-        LOOK_SMALL,
+        int(total_bytes * SEGMENT_SHARE),
+        int(total_bytes * MIN_COMPACT_SHARE),
+        int(total_bytes * RESERVE_SHARE),
+        int(total_bytes * MAX_SHARE),
+        BOUNDED_CHECK_INTERVAL_MS,
     )
--- a/brassweir/journal/writer.py
+++ b/brassweir/journal/writer.py
@@ -1,7 +1,7 @@
-"""Appends records in groups and says when they are durable. Knows no thread and no clock of its own.
+"""Appends records to the journal by group commit, and runs callbacks once they are durable.
 
-One group is written at a time: what comes meanwhile waits for the next, so a slow disk makes groups larger
-and not commits more. :meth:`commit` does the I/O and may run on any one thread; all else is the loop's.
+One group is written at a time; records added meanwhile wait for the next, so a slow disk makes groups larger.
+Methods on the I/O side may run on a thread, one at a time; those on the loop side run on the event loop.
 """
 
 from __future__ import annotations
@@ -18,43 +18,43 @@
 from brassweir.journal.state import JournalState
 from brassweir.journal.storage import RESERVE_NAME, Storage
 
-NO_ROOM = frozenset({errno.ENOSPC, errno.EDQUOT})
+DISK_FULL = frozenset({errno.ENOSPC, errno.EDQUOT})
 
 
 class Writer:
-    """The end of one journal; a ``patient`` one raises Stalled, not Broken, where a write may pass later."""
+    """Writes one journal. With ``retry_writes`` a failed write raises JournalStalled, else JournalBroken."""
 
     def __init__(
-        self, storage: Storage, found: Scan, sizes: SizeLimits | None = None, patient: bool = False
+        self, storage: Storage, scanned: Scan, sizes: SizeLimits | None = None, retry_writes: bool = False
     ) -> None:
-        self.storage, self.limits, self.patient = storage, sizes or SizeLimits(), patient
-        self.torn = False  # a write that failed may have left bytes behind ``size``
-        self.state: JournalState = found.state
-        self.sequence, self.segment = found.next_sequence, found.next_segment
-        self.name = ""
-        self.size = 0  # of the segment being written
-        self.older = [*found.segments]  # segments that a snapshot would replace
-        self.total_bytes = found.size
-        self.sizes: dict[str, int] = dict.fromkeys(self.older[:1], found.size)
+        self.storage, self.limits, self.retry_writes = storage, sizes or SizeLimits(), retry_writes
+        self.needs_truncate = False  # a failed write may have left bytes after ``size``
+        self.state: JournalState = scanned.state
+        self.sequence, self.segment = scanned.next_sequence, scanned.next_segment
+        self.name = ""  # the file of the open segment; empty until there is one
+        self.size = 0  # bytes of the open segment
+        self.older = [*scanned.segments]  # segments that a snapshot would replace
+        self.total_bytes = scanned.size
+        self.sizes: dict[str, int] = dict.fromkeys(self.older[:1], scanned.size)  # bytes by file
         self.group = CommitGroup()
         self.writing = False
-        self.full = False  # the reserve is in use: nothing new is taken on
+        self.full = False  # the reserve file is missing: no new message is accepted
         self.records = self.commits = self.bytes = 0
 
     def open(self) -> None:
-        """Start a segment of its own and set the reserve aside. Raises OSError and Broken; a patient writer
-        that finds no way to write begins its segment with the first group."""
-        self._try_room()
-        self._rotate_in_time()
+        """Create the reserve file and begin a segment; with ``retry_writes`` the first commit retries what
+        fails. Raises JournalBroken and OSError."""
+        self._try_reserve()
+        self._try_rotate()
 
-    # ---- the loop's side
+    # ---- loop side
 
     def add(
         self, record: Record, then: Callable[[], None] | None, unable: Callable[[str], None] | None = None
     ) -> None:
         """Put a record into the next group; ``then`` runs once it is durable.
 
-        With ``unable`` it is one that may be refused for want of room.
+        On a full disk a Taken record with ``unable`` is refused: ``unable`` is called with the reason.
         """
         self.records += 1
         self.state.apply(record)
@@ -66,7 +66,7 @@
             self.group.then.append(then)
 
     def next_group(self) -> CommitGroup | None:
-        """The group to commit now, or None if one is being written or there is nothing to write."""
+        """Return the group to commit now; None if one is being written or there is nothing to write."""
         if self.writing or not self.group:
             return None
         self.writing = True
@@ -74,30 +74,30 @@
         return group
 
     def group_committed(self, group: CommitGroup, refused: list[Callable[[str], None]]) -> None:
-        """A group is durable: run what waited for it."""
+        """Run the callbacks of a group that is now durable. ``refused`` is what :meth:`commit` returned."""
         self.writing = False
         for unable in refused:
             unable("there is no room to keep it")
         for then in group.then:
             then()
 
-    # ---- the I/O side
+    # ---- I/O side
 
     def commit(self, group: CommitGroup) -> list[Callable[[str], None]]:
-        """Write and sync one group; returns what to tell those that found no room. Raises Broken and, with
-        nothing of the group written, Stalled."""
-        self._mend()
+        """Write and sync one group; returns the ``unable`` callbacks of the records that were refused.
+        Raises JournalBroken, and JournalStalled if the group must be committed again."""
+        self._prepare_segment()
         refused: list[Callable[[str], None]] = []
         admits = group.admits
         if self.full:
-            self._try_room()
+            self._try_reserve()
         if self.full or not self._fits(group):
             refused, admits = [unable for _, _, unable in admits], []
         try:
             self._write([*(record for record, _, _ in admits), *group.records])
             group.then = [*(then for _, then, _ in admits), *group.then]
         except OSError as error:
-            if error.errno not in NO_ROOM or self.full:
+            if error.errno not in DISK_FULL or self.full:
                 raise self._failed("write failed", error) from error
             self.full = True
             refused += [unable for _, _, unable in admits]
@@ -108,49 +108,49 @@
             except OSError as again:
                 raise self._failed("write failed on a full disk", again) from again
         if self.size >= self.limits.segment_bytes:
-            self._rotate_in_time()
+            self._try_rotate()
         return refused
 
     def _failed(self, what: str, error: OSError) -> JournalBroken | JournalStalled:
-        """What a failed write amounts to."""
-        self.torn = True
-        return JournalStalled(f"{what}: {error}") if self.patient else JournalBroken(f"{what}: {error}")
+        """Return the exception for a failed write, and remember to truncate the segment."""
+        self.needs_truncate = True
+        return JournalStalled(f"{what}: {error}") if self.retry_writes else JournalBroken(f"{what}: {error}")
 
-    def _mend(self) -> None:
-        """Cut off what a failed write left, and see that there is a segment. Raises Stalled."""
+    def _prepare_segment(self) -> None:
+        """Begin a segment if none is open, and truncate what a failed write left. Raises as _rotate does."""
         if not self.name:
             self._rotate()
-        if self.torn:
+        if self.needs_truncate:
             try:
                 self.storage.truncate(self.name, self.size)
             except OSError as error:
-                raise JournalStalled(f"cut failed: {error}") from error
-            self.torn = False
+                raise JournalStalled(f"truncate failed: {error}") from error
+            self.needs_truncate = False
 
-    def _rotate_in_time(self) -> None:
-        """Begin the next segment; a patient writer goes on in this one where that fails."""
-        with suppress(JournalStalled):  # it is tried again with the next group
+    def _try_rotate(self) -> None:
+        """Begin the next segment. With ``retry_writes`` a failure leaves the open one in use."""
+        with suppress(JournalStalled):  # tried again after the next group
             self._rotate()
 
     def _fits(self, group: CommitGroup) -> bool:
-        """Is there room for what a group takes on, where the folder has a bound?"""
+        """Return whether the messages that a group accepts fit within the size limit, if there is one."""
         if not self.limits.max_bytes or not group.admits:
             return True
-        wanted = sum(
-            len(one.content) + compact.ANSWER for one, _, _ in group.admits if isinstance(one, Taken)
+        needed = sum(
+            len(new.content) + compact.ENDED_BYTES for new, _, _ in group.admits if isinstance(new, Taken)
         )
-        return self.total_bytes + wanted <= self.limits.max_bytes
+        return self.total_bytes + needed <= self.limits.max_bytes
 
     def _write(self, records: list[Record]) -> None:
         if not records:
             return
-        # Numbered here, so that what a full disk refuses leaves no gap.
+        # Numbered only here, so that refused records leave no gap in the sequence.
         data = b"".join(frame.encode_frame(self.sequence + i, record) for i, record in enumerate(records))
         self.storage.append(self.name, data)
         try:
             self.storage.sync(self.name)
         except OSError as error:
-            # After a failed sync nothing is known of what the system holds: no second try can be trusted.
+            # After a failed fsync it is unknown what is on the disk, so a retry cannot be trusted.
             raise JournalBroken(f"sync failed: {error}") from error
         self.sequence += len(records)
         self.size += len(data)
@@ -159,24 +159,24 @@
         self.commits += 1
 
     def _rotate(self) -> None:
-        """Close the segment and begin the next. Raises Broken, or Stalled with the old one still open."""
+        """Begin the next segment. Raises JournalBroken, or JournalStalled with the old one still open."""
         name = segment_name(self.segment)
-        head = frame.encode_header(self.segment, self.sequence)
+        header = frame.encode_header(self.segment, self.sequence)
         try:
             self.storage.create(name)
-            self.storage.append(name, head)
+            self.storage.append(name, header)
             self.storage.sync(name)
         except OSError as error:
-            if not self.patient:
-                raise JournalBroken(f"no new segment: {error}") from error
-            raise JournalStalled(f"no new segment: {error}") from error
+            if not self.retry_writes:
+                raise JournalBroken(f"cannot begin a segment: {error}") from error
+            raise JournalStalled(f"cannot begin a segment: {error}") from error
         if self.name:
             self.older.append(self.name)
             self.sizes[self.name] = self.size
         self.name = name
         self.segment += 1
-        self.size = len(head)
-        self.total_bytes += len(head)
+        self.size = len(header)
+        self.total_bytes += len(header)
 
     def _reserve(self) -> None:
         try:
@@ -185,66 +185,65 @@
             self.storage.sync(RESERVE_NAME)
             self.full = False
         except OSError as error:
-            if error.errno not in NO_ROOM:
+            if error.errno not in DISK_FULL:
                 raise
             self.remove_file(RESERVE_NAME)
             self.full = True
 
-    def _try_room(self) -> None:
+    def _try_reserve(self) -> None:
         try:
             self._reserve()
         except OSError as error:
             self.full = True
-            if not self.patient:
-                raise JournalBroken(f"the reserve cannot be made: {error}") from error
+            if not self.retry_writes:
+                raise JournalBroken(f"cannot create the reserve file: {error}") from error
 
     # ---- compaction
 
     def should_compact(self) -> bool:
-        """Is it time for a snapshot?"""
+        """Return whether it is time for a snapshot."""
         if self.total_bytes <= self.limits.min_compact_bytes:
             return False
-        lives = self.state.by_id.values()
+        messages = self.state.by_id.values()
         live = sum(
-            len(life.taken.content) if life.taken is not None and life.final is None else 0 for life in lives
-        ) + compact.ANSWER * len(lives)
+            len(message.taken.content) if message.taken is not None and message.final is None else 0
+            for message in messages
+        ) + compact.ENDED_BYTES * len(messages)
         return compact.should_compact(self.total_bytes, live, self.limits.min_compact_bytes) and not self.full
 
     def close_segment(self) -> int:
-        """Begin a segment; what is added from now on stands behind a snapshot of all before. Returns the
-        number of the one that is closed. Raises Broken."""
+        """Begin a new segment, for records that follow a snapshot; returns the number of the closed one.
+        Raises JournalBroken and JournalStalled."""
         number = self.segment - 1
         self._rotate()
         return number
 
     def snapshot(self, records: list[Record], number: int) -> None:
-        """Write these records as a whole snapshot of the segments up to ``number``, then let those go.
-
-        The records may know more than those segments held, never less. A full disk ends it without harm: the
-        older segments still stand. Raises Broken.
-        """
-        name = segment_name(number, snapshot=True)  # sorts behind its own log, before the next
+        """Write ``records``, which hold all that is live in the segments up to ``number``, as a snapshot, and
+        remove those segments. On a full disk, and with ``retry_writes`` on any error, they stay. Otherwise
+        raises JournalBroken."""
+        name = segment_name(number, snapshot=True)  # sorts after the log of that number and before the next
         temporary = name + ".new"
         try:
             size = snapshot.write(self.storage, temporary, number, records)
             self.storage.rename(temporary, name)
         except OSError as error:
-            if error.errno in NO_ROOM or self.patient:
+            if error.errno in DISK_FULL or self.retry_writes:
                 self.remove_file(temporary)
                 return
             raise JournalBroken(f"snapshot failed: {error}") from error
         replaced = [one for one in self.older if int(one.partition(".")[0]) <= number]
-        for one in replaced:
-            self.remove_file(one)
-            self.total_bytes -= self.sizes.pop(one, 0)
+        for segment in replaced:
+            self.remove_file(segment)
+            self.total_bytes -= self.sizes.pop(segment, 0)
         self.older = [name, *(one for one in self.older if one not in replaced)]
         self.sizes[name] = size
         self.total_bytes += size
 
     def remove_file(self, name: str) -> None:
-        """Remove a file that is of no further use. One that stays is stale to the next process."""
+        """Remove a file. With ``retry_writes`` errors are ignored: the next process finds it stale."""
         try:
             self.storage.remove(name)
         except OSError:
-            if not self.patient:
+            if not self.retry_writes:
                 raise
--- a/brassweir/service/journaling.py
+++ b/brassweir/service/journaling.py
@@ -140,7 +140,7 @@
         try:
             self.storage = DirectoryStorage(folder, synced=keeping.synced)
             self.scan: Scan = scan(self.storage)
-            self.writer = Writer(self.storage, self.scan, keeping.sizes, patient=not keeping.synced)
+            self.writer = Writer(self.storage, self.scan, keeping.sizes, retry_writes=not keeping.synced)
             for name in self.scan.stale:
                 self.writer.remove_file(name)
             self.writer.open()
--- a/tests/journal/test_damage.py
+++ b/tests/journal/test_damage.py
@@ -74,7 +74,7 @@
     data = frame.encode_header(1, 0) + frame.encode_frame(0, taken(99)) + frame.encode_frame(1, Whole(5))
     disk.synced[segment_name(1, snapshot=True)] = data
     found = scan(disk)
-    assert "is not whole" in found.problems[0] and 6 in found.state.by_id
+    assert "is incomplete" in found.problems[0] and 6 in found.state.by_id
 
 
 def test_a_later_format_is_refused_and_a_cut_tail_is_not_damage(tmp_path: Path) -> None:
--- a/tests/journal/test_ready.py
+++ b/tests/journal/test_ready.py
@@ -94,7 +94,7 @@
         if rewritten and ident == 300:
             writer.snapshot(list(compact.live_records(writer.state, NOW, 1e9)), writer.close_segment())
     read, decoded = Counter[str](), Counter[int]()
-    real_read, real_one = SimStorage.read, frame._one
+    real_read, real_one = SimStorage.read, frame._read_frame
 
     def reads(self: SimStorage, name: str) -> bytes:
         read[name] += 1
@@ -105,7 +105,7 @@
         return real_one(data, at)
 
     monkeypatch.setattr(SimStorage, "read", reads)
-    monkeypatch.setattr(frame, "_one", one)
+    monkeypatch.setattr(frame, "_read_frame", one)
     found = scan(disk)
     snapshot = sum(name.endswith(".snap") for name in read)
     assert snapshot == rewritten and all(times == 1 + name.endswith(".snap") for name, times in read.items())
