--- a/brassweir/journal/compact.py
+++ b/brassweir/journal/compact.py
@@ -59,7 +59,7 @@
 
     The engine needs them after a restart even if the messages are no longer kept.
     """
-    for endpoint, at in state.passed.items():
+    for endpoint, at in state.last_success_at.items():
         yield Ended(0, 0, endpoint, Result.OK.value, at)
     for outcomes in state.recent_outcomes.values():
         for outcome in outcomes:
--- a/brassweir/journal/real_time.py
+++ b/brassweir/journal/real_time.py
@@ -1,10 +1,10 @@
-"""The journal's clock: milliseconds that run on over restarts, whatever becomes of the wall clock.
+"""The journal's clock: milliseconds that steps of the wall clock do not move, across restarts of the process.
 
-Spans between two processes decide on deadlines, windows and waits, so they must be of real time. The
-system's monotonic clock counts from the machine's start, for all processes alike. The first process notes
-how far the wall clock was ahead of it then; those after it go on from that note while the machine is the
-same one, and from the wall clock where it is not, or where the monotonic clock lies behind what the
-journal holds.
+Deadlines, windows and waits span restarts, so the time between two processes must be real time. The system's
+monotonic clock counts from the boot of the machine and is the same for all processes. The first process
+stores the offset of the wall clock from it; later processes use that offset as long as the machine has not
+been rebooted. After a reboot, or if the resulting time is before the journal's latest record, a new offset is
+taken from the wall clock.
 """
 
 from __future__ import annotations
@@ -16,45 +16,45 @@
 import msgspec
 
 CLOCK_FILE = "clock"
-BOOT = Path("/proc/sys/kernel/random/boot_id")  # another one after each start of the machine
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")  # changes at each boot
 
 
 class Anchor(msgspec.Struct, frozen=True):
-    """How far (ms) the journal's clock is ahead of the monotonic clock of one run of the machine."""
+    """The stored offset: ``ahead`` is the journal's clock less the monotonic clock (ms) during one boot."""
 
     boot: str
     ahead: float
 
 
 class JournalClock:
-    """The clock of one process."""
+    """A clock ``ahead`` ms ahead of the monotonic clock."""
 
     def __init__(self, ahead: float) -> None:
         self.ahead = ahead
 
     def now(self) -> float:
-        """Now, in ms; close to wall time, and never moved by its steps."""
+        """Return the time in ms since 1970, as the wall clock had it when the offset was taken."""
         return self.ahead + monotonic()
 
 
 def monotonic() -> float:
-    """The machine's monotonic clock in ms."""
+    """Return the machine's monotonic clock in ms."""
     return time.monotonic() * 1000.0
 
 
-def open_clock(folder: Path, latest: float) -> JournalClock:
-    """The clock of a folder whose journal holds nothing later than ``latest`` (ms)."""
-    boot = _boot()
-    anchor = _read(folder / CLOCK_FILE)
+def open_clock(directory: Path, latest: float) -> JournalClock:
+    """Return the clock of a journal's directory; ``latest`` (ms) is the latest time in the journal."""
+    boot = _boot_id()
+    anchor = _read(directory / CLOCK_FILE)
     if anchor is None or anchor.boot != boot or anchor.ahead + monotonic() < latest:
         anchor = Anchor(boot, time.time() * 1000.0 - monotonic())
-        _write(folder / CLOCK_FILE, anchor)
+        _write(directory / CLOCK_FILE, anchor)
     return JournalClock(anchor.ahead)
 
 
-def _boot() -> str:
+def _boot_id() -> str:
     try:
-        return BOOT.read_text(encoding="ascii").strip()
+        return BOOT_ID_FILE.read_text(encoding="ascii").strip()
     except (OSError, UnicodeDecodeError):
         return ""
 
@@ -67,10 +67,10 @@
 
 
 def _write(path: Path, anchor: Anchor) -> None:
-    """Without the note the next process takes the wall clock, as all did before there was one."""
-    fresh = path.with_suffix(".fresh")
+    """Store the offset. If that fails, the old file is removed: the next process uses the wall clock."""
+    temporary = path.with_suffix(".fresh")
     try:
-        fresh.write_bytes(msgspec.json.encode(anchor))
-        os.replace(fresh, path)
+        temporary.write_bytes(msgspec.json.encode(anchor))
+        os.replace(temporary, path)
     except OSError:
         path.unlink(missing_ok=True)
--- a/brassweir/journal/records.py
+++ b/brassweir/journal/records.py
@@ -1,8 +1,7 @@
-"""What a journal holds. Wall times in ms since 1970; ids are the ledger's. docs/journal-format.md is the
-contract.
+"""The records of a journal, and their encoding. docs/journal-format.md specifies them.
 
-The invariant of each record, in words, is its docstring: what is true of the world if the record is there,
-and what may be true if it is not.
+Times are wall clock milliseconds since 1970; ids are those of the ledger. Each record's docstring states its
+invariant: what is true if the record is in the journal, and what may be true if it is not.
 """
 
 from __future__ import annotations
@@ -11,14 +10,15 @@
 
 from brassweir.interface import Result
 
-VERSION = 2  # 1 knew no crowded endpoints
+VERSION = 2  # version 1 has no result for an endpoint at its connection limit
 
 
 class Taken(msgspec.Struct, tag="t", array_like=True, frozen=True):
-    """A message was taken on. Without it the client was told nothing that it could rely on.
+    """A message was accepted. Without this record the client has received no answer that it can rely on.
 
-    ``deadline`` is when its time is up; ``ran`` is when an attempt of an earlier hand-in may first have run,
-    or 0; ``reply`` is the front's own note of how the answer is to be told, empty if only to who asks.
+    ``deadline`` is when it ends without delivery; ``ran`` is when an attempt of an earlier submission may
+    first have run, or 0; ``reply`` holds the front's own data for delivering the answer, and is empty if the
+    answer only goes to a client that asks.
     """
 
     id: int
@@ -36,8 +36,8 @@
 
 
 class Intent(msgspec.Struct, tag="i", array_like=True, frozen=True):
-    """An attempt may go out from now on. Without it, not a byte of an attempt that must not repeat went
-    out."""
+    """An attempt may be sent from now on. Without this record, no byte of an attempt whose class must not be
+    repeated was sent."""
 
     id: int
     number: int
@@ -46,7 +46,8 @@
 
 
 class Ended(msgspec.Struct, tag="o", array_like=True, frozen=True):
-    """An attempt ended so. Without it, an attempt with an intent may have run, and may still run."""
+    """An attempt ended with this result. Without this record, an attempt with an intent may have run, and may
+    still be running. ``wait`` is the requested wait in ms, or 0."""
 
     id: int
     number: int
@@ -57,7 +58,7 @@
 
 
 class Final(msgspec.Struct, tag="f", array_like=True, frozen=True):
-    """The final answer. Without it, nobody was told one."""
+    """The final answer. Without this record, no client has received one."""
 
     id: int
     answer: str
@@ -67,20 +68,20 @@
 
 
 class Told(msgspec.Struct, tag="r", array_like=True, frozen=True):
-    """The receipt owed for a message was brought. Without it, it may have been, and is brought again."""
+    """The receipt of a message was delivered. Without this record it may have been, and is sent again."""
 
     id: int
 
 
 class Began(msgspec.Struct, tag="s", array_like=True, frozen=True):
-    """A process began to write; attempts of those before it are no longer out on its account."""
+    """A process began to write. Attempts of earlier processes are not in flight at this one."""
 
     at: float
     sender: str
 
 
 class Whole(msgspec.Struct, tag="w", array_like=True, frozen=True):
-    """The end of a snapshot: what stands before it in this segment replaces all earlier segments."""
+    """The end of a snapshot: the ``records`` before it in this segment replace all earlier segments."""
 
     records: int
 
@@ -92,16 +93,16 @@
 
 
 def encode(record: Record) -> bytes:
-    """A record as bytes."""
+    """Encode a record."""
     return _encoder.encode(record)
 
 
 def decode(data: bytes) -> Record:
-    """A record from bytes. Raises ValueError."""
+    """Decode a record. Raises ValueError if the bytes are none, or name an unknown result."""
     try:
         record: Record = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(f"no record: {error}") from None
-    if isinstance(record, Ended) and record.result not in {one.value for one in Result}:
-        raise ValueError(f"no record: unknown result {record.result!r}")
+        raise ValueError(f"invalid record: {error}") from None
+    if isinstance(record, Ended) and record.result not in {result.value for result in Result}:
+        raise ValueError(f"invalid record: unknown result {record.result!r}")
     return record
--- a/brassweir/journal/recover.py
+++ b/brassweir/journal/recover.py
@@ -1,9 +1,8 @@
-"""What a restart does with what the journal tells: a plan, made without touching anything. Pure.
+"""Plans what a restarted process does with the messages of its journal. Pure.
 
-Time that passed while the process was down counts against deadlines and windows. The wall clock may have
-stepped meanwhile: a clock behind the latest record is taken as standing at that record, so that no window or
-wait is longer for it; a step forward can only make us more careful with windows, and end waits no sooner than
-the clock says.
+Time during which the process was down counts against deadlines and deduplication windows. If the given time
+is before the journal's latest record, that record's time is used instead, so that a clock that stepped back
+prolongs no window and no wait.
 """
 
 from __future__ import annotations
@@ -19,27 +18,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Hole:
-    """Records that are lost to damage or a missing segment; ``known`` is the last id taken before its end."""
+    """Records lost to damage or a missing segment; ``last_id`` is the highest message id read before it."""
 
     where: str
-    known: int
+    last_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResumedMessage:
-    """A message that goes on. ``left`` (ms) is what remains of its time, ``ran_ago`` how long ago an attempt
-    may first have run, or None."""
+    """An open message to go on with.
+
+    ``left`` is the time until its deadline (ms), ``ran_ago`` how long ago an attempt may first have run (ms;
+    None if none can have), and ``number`` the number of its next attempt.
+    """
 
     taken: Taken
     left: float
     ran_ago: float | None
-    number: int  # attempts so far
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnsweredMessage:
-    """A message with its answer, whether from before or made now, ``ago`` ms old. ``owed`` says that its
-    receipt may not have been brought. ``fresh`` ones are still to be written down."""
+    """A message with its final answer, which is ``ago`` ms old.
+
+    ``receipt_pending``: its receipt may not have been delivered. ``unpersisted``: the plan made the answer,
+    and it must be written to the journal before it is given. ``ran_ago`` is as in ResumedMessage.
+    """
 
     taken: Taken
     final: Final
@@ -51,138 +56,174 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What to do, in this order: know the past, remember answers, give fresh ones, hand in what goes on.
-    ``at`` (wall ms) is the moment that all its times count from."""
+    """What a restart does, for apply_plan; all times are relative to ``at`` (wall ms).
+
+    ``past`` are the endpoints' recent outcomes, oldest first, ``last_success_ago`` the ms since each
+    endpoint's last success. ``dropped`` counts messages that need no further action. For ``pause`` ms nothing
+    may be sent, so that attempts in flight at the crash end before the next message of their key.
+    """
 
     at: float
     past: list[PastAttempt] = field(default_factory=list)
-    passed: dict[str, float] = field(default_factory=dict)  # by endpoint: ms since a call last passed
+    last_success_ago: dict[str, float] = field(default_factory=dict)
     answered: list[AnsweredMessage] = field(default_factory=list)
     resumed: list[ResumedMessage] = field(default_factory=list)
-    dropped: int = 0  # ended messages whose memory is over, and records without a message
-    pause: float = 0.0  # ms to wait before anything goes out: keys with an attempt out at the end rest
+    dropped: int = 0
+    pause: float = 0.0
     last_id: int = 0
 
 
 def plan_recovery(
-    lives: JournalState,
+    state: JournalState,
     holes: Sequence[Hole],
     classes: Mapping[str, MessageClass],
     wall: float,
-    remember: float,
+    retention_ms: float,
     order_pause: float,
     unknown: Sequence[str] = (),
 ) -> Plan:
-    """Decide on every message. ``wall`` is now (ms); ``unknown`` names destinations no longer in the
-    settings."""
-    now = max(wall, lives.last_at)
-    made = Plan(wall, last_id=lives.last_id)
-    hidden = max((hole.known for hole in holes), default=0)
-    # A refused message that was handed in again has a later life under the same name, which alone counts.
+    """Decide what becomes of every message.
+
+    ``wall`` is the current time (ms). Answers older than ``retention_ms`` are dropped. ``order_pause`` is the
+    pause (ms) if an ordered message had an attempt in flight. ``unknown`` names destinations that are no
+    longer in the settings.
+    """
+    now = max(wall, state.last_at)
+    plan = Plan(wall, last_id=state.last_id)
+    last_uncertain_id = max((hole.last_id for hole in holes), default=0)
+    # A refused message that was submitted again has a later id under the same identity; only that one counts.
     newest = {
-        (life.taken.owner, life.taken.identity): life.id
-        for life in lives.by_id.values()
-        if life.taken is not None
+        (message.taken.owner, message.taken.identity): message.id
+        for message in state.by_id.values()
+        if message.taken is not None
     }
-    for life in lives.by_id.values():
-        if life.taken is None:
-            made.dropped += 1  # its record was lost: the client, never answered, asks again
-        elif life.final is not None and newest[life.taken.owner, life.taken.identity] != life.id:
-            made.dropped += 1
-        elif life.final is not None:
-            _ended(life, life.taken, life.final, now, remember, made)
+    for message in state.by_id.values():
+        if message.taken is None:
+            plan.dropped += 1  # its Taken record is lost; the client has no answer and submits it again
+        elif message.final is not None and newest[message.taken.owner, message.taken.identity] != message.id:
+            plan.dropped += 1
+        elif message.final is not None:
+            _plan_ended(message, message.taken, message.final, now, retention_ms, plan)
         else:
-            _open(life, life.taken, classes, now, life.id <= hidden, life.taken.destination in unknown, made)
-            cls = classes.get(life.taken.class_name)
-            if life.out and cls is not None and cls.in_order and life.taken.key:
-                made.pause = order_pause
-    for endpoint, trail in lives.recent_outcomes.items():
-        made.past += [
-            PastAttempt(endpoint, Result(one.result), max(0.0, now - one.at), one.wait) for one in trail
+            _plan_open(
+                message,
+                message.taken,
+                classes,
+                now,
+                message.id <= last_uncertain_id,
+                message.taken.destination in unknown,
+                plan,
+            )
+            cls = classes.get(message.taken.class_name)
+            if message.has_attempt_in_flight and cls is not None and cls.in_order and message.taken.key:
+                plan.pause = order_pause
+    for endpoint, outcomes in state.recent_outcomes.items():
+        plan.past += [
+            PastAttempt(endpoint, Result(outcome.result), max(0.0, now - outcome.at), outcome.wait)
+            for outcome in outcomes
         ]
-    made.past.sort(key=lambda one: -one.ago)
-    made.passed = {endpoint: max(0.0, now - at) for endpoint, at in lives.passed.items()}
-    return made
+    plan.past.sort(key=lambda past: -past.ago)
+    plan.last_success_ago = {endpoint: max(0.0, now - at) for endpoint, at in state.last_success_at.items()}
+    return plan
 
 
 def relevant_past(plan: Plan, place: Callable[[str], Hashable]) -> list[PastAttempt]:
-    """What of the past still stands, where ``place`` says which endpoints fare as one.
+    """Return the outcomes that no later success has made irrelevant.
 
-    A pass at any of them ends a row of failures, but no wait told before it, as while the process ran: one
-    bad endpoint must not close its whole destination for a sender that comes back.
+    ``place`` maps an endpoint to its group: endpoints of one group share a circuit breaker. A success at any
+    of them ends a run of failures, but not a requested wait, as it does in a running process. Otherwise one
+    bad endpoint would open the circuit of its whole destination after a restart.
     """
-    last: dict[Hashable, float] = {}
-    for endpoint, ago in plan.passed.items():
-        last[place(endpoint)] = min(ago, last.get(place(endpoint), ago))
-    return [one for one in plan.past if one.ago - one.wait < last.get(place(one.endpoint), math.inf)]
-
-
-def _ended(life: MessageState, taken: Taken, final: Final, now: float, remember: float, made: Plan) -> None:
+    last_success_ago: dict[Hashable, float] = {}
+    for endpoint, ago in plan.last_success_ago.items():
+        last_success_ago[place(endpoint)] = min(ago, last_success_ago.get(place(endpoint), ago))
+    return [
+        past
+        for past in plan.past
+        if past.ago - past.wait < last_success_ago.get(place(past.endpoint), math.inf)
+    ]
+
+
+def _plan_ended(
+    message: MessageState, taken: Taken, final: Final, now: float, retention_ms: float, plan: Plan
+) -> None:
     ago = max(0.0, now - final.at)
-    owed = bool(taken.reply) and not life.receipt_delivered
-    if ago > remember and not owed:
-        made.dropped += 1
+    receipt_pending = bool(taken.reply) and not message.receipt_delivered
+    if ago > retention_ms and not receipt_pending:
+        plan.dropped += 1
         return
-    first = life.first
-    made.answered.append(
-        AnsweredMessage(taken, final, ago, None if first is None else now - first, owed, False)
+    first_run_at = message.first_run_at
+    plan.answered.append(
+        AnsweredMessage(
+            taken, final, ago, None if first_run_at is None else now - first_run_at, receipt_pending, False
+        )
     )
 
 
-def _open(
-    life: MessageState,
+def _plan_open(
+    message: MessageState,
     taken: Taken,
     classes: Mapping[str, MessageClass],
     now: float,
-    hidden: bool,
+    uncertain: bool,
     unknown: bool,
-    made: Plan,
+    plan: Plan,
 ) -> None:
     cls = classes.get(taken.class_name)
-    first = life.first
-    if first is None and hidden:
-        # What the hole hid may have been an intent: as early as can be, from the first moment on.
-        first = min(taken.deadline - cls.deadline if cls is not None else now, now)
+    first_run_at = message.first_run_at
+    if first_run_at is None and uncertain:
+        # The lost records may include an intent, as early as the moment at which the message was accepted.
+        first_run_at = min(taken.deadline - cls.deadline if cls is not None else now, now)
     effect = cls.effect if cls is not None else Effect.UNSAFE
     left = min(taken.deadline - now, cls.deadline if cls is not None else 0.0)
-    if first is not None and effect is Effect.KEYED and cls is not None:
-        left = min(left, first + cls.window - now)
-    # A key that holds in one zone only counts here as none: a repeat could go to another zone.
-    zoned = effect is Effect.KEYED and cls is not None and cls.group != "all"
-    sent_once = first is not None and (effect is Effect.UNSAFE or zoned)
+    if first_run_at is not None and effect is Effect.KEYED and cls is not None:
+        left = min(left, first_run_at + cls.window - now)
+    # A key that holds within one zone gives no protection here: the repeat could go to another zone.
+    zone_keyed = effect is Effect.KEYED and cls is not None and cls.group != "all"
+    sent_once = first_run_at is not None and (effect is Effect.UNSAFE or zone_keyed)
     if cls is None or unknown or left <= 0.0 or sent_once:
-        harmless = first is None or effect is Effect.SAFE
-        final = Final(life.id, "refused" if harmless else "failed", _why(cls, unknown, left), 0.0, now)
-        made.answered.append(
+        harmless = first_run_at is None or effect is Effect.SAFE
+        final = Final(message.id, "refused" if harmless else "failed", _reason(cls, unknown, left), 0.0, now)
+        plan.answered.append(
             AnsweredMessage(
-                taken, final, 0.0, None if first is None else now - first, bool(taken.reply), True
+                taken,
+                final,
+                0.0,
+                None if first_run_at is None else now - first_run_at,
+                bool(taken.reply),
+                True,
             )
         )
         return
-    number = max([*life.intents, *life.ended], default=-1) + 1  # damage may have taken some: none goes twice
-    made.resumed.append(ResumedMessage(taken, left, None if first is None else now - first, number))
+    # Follows the highest known number: damage may have lost attempts, and no number may be used twice.
+    number = max([*message.intents, *message.ended], default=-1) + 1
+    plan.resumed.append(
+        ResumedMessage(taken, left, None if first_run_at is None else now - first_run_at, number)
+    )
 
 
-def end_keyless_messages(made: Plan, classes: Mapping[str, MessageClass], wall: float) -> None:
-    """End what is in a keyed class now and came when it was none, so without the key (the subject) that makes
-    a repeat harmless: refused if nothing can have run, else failed. For senders that take no other such
-    message."""
-    for one in made.resumed[:]:
-        if classes[one.taken.class_name].effect is Effect.KEYED and not one.taken.subject:
-            made.resumed.remove(one)
+def end_keyless_messages(plan: Plan, classes: Mapping[str, MessageClass], wall: float) -> None:
+    """End resumed messages without an idempotency key (their subject) whose class now requires one.
+
+    They were accepted before their class was keyed. The answer is refused if no attempt can have run, else
+    failed. For senders that accept no message of a keyed class without a key.
+    """
+    for message in plan.resumed[:]:
+        if classes[message.taken.class_name].effect is Effect.KEYED and not message.taken.subject:
+            plan.resumed.remove(message)
             final = Final(
-                one.taken.id,
-                "refused" if one.ran_ago is None else "failed",
+                message.taken.id,
+                "refused" if message.ran_ago is None else "failed",
                 "its class is keyed now, and it has no key",
                 0.0,
                 wall,
             )
-            made.answered.append(
-                AnsweredMessage(one.taken, final, 0.0, one.ran_ago, bool(one.taken.reply), True)
+            plan.answered.append(
+                AnsweredMessage(message.taken, final, 0.0, message.ran_ago, bool(message.taken.reply), True)
             )
 
 
-def _why(cls: MessageClass | None, unknown: bool, left: float) -> str:
+def _reason(cls: MessageClass | None, unknown: bool, left: float) -> str:
     if cls is None:
         return "its class is no longer in the settings"
     if unknown:
--- a/brassweir/journal/state.py
+++ b/brassweir/journal/state.py
@@ -1,8 +1,7 @@
-"""The life of a message as its records tell it. Pure state: records in, lives out.
+"""The state of all messages and endpoints, rebuilt by replaying the journal's records. Pure.
 
-Records of one message may repeat (a snapshot holds what an earlier segment held) and may lack what a damaged
-stretch hid. Whatever order they come in, a life only ever learns; it never forgets that something may have
-run.
+Records of one message may repeat, since a snapshot holds what earlier segments held, and some may be lost to
+damage. In whatever order they are applied, a message never loses the fact that an attempt may have run.
 """
 
 from __future__ import annotations
@@ -13,15 +12,16 @@
 from brassweir.interface import NEVER_RAN, Result
 from brassweir.journal.records import Began, Ended, Final, Intent, Record, Taken, Told, Whole
 
-OWN = (
+# Results that the sender itself caused, and that therefore say nothing about the endpoint.
+OWN_RESULTS = (
     Result.NOT_STARTED.value,
     Result.CANCELLED.value,
-)  # endings that are our doing, and tell nothing of an endpoint
-TRAIL = 8  # endings since the last pass that are kept of an endpoint: enough to see an outage
+)
+MAX_OUTCOMES = 8  # of one endpoint since its last success: enough to detect an outage
 
 
-def bare(taken: Taken, first: float | None) -> Taken:
-    """A message without its content, for one that has its answer."""
+def without_content(taken: Taken, first_run_at: float | None) -> Taken:
+    """Return the record of an answered message without its content, with the time of its first attempt."""
     return Taken(
         taken.id,
         taken.owner,
@@ -34,13 +34,16 @@
         "",
         b"",
         taken.reply,
-        first or 0.0,
+        first_run_at or 0.0,
     )
 
 
 @dataclass(slots=True)
 class MessageState:
-    """One message. ``first`` is when the first attempt that may have run was to go out (wall ms), or None."""
+    """What the records say of one message.
+
+    ``intents`` and ``ended`` are by the number of the attempt.
+    """
 
     id: int
     taken: Taken | None = None
@@ -50,45 +53,51 @@
     receipt_delivered: bool = False
 
     @property
-    def first(self) -> float | None:
-        """When an attempt may first have run: one without an ending may have, and may still."""
+    def first_run_at(self) -> float | None:
+        """When an attempt may first have run (wall ms); None if none can have.
+
+        An attempt without an outcome may have run, and may still be running.
+        """
         times = [
-            one.at
-            for number, one in self.intents.items()
+            intent.at
+            for number, intent in self.intents.items()
             if number not in self.ended or Result(self.ended[number].result) not in NEVER_RAN
         ]
-        # An ending without its intent: the intent was lost or never waited for, and it went out before.
+        # An outcome without its intent: the intent is lost or was not written, and the attempt began earlier.
         times += [
-            one.at
-            for number, one in self.ended.items()
-            if number not in self.intents and Result(one.result) not in NEVER_RAN
+            ended.at
+            for number, ended in self.ended.items()
+            if number not in self.intents and Result(ended.result) not in NEVER_RAN
         ]
         if self.taken is not None and self.taken.ran:
             times.append(self.taken.ran)
         return min(times) if times else None
 
     @property
-    def out(self) -> bool:
-        """Was an attempt out when the records end?"""
+    def has_attempt_in_flight(self) -> bool:
+        """Whether an attempt has an intent and no outcome."""
         return any(number not in self.ended for number in self.intents)
 
 
 class JournalState:
-    """All that the records tell."""
+    """The state that the records add up to.
+
+    ``by_id`` holds messages in the order accepted. ``recent_outcomes`` are each endpoint's outcomes since its
+    last success, oldest first, and ``last_success_at`` the wall ms of that success. ``last_at`` is the latest
+    wall ms in any record, ``runs`` the number of process starts, ``sender`` the last one to start.
+    """
 
     def __init__(self) -> None:
         self.by_id: OrderedDict[int, MessageState] = OrderedDict()
-        self.recent_outcomes: dict[
-            str, list[Ended]
-        ] = {}  # by endpoint: endings since its last pass, oldest first
-        self.passed: dict[str, float] = {}  # by endpoint: when a call last passed
+        self.recent_outcomes: dict[str, list[Ended]] = {}
+        self.last_success_at: dict[str, float] = {}
         self.last_id = 0
-        self.last_at = 0.0  # latest wall time seen in a record
+        self.last_at = 0.0
         self.runs = 0
-        self.sender = ""  # who wrote last
+        self.sender = ""
 
     def apply(self, record: Record) -> None:
-        """Learn from one record."""
+        """Add what one record says. Records of a message may repeat, and come in any order."""
         if isinstance(record, Whole):
             return
         if isinstance(record, Began):
@@ -96,57 +105,64 @@
             self.sender = record.sender
             self.last_at = max(self.last_at, record.at)
             return
-        if record.id == 0:  # an ending kept for what it says of its endpoint alone
+        if record.id == 0:  # an outcome kept for its endpoint, after its message was dropped
             if isinstance(record, Ended):
-                self._trail(record)
+                self._add_outcome(record)
             return
-        life = self.by_id.get(record.id)
-        if life is None:
-            life = self.by_id[record.id] = MessageState(record.id)
+        message = self.by_id.get(record.id)
+        if message is None:
+            message = self.by_id[record.id] = MessageState(record.id)
             self.last_id = max(self.last_id, record.id)
         if isinstance(record, Taken):
-            life.taken = life.taken or (record if life.final is None else bare(record, life.first))
-        elif life.final is not None and isinstance(record, Intent | Ended):
+            message.taken = message.taken or (
+                record if message.final is None else without_content(record, message.first_run_at)
+            )
+        elif message.final is not None and isinstance(record, Intent | Ended):
             if isinstance(record, Ended):
-                self._trail(record)
+                self._add_outcome(record)
         elif isinstance(record, Intent):
-            life.intents.setdefault(record.number, record)
+            message.intents.setdefault(record.number, record)
             self.last_at = max(self.last_at, record.at)
         elif isinstance(record, Ended):
-            life.ended.setdefault(record.number, record)
+            message.ended.setdefault(record.number, record)
             self.last_at = max(self.last_at, record.at)
-            self._trail(record)
+            self._add_outcome(record)
         elif isinstance(record, Final):
-            if life.final is None and life.taken is not None:
-                # What still matters of an ended message: its name, its answer, when it may first have run.
-                life.taken = bare(life.taken, life.first)
-                life.intents, life.ended = {}, {}
-            life.final = life.final or record
+            if message.final is None and message.taken is not None:
+                # Of an ended message only its identity, its answer and when it may first have run are needed.
+                message.taken = without_content(message.taken, message.first_run_at)
+                message.intents, message.ended = {}, {}
+            message.final = message.final or record
             self.last_at = max(self.last_at, record.at)
         elif isinstance(record, Told):
-            life.receipt_delivered = True
+            message.receipt_delivered = True
 
-    def _trail(self, record: Ended) -> None:
-        if record.result in OWN:
+    def _add_outcome(self, record: Ended) -> None:
+        """Note how an attempt ended, for the endpoint's circuit breaker after a restart."""
+        if record.result in OWN_RESULTS:
             return
         if record.result == Result.OK.value:
-            # A pass ends a row of failures, but no told wait: the call may have gone out before it was told.
-            self.passed[record.endpoint] = max(record.at, self.passed.get(record.endpoint, 0.0))
+            # A success ends a run of failures, but no requested wait: its call may have begun before that.
+            self.last_success_at[record.endpoint] = max(
+                record.at, self.last_success_at.get(record.endpoint, 0.0)
+            )
             waits = [
-                one for one in self.recent_outcomes.pop(record.endpoint, []) if one.at + one.wait > record.at
+                outcome
+                for outcome in self.recent_outcomes.pop(record.endpoint, [])
+                if outcome.at + outcome.wait > record.at
             ]
             if waits:
                 self.recent_outcomes[record.endpoint] = waits
             return
-        trail = self.recent_outcomes.setdefault(record.endpoint, [])
-        if any((one.at, one.result) == (record.at, record.result) for one in trail):
-            return  # a snapshot told it, and the segment behind it does again
-        trail.append(record)
-        # The longest told wait stays, however many short ones came after it.
-        if len(trail) > TRAIL:
-            keep = max(trail, key=lambda one: one.at + one.wait)
-            trail.remove(next(one for one in trail if one is not keep))
+        outcomes = self.recent_outcomes.setdefault(record.endpoint, [])
+        if any((outcome.at, outcome.result) == (record.at, record.result) for outcome in outcomes):
+            return  # in a snapshot and in the segment after it
+        outcomes.append(record)
+        # The wait that ends last stays, however many outcomes came after it.
+        if len(outcomes) > MAX_OUTCOMES:
+            latest_wait = max(outcomes, key=lambda outcome: outcome.at + outcome.wait)
+            outcomes.remove(next(outcome for outcome in outcomes if outcome is not latest_wait))
 
     def forget(self, ident: int) -> None:
-        """Drop a message whose memory is over."""
+        """Drop a message whose answer need not be kept any longer."""
         self.by_id.pop(ident, None)
--- a/brassweir/journal/table.py
+++ b/brassweir/journal/table.py
@@ -1,4 +1,4 @@
-"""Messages' lives as a table: one row each, for tools that count. No I/O: rows in, columns out."""
+"""The messages of a journal as a table with one row each, for export. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from brassweir.journal.recover import Hole
 from brassweir.journal.state import JournalState, MessageState
 
-# Column: (type of the file, meaning). docs/journal-format.md has the same list.
+# Column: (type, meaning). docs/journal-format.md has the same list.
 COLUMNS: dict[str, tuple[str, str]] = {
     "id": ("int64", "the ledger's number"),
     "owner": ("string", "who handed it in"),
@@ -29,18 +29,18 @@
 }
 
 
-def rows(lives: JournalState, holes: Iterable[Hole]) -> Iterator[dict[str, Any]]:
-    """One row for each message, in the order taken."""
-    hidden = max((hole.known for hole in holes), default=0)
-    for life in lives.by_id.values():
-        yield _row(life, hidden)
+def rows(state: JournalState, holes: Iterable[Hole]) -> Iterator[dict[str, Any]]:
+    """Yield one row for each message, in the order accepted."""
+    last_uncertain_id = max((hole.last_id for hole in holes), default=0)
+    for message in state.by_id.values():
+        yield _row(message, last_uncertain_id)
 
 
-def _row(life: MessageState, hidden: int) -> dict[str, Any]:
-    taken, final = life.taken, life.final
-    numbers = sorted(life.intents.keys() | life.ended.keys())
+def _row(message: MessageState, last_uncertain_id: int) -> dict[str, Any]:
+    taken, final = message.taken, message.final
+    numbers = sorted(message.intents.keys() | message.ended.keys())
     return {
-        "id": life.id,
+        "id": message.id,
         "owner": taken.owner if taken else None,
         "identity": taken.identity if taken else None,
         "class_name": taken.class_name if taken else None,
@@ -49,11 +49,11 @@
         "deadline": taken.deadline if taken else None,
         "content_bytes": len(taken.content) if taken and taken.content_type else None,
         "attempts": len(numbers),
-        "results": [life.ended[number].result if number in life.ended else None for number in numbers],
-        "first_may_have_run": life.first,
+        "results": [message.ended[number].result if number in message.ended else None for number in numbers],
+        "first_may_have_run": message.first_run_at,
         "answer": final.answer if final else None,
         "reason": final.reason if final else None,
         "answered": final.at if final else None,
-        "receipt_owed": bool(taken and taken.reply and not life.receipt_delivered),
-        "behind_hole": life.id <= hidden and final is None,
+        "receipt_owed": bool(taken and taken.reply and not message.receipt_delivered),
+        "behind_hole": message.id <= last_uncertain_id and final is None,
     }
--- a/tests/journal/test_damage.py
+++ b/tests/journal/test_damage.py
@@ -54,7 +54,7 @@
         segment_name(4): frame.encode_header(4, 17) + whole[cut:][:0],
     }
     found = scan(disk)
-    assert "segments 2 to 3 are missing" in found.problems[0] and found.holes[0].known == 2
+    assert "segments 2 to 3 are missing" in found.problems[0] and found.holes[0].last_id == 2
     disk = written()
     lives = scan(disk).state
     kept = list(compact.live_records(lives, 100.0, 1e9))
--- a/tests/journal/test_plan.py
+++ b/tests/journal/test_plan.py
@@ -132,7 +132,7 @@
 
 
 def test_what_a_hole_hides_counts_as_may_have_run() -> None:
-    hole = Hole("x", known=1)
+    hole = Hole("x", last_id=1)
     plan = made(taken(1), taken(2), holes=(hole,))
     assert [one.final.answer for one in plan.answered] == ["failed"]
     assert [one.taken.id for one in plan.resumed] == [2], "one taken after the hole is not in doubt"
--- a/tests/journal/test_real_time.py
+++ b/tests/journal/test_real_time.py
@@ -29,7 +29,7 @@
 ) -> None:
     before = real_time.open_clock(tmp_path, 0.0).now()
     stepped(monkeypatch, 60.0)
-    monkeypatch.setattr(real_time, "_boot", lambda: "another")
+    monkeypatch.setattr(real_time, "_boot_id", lambda: "another")
     assert 60_000.0 <= real_time.open_clock(tmp_path, before).now() - before < 61_000.0
 
 
--- a/tests/journal/test_torn.py
+++ b/tests/journal/test_torn.py
@@ -92,7 +92,7 @@
     life(disk, *more)
     disk.synced[FIRST] = spoil(disk.synced[FIRST])
     found = scan(disk)
-    assert found.problems and found.holes[0].known == 1
+    assert found.problems and found.holes[0].last_id == 1
     assert goes_on(found) == ([2] if more else [], [1])
 
 
--- a/tests/journal/test_untried.py
+++ b/tests/journal/test_untried.py
@@ -183,7 +183,7 @@
         *ends("a", "reset", "reset", ago=500.0),
     ]:  # the last two stand behind the snapshot too
         again.apply(record)
-    assert again.passed == lives.passed and again.recent_outcomes == lives.recent_outcomes
+    assert again.last_success_at == lives.last_success_at and again.recent_outcomes == lives.recent_outcomes
     assert list(compact.live_records(again, NOW, 1e9)) == kept
 
 
