--- a/brassweir/journal/compact.py
+++ b/brassweir/journal/compact.py
@@ -22,20 +22,20 @@
     return size > min_bytes and size > MAX_SIZE_RATIO * live_bytes
 
 
-def is_live(message: MessageState, now: float, remember: float) -> bool:
+def is_live(message: MessageState, now: float, retention_ms: float) -> bool:
     """Return whether a snapshot must keep a message: it is open, its receipt is pending, or its answer is not
-    older than ``remember`` ms."""
+    older than ``retention_ms``."""
     if message.final is None or (
         message.taken is not None and message.taken.reply and not message.receipt_delivered
     ):
         return True
-    return now - message.final.at <= remember
+    return now - message.final.at <= retention_ms
 
 
-def live_records(state: JournalState, now: float, remember: float) -> Iterator[Record]:
+def live_records(state: JournalState, now: float, retention_ms: float) -> Iterator[Record]:
     """Yield the records of a complete snapshot. Times in wall ms."""
     for message in list(state.by_id.values()):
-        if is_live(message, now, remember):
+        if is_live(message, now, retention_ms):
             yield from message_records(message)
     yield from endpoint_records(state)
 
--- a/brassweir/journal/restart.py
+++ b/brassweir/journal/restart.py
@@ -1,4 +1,4 @@
-"""Carries a recovery plan out on a fresh engine. What it decides was decided in recover.py."""
+"""Applies a recovery plan, which recover.py has made, to a new engine."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 
 def _submission(taken: Taken, destination: int, left: float) -> Submission:
+    """Rebuild the submission of an accepted message, with ``left`` ms until its deadline."""
     payload = Payload(taken.content_type, taken.content, taken.subject) if taken.content_type else None
     return Submission(
         taken.owner,
@@ -34,56 +35,57 @@
     engine: Engine,
     store: JournalStore,
     number_of: Callable[[str], int | None],
-    owing: ReceiptWaiterFactory,
+    make_waiter: ReceiptWaiterFactory,
 ) -> None:
-    """Tell the engine the past, put back what ended, and go on with the rest, in the order taken.
+    """Give the engine the endpoints' outcomes and the ended messages, then go on with open messages in order.
 
-    ``owing`` makes the waiter that brings a message's receipt, or None where none is owed. The engine has
-    been given its list. Answers made now are written down before anybody is told them. Times count from when
-    the plan was made: a start that takes long must not push a deadline or the end of a window out.
+    The engine must have its endpoint list. ``make_waiter`` returns the waiter that delivers a message's
+    receipt, or None if it has none. Answers that the plan made are written to the journal before they are
+    given. Times count from when the plan was made, so that a slow start extends no deadline and no window.
     """
 
     def place(name: str) -> Hashable:
+        """Return what shares a circuit breaker: the endpoint itself, or its whole destination."""
         info = engine.endpoints.get(name)
         return name if info is None or info.kind in engine.apart else info.destination
 
     now = engine.clock.now() - max(0.0, store.wall() - plan.at)
     engine.restore_past_attempts(relevant_past(plan, place))
     engine.ledger.last_id = max(engine.ledger.last_id, plan.last_id)
-    for one in sorted(plan.answered, key=lambda one: -one.ago):
-        taken, final = one.taken, one.final
+    for answered in sorted(plan.answered, key=lambda answered: -answered.ago):
+        taken, final = answered.taken, answered.final
         submission = _submission(taken, number_of(taken.destination) or 0, 1.0)
-        record = MessageRecord(taken.id, submission, now - one.ago, now - one.ago)
-        record.first_run_at = None if one.ran_ago is None else now - one.ran_ago
+        record = MessageRecord(taken.id, submission, now - answered.ago, now - answered.ago)
+        record.first_run_at = None if answered.ran_ago is None else now - answered.ran_ago
         record.answer = FinalAnswer(Answer(final.answer), final.reason, final.retry_after)
-        record.answered_at = now - one.ago
+        record.answered_at = now - answered.ago
         engine.ledger.restore(record)
-        waiter = owing(taken.id, submission) if one.receipt_pending else None
-        _give(engine, store, record, waiter, one.unpersisted)
-    for again in plan.resumed:
-        number = number_of(again.taken.destination)
-        assert number is not None  # the plan was made knowing which destinations are gone
-        submission = _submission(again.taken, number, again.left)
-        record = MessageRecord(again.taken.id, submission, now, now + again.left)
-        record.first_run_at = None if again.ran_ago is None else now - again.ran_ago
-        waiter = owing(again.taken.id, submission) if again.taken.reply else None
+        waiter = make_waiter(taken.id, submission) if answered.receipt_pending else None
+        _give_answer(engine, store, record, waiter, answered.unpersisted)
+    for resumed in plan.resumed:
+        number = number_of(resumed.taken.destination)
+        assert number is not None  # the plan has ended the messages of unknown destinations
+        submission = _submission(resumed.taken, number, resumed.left)
+        record = MessageRecord(resumed.taken.id, submission, now, now + resumed.left)
+        record.first_run_at = None if resumed.ran_ago is None else now - resumed.ran_ago
+        waiter = make_waiter(resumed.taken.id, submission) if resumed.taken.reply else None
         if waiter is not None:
             record.waiters.append(waiter)
-        store.resumed(record.id, submission.class_name, again.number)
+        store.resumed(record.id, submission.class_name, resumed.number)
         engine.resume(record)
 
 
-def _give(
-    engine: Engine, store: JournalStore, record: MessageRecord, waiter: Waiter | None, fresh: bool
+def _give_answer(
+    engine: Engine, store: JournalStore, record: MessageRecord, waiter: Waiter | None, unpersisted: bool
 ) -> None:
     answer = record.answer
     assert answer is not None
 
-    def tell() -> None:
+    def notify() -> None:
         if waiter is not None:
             engine.clock.call_soon(lambda: waiter(answer))
 
-    if fresh:
-        store.persist(Fact.FINAL, record.id, answer, tell, lambda _: tell())
+    if unpersisted:
+        store.persist(Fact.FINAL, record.id, answer, notify, lambda _: notify())
     else:
-        tell()
+        notify()
--- a/brassweir/journal/store.py
+++ b/brassweir/journal/store.py
@@ -1,4 +1,4 @@
-"""The engine's store on a journal: facts become records, and what waits for them runs once they last."""
+"""The engine's store on a journal: writes facts as records, and runs callbacks once they are durable."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from brassweir.journal.records import Began, Ended, Final, Intent, Record, Taken, Told
 from brassweir.journal.writer import Writer
 
-SLICE = 2000  # lives gone through in one turn of the loop: a millisecond or two
+SLICE_MESSAGES = 2000  # per turn of the event loop in a compaction: one to two milliseconds
 
 
 class IoRunner(Protocol):
-    """Runs I/O on the one thread that may, and tells the loop's side when it is done."""
+    """Runs the journal's I/O, one call at a time and in order, and reports the result on the event loop."""
 
     def run(
         self,
@@ -25,18 +25,18 @@
         done: Callable[[object], None],
         failed: Callable[[BaseException], None],
     ) -> None:
-        """Run ``work``; then ``done`` with its result, or ``failed``, on the loop's side."""
+        """Run ``work``; then, on the event loop, ``done`` with the result or ``failed`` with the error."""
 
-    def later(self, what: Callable[[], None]) -> None:
-        """Run ``what`` on the loop's side after a pause, for a disk that took no write."""
+    def later(self, callback: Callable[[], None]) -> None:
+        """Run ``callback`` on the event loop after a pause, to retry a failed write."""
 
 
 class JournalStore:
-    """Keeps facts in a journal.
+    """Stores the engine's facts in a journal.
 
-    ``wall`` is the time in ms since 1970; ``name_of`` the name of a destination's number; ``broken`` is
-    called when the disk can no longer be trusted, after which nothing more is kept and nothing waiting goes
-    on.
+    ``wall`` returns the time in ms since 1970; ``name_of`` the name of a destination's number. Answers are
+    kept for ``retention_ms``. ``broken`` is called once, when the journal can no longer be written or
+    trusted; after that nothing is stored and no waiting callback runs.
     """
 
     def __init__(
@@ -47,28 +47,28 @@
         wall: Callable[[], float],
         name_of: Callable[[int], str],
         broken: Callable[[BaseException], None],
-        remember: float,
+        retention_ms: float,
         note: Callable[[str, dict[str, object]], None] = lambda event, details: None,
     ) -> None:
         self.note = note
-        self.stalled = False  # the disk takes no write now: nothing new is taken on
-        self.unkept: set[int] = set()  # refused messages of which nothing was written
+        self.stalled = False  # a failed write is being retried: no new message is accepted
+        self.unrecorded: set[int] = set()  # refused messages of which nothing was written
         self.writer, self.io, self.classes, self.wall = writer, io, classes, wall
-        self.name_of, self.broken, self.remember = name_of, broken, remember
+        self.name_of, self.broken, self.retention_ms = name_of, broken, retention_ms
         self.effects = {cls.name: cls.effect for cls in classes.values()}
-        self.classed: dict[int, str] = {}  # open messages' classes
-        self.before: dict[int, int] = {}  # attempts of open messages in earlier lives of the process
-        self.dead = self.compacting = False
-        self.looked = 0.0
+        self.class_names: dict[int, str] = {}  # of open messages
+        self.earlier_attempts: dict[int, int] = {}  # of open messages, by earlier processes
+        self.failed = self.compacting = False
+        self.checked_at = 0.0
 
     def record_start(self, sender: str) -> None:
-        """Note that a process begins to write."""
+        """Record that a process begins to write."""
         self.writer.add(Began(self.wall(), sender), None)
-        self._pump()
+        self._commit_next()
 
     def resumed(self, ident: int, class_name: str, attempts: int) -> None:
-        """A message from before goes on under its id."""
-        self.classed[ident], self.before[ident] = class_name, attempts
+        """Note that a message of an earlier process goes on under its id, after so many attempts."""
+        self.class_names[ident], self.earlier_attempts[ident] = class_name, attempts
 
     def persist(
         self,
@@ -79,19 +79,19 @@
         unable: Callable[[str], None],
     ) -> None:
         """Keep one fact (see :class:`brassweir.core.ports.Store`)."""
-        if self.dead:
-            return  # nothing may go on as if it had been written
+        if self.failed:
+            return  # the engine must not go on: the fact will never be durable
         if self.stalled and fact is Fact.TAKEN:
-            self.unkept.add(message)
+            self.unrecorded.add(message)
             unable("the journal takes no write now")
             return
-        if fact is Fact.FINAL and message in self.unkept:
-            self.unkept.discard(message)
+        if fact is Fact.FINAL and message in self.unrecorded:
+            self.unrecorded.discard(message)
             then()
             return
         now = self.wall()
         if isinstance(detail, Submission):
-            self.classed[message] = detail.class_name
+            self.class_names[message] = detail.class_name
             payload = detail.payload if isinstance(detail.payload, Payload) else Payload("", b"")
             record = Taken(
                 message,
@@ -109,29 +109,34 @@
             )
             self._add(record, fact, then, unable)
         elif isinstance(detail, Attempt):
-            self._add(Intent(message, self._number(detail), detail.endpoint.name, now), fact, then)
+            self._add(Intent(message, self._attempt_number(detail), detail.endpoint.name, now), fact, then)
         elif isinstance(detail, FinalAnswer):
             self._add(Final(message, detail.answer.value, detail.reason, detail.retry_after, now), fact, then)
-            self.classed.pop(message, None)
-            self.before.pop(message, None)
+            self.class_names.pop(message, None)
+            self.earlier_attempts.pop(message, None)
         else:
             assert isinstance(detail, tuple)
             attempt, outcome = detail
             assert isinstance(attempt, Attempt) and isinstance(outcome, Outcome)
             ended = Ended(
-                message, self._number(attempt), attempt.endpoint.name, outcome.result.value, now, outcome.wait
+                message,
+                self._attempt_number(attempt),
+                attempt.endpoint.name,
+                outcome.result.value,
+                now,
+                outcome.wait,
             )
             self._add(ended, fact, then)
-        self._pump()
+        self._commit_next()
 
     def receipt_delivered(self, message: int) -> None:
-        """The receipt owed for a message was brought."""
-        if not self.dead:
+        """Record that the receipt of a message was delivered."""
+        if not self.failed:
             self.writer.add(Told(message), None)
-            self._pump()
+            self._commit_next()
 
-    def _number(self, attempt: Attempt) -> int:
-        return attempt.number + self.before.get(attempt.id, 0)
+    def _attempt_number(self, attempt: Attempt) -> int:
+        return attempt.number + self.earlier_attempts.get(attempt.id, 0)
 
     def _add(
         self,
@@ -140,7 +145,7 @@
         then: Callable[[], None],
         unable: Callable[[str], None] | None = None,
     ) -> None:
-        effect = self.effects.get(self.classed.get(record.id, ""))
+        effect = self.effects.get(self.class_names.get(record.id, ""))
         if effect is None or waits_for_commit(fact, effect):
             self.writer.add(record, then, unable)
         else:
@@ -149,7 +154,7 @@
 
     # ---- groups
 
-    def _pump(self) -> None:
+    def _commit_next(self) -> None:
         group = self.writer.next_group()
         if group is not None:
             self._commit(group)
@@ -157,86 +162,86 @@
     def _commit(self, group: CommitGroup) -> None:
         self.io.run(
             lambda: self.writer.commit(group),
-            lambda refused: self._done(group, refused),
-            lambda error: self._stall(group, error),
+            lambda refused: self._committed(group, refused),
+            lambda error: self._commit_failed(group, error),
         )
 
-    def _stall(self, group: CommitGroup, error: BaseException) -> None:
-        """The disk took no write: the group is tried again, and what waits for it waits on."""
+    def _commit_failed(self, group: CommitGroup, error: BaseException) -> None:
+        """Retry a stalled group after a pause; any other error ends the store."""
         if not isinstance(error, JournalStalled):
-            self._failed(error)
+            self._fail(error)
             return
         if not self.stalled:
             self.stalled = True
             self.note("journal_stalled", {"error": str(error)})
         self.io.later(lambda: self._commit(group))
 
-    def _done(self, group: CommitGroup, refused: object) -> None:
-        if self.dead:
+    def _committed(self, group: CommitGroup, refused: object) -> None:
+        if self.failed:
             return
         if self.stalled:
             self.stalled = False
-            self.note("journal_goes_on", {"refused": len(self.unkept)})
+            self.note("journal_goes_on", {"refused": len(self.unrecorded)})
         assert isinstance(refused, list)
         self.writer.group_committed(group, refused)
-        self._pump()
-        self._snapshot()
+        self._commit_next()
+        self._compact_if_due()
 
-    def _failed(self, error: BaseException) -> None:
-        if not self.dead:
-            self.dead = True
+    def _fail(self, error: BaseException) -> None:
+        if not self.failed:
+            self.failed = True
             self.broken(
                 error
                 if isinstance(error, JournalBroken)
                 else JournalBroken(f"{type(error).__name__}: {error}")
             )
 
-    def _snapshot(self) -> None:
-        """Rewrite the journal if it is time; looked at once a second."""
+    def _compact_if_due(self) -> None:
+        """Compact the journal if it is time; checked once per ``check_interval_ms``."""
         now = self.wall()
-        if self.compacting or abs(now - self.looked) < self.writer.limits.check_interval_ms:
+        if self.compacting or abs(now - self.checked_at) < self.writer.limits.check_interval_ms:
             return
-        self.looked = now
+        self.checked_at = now
         if self.writer.should_compact():
             self.compact(now)
 
     def compact(self, now: float) -> None:
-        """Rewrite the journal with what still matters, beside the groups that go on.
+        """Replace the journal's segments by a snapshot of the live records, while commits go on.
 
-        First a new segment is begun, so that whatever comes meanwhile stands behind the snapshot. Then lives
-        are gone through by slices, each in a turn of the loop of its own; one that learns more after its
-        slice has that in the new segment.
+        A new segment is begun first, so that records written meanwhile follow the snapshot. The messages are
+        then collected in slices, each in a turn of the event loop of its own. What changes about a message
+        after its slice is in the new segment.
         """
-        lives, self.compacting = self.writer.state, True
-        ids, found = list(lives.by_id), list[Record]()
-
-        def slices(number: int, at: int) -> None:
-            for ident in ids[at : at + SLICE]:
-                life = lives.by_id.get(ident)
-                if life is not None and compact.is_live(life, now, self.remember):
-                    found.extend(compact.message_records(life))
-                elif life is not None:
-                    lives.forget(ident)
-            if at + SLICE < len(ids):
-                self.io.run(_nothing, lambda _: slices(number, at + SLICE), self._failed)
+        state, self.compacting = self.writer.state, True
+        ids, records = list(state.by_id), list[Record]()
+
+        def collect(number: int, start: int) -> None:
+            for ident in ids[start : start + SLICE_MESSAGES]:
+                message = state.by_id.get(ident)
+                if message is not None and compact.is_live(message, now, self.retention_ms):
+                    records.extend(compact.message_records(message))
+                elif message is not None:
+                    state.forget(ident)
+            if start + SLICE_MESSAGES < len(ids):
+                self.io.run(_nothing, lambda _: collect(number, start + SLICE_MESSAGES), self._fail)
                 return
-            found.extend(compact.endpoint_records(lives))
-            self.io.run(lambda: self.writer.snapshot(found, number), done, self._failed)
+            records.extend(compact.endpoint_records(state))
+            self.io.run(lambda: self.writer.snapshot(records, number), done, self._fail)
 
-        def begun(number: object) -> None:
+        def segment_closed(number: object) -> None:
             assert isinstance(number, int)
-            slices(number, 0)
+            collect(number, 0)
 
         def done(_: object) -> None:
             self.compacting = False
 
-        def not_now(error: BaseException) -> None:
+        def cannot_begin(error: BaseException) -> None:
             self.compacting = False
             if not isinstance(error, JournalStalled):
-                self._failed(error)
+                self._fail(error)
 
-        self.io.run(self.writer.close_segment, begun, not_now)
+        self.io.run(self.writer.close_segment, segment_closed, cannot_begin)
 
 
 def _nothing() -> None:
-    """Only a turn."""
+    """Do nothing: gives the event loop a turn."""
--- a/brassweir/service/journaling.py
+++ b/brassweir/service/journaling.py
@@ -1,4 +1,4 @@
-"""The journal in a process: opened, recovered from, and written on a thread of its own."""
+"""The journal of a process: opens it, plans the recovery, and runs its I/O."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from brassweir.journal.writer import Writer
 
 Note = Callable[[str, dict[str, object]], None]
-PAUSE = 0.05  # seconds until a disk that took no write is tried again
+RETRY_PAUSE_SECONDS = 0.05  # before a failed write is retried
 
 
 class ThreadIo:
-    """Runs the journal's I/O on one thread."""
+    """Runs the journal's I/O on a thread of its own (see :class:`brassweir.journal.store.IoRunner`)."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -35,38 +35,38 @@
     def run(
         self, work: Callable[[], Any], done: Callable[[Any], None], failed: Callable[[BaseException], None]
     ) -> None:
-        """Run ``work`` there; its end is told on the loop."""
+        """Run ``work`` on the thread, then ``done`` or ``failed`` on the event loop."""
 
         def on_thread() -> None:
             try:
                 result = work()
             except Exception as error:
-                self._tell(failed, error)
+                self._call_on_loop(failed, error)
             else:
-                self._tell(done, result)
+                self._call_on_loop(done, result)
 
         self.pool.submit(on_thread)
 
-    def later(self, what: Callable[[], None]) -> None:
-        """Run ``what`` after a pause."""
-        self.loop.call_later(PAUSE, what)
+    def later(self, callback: Callable[[], None]) -> None:
+        """Run ``callback`` on the event loop after a pause."""
+        self.loop.call_later(RETRY_PAUSE_SECONDS, callback)
 
-    def _tell(self, what: Callable[[Any], None], value: Any) -> None:
+    def _call_on_loop(self, callback: Callable[[Any], None], value: Any) -> None:
         try:
-            self.loop.call_soon_threadsafe(what, value)
+            self.loop.call_soon_threadsafe(callback, value)
         except RuntimeError:
-            pass  # the loop has closed: the process is over
+            pass  # the event loop is closed: the process is ending
 
     def close(self) -> None:
-        """Let the thread end once all is written."""
+        """Wait until all submitted work is done, then end the thread."""
         self.pool.shutdown(wait=True)
 
 
 class LoopIo:
-    """Runs the journal's I/O in a turn of the loop of its own.
+    """Runs the journal's I/O on the event loop itself, each piece in a turn of its own.
 
-    For folders that are not synced: a write is then a copy into the system's memory, and costs less than the
-    way to a thread and back. What comes in one turn is written at once.
+    For directories that are not synced: there a write only copies into the page cache, which costs less than
+    a switch to a thread and back. All records added in one turn are written together.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -77,11 +77,11 @@
     def run(
         self, work: Callable[[], Any], done: Callable[[Any], None], failed: Callable[[BaseException], None]
     ) -> None:
-        """Run ``work`` in the next turn; after the end, never: nothing that waits for it goes on."""
+        """Run ``work`` in a later turn, then ``done`` or ``failed``; after :meth:`close`, none of them."""
         if self.closed:
             return
 
-        def turn() -> None:
+        def step() -> None:
             try:
                 result = work()
             except Exception as error:
@@ -89,96 +89,112 @@
             else:
                 done(result)
 
-        self.waiting.append(turn)
-        self.loop.call_soon(self._next)
+        self.waiting.append(step)
+        self.loop.call_soon(self._run_next)
 
-    def later(self, what: Callable[[], None]) -> None:
-        """Run ``what`` after a pause."""
-        self.loop.call_later(PAUSE, what)
+    def later(self, callback: Callable[[], None]) -> None:
+        """Run ``callback`` on the event loop after a pause."""
+        self.loop.call_later(RETRY_PAUSE_SECONDS, callback)
 
-    def _next(self) -> None:
+    def _run_next(self) -> None:
         if self.waiting:
             self.waiting.popleft()()
 
     def close(self) -> None:
-        """Write what still waits, and nothing more."""
+        """Run all waiting work, and accept no more."""
         while self.waiting:
-            self._next()
+            self._run_next()
         self.closed = True
 
 
 class JournalUnusable(ValueError):
-    """The journal's folder cannot be used, with what an operator can do."""
+    """The journal's directory cannot be used; the text names the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class JournalSettings:
-    """Where a sender keeps its journal and what it has to know for that; times in ms."""
+    """The settings of a sender's journal; times in ms.
 
-    folder: Path
+    ``retention_ms`` is how long answers are kept, ``order_pause`` as in plan_recovery. ``synced`` is as in
+    DirectoryStorage.
+    """
+
+    directory: Path
     sender: str
     classes: Mapping[str, MessageClass]
-    remember: float
+    retention_ms: float
     order_pause: float
     sizes: SizeLimits = field(default_factory=SizeLimits)
-    synced: bool = True  # see storage.Files
+    synced: bool = True
 
 
 class ProcessJournal:
-    """One process's journal."""
+    """The journal of one process: its storage, writer and store, and what it held at the start (``scan``).
+
+    ``name_of`` returns the name of a destination's number; ``broken`` is called if the journal can no longer
+    be written or trusted; ``note`` takes log events.
+    """
 
     def __init__(
         self,
-        keeping: JournalSettings,
+        settings: JournalSettings,
         name_of: Callable[[int], str],
         broken: Callable[[BaseException], None],
         note: Note,
     ) -> None:
-        """Open and read it. Raises Unusable."""
-        self.keeping, self.classes = keeping, keeping.classes
-        folder = keeping.folder
+        """Open the journal, read it, and record the start. Raises JournalUnusable."""
+        self.settings, self.classes = settings, settings.classes
+        directory = settings.directory
         try:
-            self.storage = DirectoryStorage(folder, synced=keeping.synced)
+            self.storage = DirectoryStorage(directory, synced=settings.synced)
             self.scan: Scan = scan(self.storage)
-            self.writer = Writer(self.storage, self.scan, keeping.sizes, retry_writes=not keeping.synced)
+            self.writer = Writer(self.storage, self.scan, settings.sizes, retry_writes=not settings.synced)
             for name in self.scan.stale:
                 self.writer.remove_file(name)
             self.writer.open()
         except StorageLocked as error:
             raise JournalUnusable(f"journal: {error}") from None
         except (FormatError, OSError, JournalBroken) as error:
-            raise JournalUnusable(f"journal: {folder}: {error}") from None
-        if self.scan.state.sender not in ("", keeping.sender):
+            raise JournalUnusable(f"journal: {directory}: {error}") from None
+        if self.scan.state.sender not in ("", settings.sender):
             note("journal_of_another", {"sender": self.scan.state.sender})
         for problem in self.scan.problems:
             note("journal_damage", {"where": problem})
-        self.clock = real_time.open_clock(folder, self.scan.state.last_at)
+        self.clock = real_time.open_clock(directory, self.scan.state.last_at)
         loop = asyncio.get_running_loop()
-        self.io: ThreadIo | LoopIo = ThreadIo(loop) if keeping.synced else LoopIo(loop)
+        self.io: ThreadIo | LoopIo = ThreadIo(loop) if settings.synced else LoopIo(loop)
         self.store = JournalStore(
-            self.writer, self.io, keeping.classes, self.clock.now, name_of, broken, keeping.remember, note
+            self.writer,
+            self.io,
+            settings.classes,
+            self.clock.now,
+            name_of,
+            broken,
+            settings.retention_ms,
+            note,
         )
-        self.store.record_start(keeping.sender)
+        self.store.record_start(settings.sender)
 
     def plan(self, known: Callable[[str], int | None]) -> Plan:
-        """What to do with what was found; ``known`` tells which destinations there still are."""
-        lives = self.scan.state
-        gone = {
-            life.taken.destination
-            for life in lives.by_id.values()
-            if life.taken is not None and known(life.taken.destination) is None
+        """Plan the recovery. ``known`` returns the number of a destination by its name, None if it no longer
+        exists."""
+        state = self.scan.state
+        unknown = {
+            message.taken.destination
+            for message in state.by_id.values()
+            if message.taken is not None and known(message.taken.destination) is None
         }
         return plan_recovery(
-            lives,
+            state,
             self.scan.holes,
             self.classes,
             self.clock.now(),
-            self.keeping.remember,
-            self.keeping.order_pause,
-            sorted(gone),
+            self.settings.retention_ms,
+            self.settings.order_pause,
+            sorted(unknown),
         )
 
     def close(self) -> None:
-        """Write what is left and let go of the directory."""
+        """Write what is waiting, then close the files and release the lock."""
         self.io.close()
         self.storage.close()
