--- a/brassweir/config/__init__.py
+++ b/brassweir/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings in YAML, checked, with every error at once and each with its line and field."""
+"""Reads and checks settings in YAML; reports all errors at once, each with its line and field."""
--- a/brassweir/config/lines.py
+++ b/brassweir/config/lines.py
@@ -1,7 +1,7 @@
-"""The endpoint list as JSON lines: one endpoint a line, for lists that are too long for YAML.
+"""Reads the endpoint list as JSON lines, one endpoint per line, for lists that are too long for YAML.
 
-Ten thousand entries are read in some tens of milliseconds; a YAML list of that length takes many seconds. The
-checks are those of the YAML form, and errors name the line.
+Ten thousand entries are read in tens of milliseconds; as YAML they take many seconds. The checks are those of
+the YAML form, and errors name the line.
 """
 
 from __future__ import annotations
@@ -18,39 +18,39 @@
 
 _URL = r"^(?:https?://[^\s/?#@]+(?:[/?][^\s#]*)?|forward://[^\s/?#@]+)\Z"
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,120}\Z")]
-_Home = Annotated[str, msgspec.Meta(pattern=r"^[!-~](?:[ -~]{0,126}[!-~])?\Z")]
-_PLAIN = re.compile(r"[a-z]+://[A-Za-z0-9._-]+(?::(\d{1,5}))?(?:[/?]|\Z)")
-MAX_PROBLEMS = 20  # told at once
+_DestinationName = Annotated[str, msgspec.Meta(pattern=r"^[!-~](?:[ -~]{0,126}[!-~])?\Z")]
+_PLAIN_URL = re.compile(r"[a-z]+://[A-Za-z0-9._-]+(?::(\d{1,5}))?(?:[/?]|\Z)")
+MAX_PROBLEMS = 20  # reported at once
 
 
 class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One endpoint."""
+    """One endpoint. The fields are those of EndpointModel."""
 
     name: _Name
     url: Annotated[str, msgspec.Meta(pattern=_URL, max_length=2000)]
-    partner: _Home | None = None
-    destination: _Home | None = None
+    partner: _DestinationName | None = None
+    destination: _DestinationName | None = None
     kind: str = ""
     zone: str = ""
     state: Literal["ready", "draining", "gone"] = "ready"
     rate: Annotated[float, msgspec.Meta(ge=0, le=1e9)] = 0.0
 
     def problem(self) -> str:
-        """What the types cannot say."""
+        """Check what the types cannot express; returns the problem, or an empty text."""
         if (self.partner is None) == (self.destination is None):
             return "an endpoint has either a partner or a destination"
-        plain = _PLAIN.match(self.url)
+        plain = _PLAIN_URL.match(self.url)
         if plain is not None and int(plain[1] or 0) <= 65535:
             return ""
-        try:  # what is not seen to be good at a glance: the library's own verdict, at ten times the cost
-            urlsplit(self.url).port  # noqa: B018 - it is checked when asked for
+        try:  # any other URL is left to the library, at ten times the cost
+            urlsplit(self.url).port  # noqa: B018 - the property raises ValueError
         except ValueError as error:
             return f"url: {error}"
         return ""
 
 
 def read(path: Path) -> list[Entry]:
-    """Read a whole list. Raises ConfigError with the first problems, each with its line."""
+    """Read a list. Raises ConfigError with at most MAX_PROBLEMS problems, each with its line."""
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
             raise ConfigError([f"{path}: larger than {MAX_FILE_BYTES} bytes"])
@@ -61,7 +61,7 @@
 
 
 def parse(data: bytes, name: str) -> list[Entry]:
-    """Check a text; ``name`` is what errors call it. Raises ConfigError."""
+    """Parse a list; errors call it ``name``. Raises ConfigError."""
     decoder = msgspec.json.Decoder(Entry)
     entries: list[Entry] = []
     problems: list[str] = []
@@ -70,11 +70,11 @@
         try:
             entry = decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            problems.append(f"{name}:{number}: {_words(str(error))}")
+            problems.append(f"{name}:{number}: {_error_text(str(error))}")
         else:
             problem = entry.problem()
             if entry.name in seen:
-                problem = f"endpoint {entry.name} stands on line {seen[entry.name]} too"
+                problem = f"endpoint {entry.name} is also on line {seen[entry.name]}"
             if problem:
                 problems.append(f"{name}:{number}: {problem}")
             seen[entry.name] = number
@@ -92,7 +92,7 @@
             yield number, line
 
 
-def _words(text: str) -> str:
-    """msgspec's words, with the field in front as the YAML form has it."""
-    found = re.fullmatch(r"(.*?) - at `\$\.(\w+)`", text)
-    return f"{found[2]}: {found[1]}" if found is not None else text
+def _error_text(text: str) -> str:
+    """Put the field before msgspec's error text, as in errors of the YAML form."""
+    match = re.fullmatch(r"(.*?) - at `\$\.(\w+)`", text)
+    return f"{match[2]}: {match[1]}" if match is not None else text
--- a/brassweir/config/model/__init__.py
+++ b/brassweir/config/model/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a sender. Times in milliseconds, sizes in bytes. Unknown fields are errors."""
+"""The pydantic models of the settings. Times in milliseconds, sizes in bytes. Unknown fields are errors."""
 
 from brassweir.config.model.as2 import ClientModel, IdentityModel, PartnerModel, RuleModel
 from brassweir.config.model.base import Address, As2Name, CipherName, Digest, Ms, MsOrZero, Strict, Url
--- a/brassweir/config/model/as2.py
+++ b/brassweir/config/model/as2.py
@@ -1,4 +1,4 @@
-"""AS2: our own identity, clients and partners."""
+"""Settings of AS2: the sender's own identity, its clients and its partners."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class IdentityModel(Strict):
-    """Our own AS2 name and keys (PEM files, relative to the settings file)."""
+    """The sender's own AS2 name and keys (PEM files, relative to the settings file)."""
 
     as2_id: As2Name
     key: Path
     certificate: Path
-    receipt_url: Url | None = Field(None, description="where partners bring asynchronous receipts")
+    receipt_url: Url | None = Field(None, description="URL at which partners deliver asynchronous receipts")
 
 
 class RuleModel(Strict):
-    """Messages whose Subject this pattern finds are of this class."""
+    """Messages in whose Subject this pattern is found belong to this class."""
 
     subject: str
     class_name: str = Field(alias="class")
@@ -32,26 +32,30 @@
         try:
             re.compile(value)
         except re.error as error:
-            raise ValueError(f"no regular expression: {error}") from None
+            raise ValueError(f"invalid regular expression: {error}") from None
         return value
 
 
 class ClientModel(Strict):
-    """One that hands messages in."""
+    """A client that submits messages."""
 
     as2_id: As2Name
     certificates: tuple[Path, ...] = Field(min_length=1)
-    may_send_to: tuple[As2Name, ...] = Field(min_length=1, description="webhooks also by pattern: hook-*")
+    may_send_to: tuple[As2Name, ...] = Field(
+        min_length=1, description="partners, and webhook destinations, these also as patterns such as hook-*"
+    )
     rules: tuple[RuleModel, ...] = Field(min_length=1)
     receipt_url: Url | None = None
     signed: bool = True
     encrypted: bool = True
-    legacy: bool = Field(False, description="SHA-1 and 3DES are taken from it")
-    dated: bool = Field(False, description="its Date is the message's own, and the same over repeats")
+    legacy: bool = Field(False, description="SHA-1 and 3DES are accepted from it")
+    dated: bool = Field(
+        False, description="its Date header is the message's, and the same in repeated submissions"
+    )
 
 
 class PartnerModel(Strict):
-    """One that messages are delivered to."""
+    """A partner to which messages are delivered."""
 
     as2_id: As2Name
     certificates: tuple[Path, ...] = Field(min_length=1)
@@ -70,5 +74,5 @@
         if not self.legacy and (self.sign == "sha1" or self.encrypt == "3des"):
             raise ValueError("sha1 and 3des need legacy: true")
         if self.compress == "before" and self.sign == "none":
-            raise ValueError("compress: before needs a signature to come before; use after")
+            raise ValueError("compress: before means before signing, and sign is none; use after")
         return self
--- a/brassweir/config/model/base.py
+++ b/brassweir/config/model/base.py
@@ -1,4 +1,4 @@
-"""Words that all parts of the settings are made of: times, addresses, names, and no unknown fields."""
+"""Types that all parts of the settings share: times, addresses, names, and the base model."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 def _address(value: str) -> str:
     host, colon, port = value.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
-        raise ValueError("an address is HOST:PORT")
+        raise ValueError("an address has the form HOST:PORT")
     return value
 
 
 def _url(value: str) -> str:
     if not re.fullmatch(r"https?://[^\s/?#@]+(?:[/?][^\s#]*)?|forward://[^\s/?#@]+", value):
         raise ValueError(
-            "a URL is http://HOST[:PORT]/PATH without user or fragment, or forward://HOST[:PORT]"
+            "a URL has the form http://HOST[:PORT]/PATH without user or fragment, or forward://HOST[:PORT]"
         )
     return value
 
 
 def _name(value: str) -> str:
     if not re.fullmatch(r"[ -~]{1,128}", value) or value != value.strip():
-        raise ValueError("an AS2 name has 1 to 128 printable ASCII characters and no space at its ends")
+        raise ValueError("an AS2 name has 1 to 128 printable ASCII characters and no space at either end")
     return value
 
 
@@ -42,6 +42,6 @@
 
 
 class Strict(BaseModel):
-    """No unknown fields."""
+    """Base of all models: immutable, and unknown fields are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
--- a/brassweir/config/model/forward.py
+++ b/brassweir/config/model/forward.py
@@ -1,4 +1,4 @@
-"""The forward front and its sources."""
+"""Settings of the forward front and of the sources that it accepts."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
 
 
 class TagRuleModel(Strict):
-    """Chunks whose tag this pattern matches go so; the first that fits decides."""
+    """Where chunks whose tag matches this pattern go; the first rule that matches applies."""
 
-    tag: str = Field(description="as in Fluentd's match: * one part, ** any, {a,b} either")
+    tag: str = Field(description="pattern as in Fluentd's match: * is one part, ** any number, {a,b} either")
     class_name: str = Field(alias="class")
-    destination: str = Field(min_length=1, max_length=128, description="may hold {tag}, {0}, {1} ...")
+    destination: str = Field(min_length=1, max_length=128, description="a template with {tag}, {0}, {1} ...")
     body: Literal["json-lines", "msgpack"] = "json-lines"
-    key: str = Field("", max_length=128, description="orders chunks of one source; a template as well")
+    key: str = Field(
+        "",
+        max_length=128,
+        description="chunks of one source with the same key stay in order; a template as well",
+    )
 
     @model_validator(mode="after")
     def _sound(self) -> Self:
@@ -36,7 +40,7 @@
 
 
 class ForwardSourceModel(Strict):
-    """One that hands in chunks over forward; ``name`` is the hostname in its PING."""
+    """A source that submits chunks by the forward protocol; ``name`` is the hostname in its PING."""
 
     name: str = Field(min_length=1, max_length=200)
     shared_keys: tuple[Path, ...] = Field(min_length=1, max_length=4, description="newest first")
@@ -49,7 +53,9 @@
     """The forward front."""
 
     listen: Address
-    hostname: str = Field("", max_length=200, description="in our PONG; the sender's name if not given")
+    hostname: str = Field(
+        "", max_length=200, description="the hostname in the PONG; the sender's name if not given"
+    )
     heartbeat_udp: bool = False
     sources: tuple[ForwardSourceModel, ...] = Field(min_length=1)
     chunk_bytes: int = Field(16_000_000, ge=1024, le=1_000_000_000)
@@ -67,10 +73,12 @@
     @model_validator(mode="after")
     def _sound(self) -> Self:
         names = [source.name for source in self.sources]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        if twice:
-            raise ValueError(f"sources: {', '.join(twice)} stands more than once")
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        if duplicates:
+            raise ValueError(f"sources: {', '.join(duplicates)} is listed more than once")
         users = [bool(source.users) for source in self.sources]
         if any(users) and not all(users):
-            raise ValueError("users: HELO asks every source for one or none, so all have some or none has")
+            raise ValueError(
+                "users: HELO asks either all sources for a user or none, so all have some or none has"
+            )
         return self
--- a/brassweir/config/model/listing.py
+++ b/brassweir/config/model/listing.py
@@ -1,4 +1,4 @@
-"""The endpoint list."""
+"""The endpoint list in YAML."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class EndpointList(Strict):
-    """The endpoint list: a file that is read again whenever it changes."""
+    """The endpoint list; its file is read again whenever it changes."""
 
     endpoints: tuple[EndpointModel, ...]
 
     @model_validator(mode="after")
-    def _once(self) -> Self:
+    def _unique(self) -> Self:
         seen: set[str] = set()
-        for one in self.endpoints:
-            if one.name in seen:
-                raise ValueError(f"endpoint {one.name} stands more than once")
-            seen.add(one.name)
+        for endpoint in self.endpoints:
+            if endpoint.name in seen:
+                raise ValueError(f"endpoint {endpoint.name} is listed more than once")
+            seen.add(endpoint.name)
         return self
--- a/brassweir/config/model/region.py
+++ b/brassweir/config/model/region.py
@@ -1,4 +1,4 @@
-"""Which region a sender is of, and from which of the two sources it learns what that region owns."""
+"""Settings of the region of a sender, and of the source of its epochs."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 
 
 class RegionModel(Strict):
-    """Which region this sender is of, and how it learns what that region owns."""
+    """The region of this sender, and where its epochs come from: they say what that region owns."""
 
     name: str = Field(pattern=r"^[a-z0-9][a-z0-9-]{0,40}$")
-    source: Literal["file", "agreed"] = Field("file", description="who publishes epochs: never both")
-    epochs: Path | None = Field(None, description="the file that head office publishes")
+    source: Literal["file", "agreed"] = Field(
+        "file", description="where epochs come from: a file, or the agreed log"
+    )
+    epochs: Path | None = Field(None, description="the file of epochs that head office publishes")
     clock_error_ms: Ms = 500.0
     longest_deadline_ms: Ms | None = Field(
-        None, description="of the whole fleet's messages: for a control machine, which has no classes"
+        None,
+        description="the longest deadline in the fleet; only for a control machine, which has no classes",
     )
-    asks_on_ms: MsOrZero = Field(3_600_000.0, description="for how long clients ask for an answer")
+    asks_on_ms: MsOrZero = Field(3_600_000.0, description="how long clients ask for an answer")
 
     @model_validator(mode="after")
     def _one_source(self) -> Self:
--- a/brassweir/config/model/sender.py
+++ b/brassweir/config/model/sender.py
@@ -1,4 +1,4 @@
-"""This process, what it may use, and what strangers can make it hold."""
+"""Settings of the process: its name and ports, what it may use, and its limits for remote peers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ProcessModel(Strict):
-    """What every process has, whether it delivers or not."""
+    """Settings of every process, whether it delivers or not."""
 
     name: str = Field(pattern=r"^[A-Za-z0-9._-]{1,60}$")
     metrics: Address | None = None
@@ -20,9 +20,9 @@
 
 
 class SenderModel(ProcessModel):
-    """A process that delivers, and what it may use."""
+    """Settings of a process that delivers."""
 
-    listen: Address | None = Field(None, description="where AS2 clients and partners come")
+    listen: Address | None = Field(None, description="the address for AS2 clients and partners")
     seed: int | None = None
     slots: int = Field(ge=1, le=100_000)
     max_open: int = Field(ge=1, le=10_000_000)
@@ -37,19 +37,19 @@
     tip_multiple: float = Field(1.5, gt=0, le=100)
     weights: Literal["none", "rate"] = "none"
     connections_per_endpoint: int = Field(32, ge=1, le=10_000)
-    connections: int = Field(4000, ge=1, le=1_000_000, description="open to all endpoints together")
-    setups: int = Field(64, ge=1, le=10_000, description="connections being made at once")
+    connections: int = Field(4000, ge=1, le=1_000_000, description="open at once, to all endpoints together")
+    setups: int = Field(64, ge=1, le=10_000, description="connection attempts in progress at once")
     crypto_threads: int = Field(4, ge=1, le=256)
     answer_margin_ms: MsOrZero = 100.0
     linger_ms: MsOrZero = 2000.0
-    journal: Path | None = Field(None, description="its directory; NAME.journal if not given")
-    journaled: bool = Field(True, description="false: nothing outlives the process")
+    journal: Path | None = Field(None, description="directory of the journal; NAME.journal if not given")
+    journaled: bool = Field(True, description="false: messages and answers are lost when the process ends")
     remember_ms: Ms = 3_600_000.0
     remember_most: int = Field(200_000, ge=1)
 
 
 class LimitsModel(Strict):
-    """Bounds on what strangers can make this process hold."""
+    """Limits on what remote peers can make this process hold in memory, and for how long."""
 
     head_bytes: int = Field(32_768, ge=1024, le=1_000_000)
     headers: int = Field(100, ge=10, le=10_000)
--- a/brassweir/config/settings.py
+++ b/brassweir/config/settings.py
@@ -1,4 +1,4 @@
-"""Reads a settings file by its kind: of a process that delivers, or of a control machine."""
+"""Reads a settings file: that of a process that delivers, or that of a control machine."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def load_settings(path: Path) -> Config | ControlConfig:
-    """Read and check a settings file. Raises ConfigError."""
+    """Read a settings file and validate it as the kind that it is. Raises ConfigError."""
     tree = parse_tree(read_text(path), str(path))
     if _is_control(tree):
         return validate(tree, ControlConfig, str(path))
@@ -20,5 +20,6 @@
 
 
 def _is_control(tree: CommentedMap) -> bool:
-    """A control machine takes part in the log and has nothing in its settings to deliver by."""
+    """Return whether these settings are those of a control machine: they have ``agreed`` and none of
+    DELIVERY_FIELDS."""
     return "agreed" in tree and not DELIVERY_FIELDS & set(tree)
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -57,18 +57,18 @@
         (("slots: 8", "slots: 0"), 4, "sender.slots: Input should be greater than or equal to 1"),
         (("slots: 8", "slots: .nan"), 4, "sender.slots"),
         (("max_open: 100", "max_open: 100\n  colour: red"), 6, "sender.colour: is no known field"),
-        (("127.0.0.1:4080", "'4080'"), 3, "an address is HOST:PORT"),
+        (("127.0.0.1:4080", "'4080'"), 3, "an address has the form HOST:PORT"),
         (
             (
                 "aim_ms: 1000, deadline_ms: 8000, effect: unsafe",
                 "aim_ms: 9000, deadline_ms: 8000, effect: unsafe",
             ),
             7,
-            "aim_ms is over deadline_ms",
+            "aim_ms is more than deadline_ms",
         ),
         (("window_ms: 5000", "window_ms: 0"), 8, "a keyed class needs window_ms"),
         (("effect: unsafe", "effect: maybe"), 7, "classes[0].effect"),
-        (('"^pay"', '"^pay("'), 18, "no regular expression"),
+        (('"^pay"', '"^pay("'), 18, "invalid regular expression"),
         (("class: payment}", "class: other}"), 1, "rules name no class: other"),
         (("may_send_to: [bank]", "may_send_to: [banc]"), 1, "may_send_to names no partner: banc"),
         (("[bank.crt.pem]", "[bank.crt.pem]\n    sign: sha1"), 20, "sha1 and 3des need legacy: true"),
@@ -128,7 +128,7 @@
     with pytest.raises(ConfigError):
         load(tmp_path, Config)
     (tmp_path / "latin.yaml").write_bytes(b"a: \xff")
-    with pytest.raises(ConfigError, match="no UTF-8 at byte 3"):
+    with pytest.raises(ConfigError, match="invalid UTF-8 at byte 3"):
         load(tmp_path / "latin.yaml", Config)
 
 
--- a/tests/config/test_control.py
+++ b/tests/config/test_control.py
@@ -40,7 +40,7 @@
     found = problems(
         write_copies_settings(tmp_path, SETTINGS.replace("name: east", "name: east, longest_deadline_ms: 9"))
     )
-    assert len(found) == 1 and "here the classes say it" in found[0]
+    assert len(found) == 1 and "here the classes give it" in found[0]
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
             "list: endpoints.yaml, ",
             "",
             5,
-            "confirm_destinations, confirm_removed: for the copy whose list is edited",
+            "confirm_destinations, confirm_removed: only for the copy whose list is edited",
         ),
     ],
 )
@@ -70,7 +70,7 @@
 def test_what_is_half_a_sender_is_told_what_to_leave_out(tmp_path: Path) -> None:
     text = SETTINGS[: SETTINGS.index("forward:")] + SETTINGS[SETTINGS.index("endpoints:") :]
     found = problems(write_copies_settings(tmp_path, text))
-    assert len(found) == 1 and "nobody could hand anything in; a control machine has none of" in found[0]
+    assert len(found) == 1 and "no message could be submitted; a control machine has none of" in found[0]
     assert "classes, endpoints, kinds" in found[0]
 
 
--- a/tests/config/test_copies.py
+++ b/tests/config/test_copies.py
@@ -57,7 +57,7 @@
         (
             "peers: {copies: copies.yaml, keys: [peers.key]}\n",
             "",
-            ":1: Value error, peers is needed: agreed rests on talk",
+            ":1: Value error, peers is needed: agreed uses the connections between copies",
         ),
         (
             "source: agreed",
@@ -73,18 +73,18 @@
         (
             "agreed: {voters: [s1, s2, s3], first_epoch: first.json}\n",
             "",
-            "agreed is needed: region.source says",
+            "agreed is needed: region.source is agreed",
         ),
         ("[s1, s2, s3]", "[s1, s2]", ":18: agreed: Value error, voters: an odd number is needed"),
-        ("[s1, s2, s3]", "[s1, s2, s2]", "voters: s2 stands more than once"),
+        ("[s1, s2, s3]", "[s1, s2, s2]", "voters: s2 is listed more than once"),
         ("[s1, s2, s3]", "[]", ":18: agreed.voters"),
-        ("[s1, s2, s3]", "[s1, s2, s9]", "copies.yaml:1: copies: s9, of agreed.voters, is not among them"),
+        ("[s1, s2, s3]", "[s1, s2, s9]", "copies.yaml:1: copies: s9, of agreed.voters, is not listed"),
         ("[peers.key]", "[]", ":17: peers.keys"),
         ("[peers.key]", "[none.key]", "peers.keys[0]: "),
         ("[peers.key]", "[peers.key, short.key]", "short.key: a key has 16 bytes or more"),
         ("copies.yaml", "none.yaml", "none.yaml: No such file"),
         ("first.json", "edge.key", "agreed.first_epoch: "),
-        ("name: east", "name: west", "region.name: west, and the copies' file says east"),
+        ("name: east", "name: west", "region.name: west, but the file of copies says east"),
         ("voters: [", "colour: red, voters: [", "agreed.colour: is no known field"),
     ],
 )
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize(
     ("old", "new", "line", "words"),
     [
-        ("name: s1", "name: s9", 1, "this sender, s1, is not among them"),
-        ("name: s2", "name: s3", 4, "name s3 stands on line 3 too"),
-        ("7202", "7201", 3, "address 127.0.0.1:7201 stands on line 2 too"),
-        ("7202", "0", 3, "copies[1].address: Value error, an address is HOST:PORT, with a port"),
+        ("name: s1", "name: s9", 1, "this sender, s1, is not listed"),
+        ("name: s2", "name: s3", 4, "name s3 is also on line 3"),
+        ("7202", "7201", 3, "address 127.0.0.1:7201 is also on line 2"),
+        ("7202", "0", 3, "copies[1].address: Value error, an address has the form HOST:PORT, with a port"),
         ("site: w1, ", "", 3, "copies[1].site: is missing"),
         ("site: w1", "site: W 1", 3, "copies[1].site"),
         ("region: west", "region: west, colour: red", 3, "copies[1].colour: is no known field"),
--- a/tests/config/test_forward.py
+++ b/tests/config/test_forward.py
@@ -65,7 +65,7 @@
         (
             "class: status",
             "class: payment",
-            "names the unsafe class payment: a source that hears nothing sends again",
+            "names the unsafe class payment: a source that receives no ack sends again",
         ),
         ("class: status", "class: nothing", "names no class: nothing"),
         (
@@ -73,13 +73,13 @@
             '"app..x"',
             ":14: forward.sources[0].rules[0]: Value error, tag pattern 'app..x': empty parts",
         ),
-        ('"hook-{1}"', '"hook-{who}"', "{who} stands for nothing"),
+        ('"hook-{1}"', '"hook-{who}"', "{who} is no placeholder"),
         ("shared_keys: [edge.key]", "shared_keys: []", ":12: forward.sources[0].shared_keys"),
         ("shared_keys: [edge.key]", "shared_keys: [none.key]", "none.key: No such file"),
         (
             "listen: 127.0.0.1:0",
             "listen: '24224'",
-            ":9: forward.listen: Value error, an address is HOST:PORT",
+            ":9: forward.listen: Value error, an address has the form HOST:PORT",
         ),
         (
             "  listen: 127.0.0.1:0\n",
@@ -117,7 +117,7 @@
     )
     twice = "    - {name: edge-1, shared_keys: [edge.key], rules: [{tag: x, class: status, destination: y}]}\nendpoints"
     assert any(
-        "edge-1 stands more than once" in one
+        "edge-1 is listed more than once" in one
         for one in problems(write_settings(tmp_path, VALID_SETTINGS.replace("endpoints", twice, 1)))
     )
 
@@ -143,7 +143,7 @@
         VALID_SETTINGS[: VALID_SETTINGS.index("forward:")]
         + VALID_SETTINGS[VALID_SETTINGS.index("endpoints:") :]
     )
-    with pytest.raises(ConfigError, match="nobody could hand anything in"):
+    with pytest.raises(ConfigError, match="no message could be submitted"):
         parse(text, Config, "s.yaml")
 
 
--- a/tests/config/test_lines.py
+++ b/tests/config/test_lines.py
@@ -51,7 +51,7 @@
     with pytest.raises(ConfigError) as caught:
         lines.parse(LINE + b"\n" + b"x\n" + LINE + b"[]\n", "l.jsonl")
     assert [one.split(":")[1] for one in caught.value.problems] == ["3", "4", "5"]
-    assert "line 1 too" in caught.value.problems[1]
+    assert "is also on line 1" in caught.value.problems[1]
     with pytest.raises(ConfigError) as caught:
         lines.parse(b"x\n" * 1000, "l.jsonl")
     assert len(caught.value.problems) == lines.MAX_PROBLEMS
--- a/tests/journal/test_crashes.py
+++ b/tests/journal/test_crashes.py
@@ -50,7 +50,7 @@
 
 
 def test_a_recovery_that_forgets_open_messages_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(recover, "_open", lambda *_: None)
+    monkeypatch.setattr(recover, "_plan_open", lambda *_: None)
     problems = sweep(1, 30, ["lost"], range(1, TOTAL + 1, 4)).problems
     assert any("was accepted and never had an answer" in one for one in problems)
 
