--- a/brassweir/config/model/as2.py
+++ b/brassweir/config/model/as2.py
@@ -28,7 +28,7 @@
 
     @field_validator("subject")
     @classmethod
-    def _pattern(cls, value: str) -> str:
+    def _check_pattern(cls, value: str) -> str:
         try:
             re.compile(value)
         except re.error as error:
@@ -70,7 +70,7 @@
     busy_statuses: tuple[Annotated[int, Field(ge=400, le=599)], ...] = (429,)
 
     @model_validator(mode="after")
-    def _sound(self) -> Self:
+    def _check_consistency(self) -> Self:
         if not self.legacy and (self.sign == "sha1" or self.encrypt == "3des"):
             raise ValueError("sha1 and 3des need legacy: true")
         if self.compress == "before" and self.sign == "none":
--- a/brassweir/config/model/forward.py
+++ b/brassweir/config/model/forward.py
@@ -25,7 +25,7 @@
     )
 
     @model_validator(mode="after")
-    def _sound(self) -> Self:
+    def _check_consistency(self) -> Self:
         compile_pattern(self.tag)
         check_template(self.destination)
         check_template(self.key)
@@ -71,7 +71,7 @@
     kept_bytes: int = Field(1_000_000_000, ge=0)
 
     @model_validator(mode="after")
-    def _sound(self) -> Self:
+    def _check_consistency(self) -> Self:
         names = [source.name for source in self.sources]
         duplicates = sorted({name for name in names if names.count(name) > 1})
         if duplicates:
--- a/brassweir/config/model/listing.py
+++ b/brassweir/config/model/listing.py
@@ -22,7 +22,7 @@
     rate: float = Field(0.0, ge=0, allow_inf_nan=False)
 
     @model_validator(mode="after")
-    def _one_home(self) -> Self:
+    def _check_target(self) -> Self:
         if (self.partner is None) == (self.destination is None):
             raise ValueError("an endpoint has either a partner or a destination")
         return self
@@ -34,7 +34,7 @@
     endpoints: tuple[EndpointModel, ...]
 
     @model_validator(mode="after")
-    def _unique(self) -> Self:
+    def _check_names(self) -> Self:
         seen: set[str] = set()
         for endpoint in self.endpoints:
             if endpoint.name in seen:
--- a/brassweir/config/model/messages.py
+++ b/brassweir/config/model/messages.py
@@ -23,7 +23,7 @@
     in_order: bool = False
 
     @model_validator(mode="after")
-    def _sound(self) -> Self:
+    def _check_consistency(self) -> Self:
         if self.aim_ms > self.deadline_ms:
             raise ValueError("aim_ms is more than deadline_ms")
         if self.effect == "keyed" and not self.window_ms:
@@ -51,7 +51,7 @@
     tag: str = Field("brassweir", pattern=r"^[!-~]{1,200}$", description="for documents that have none")
 
     @model_validator(mode="after")
-    def _sound(self) -> Self:
+    def _check_consistency(self) -> Self:
         if self.secrets and self.carrier != "webhook":
             raise ValueError("secrets are for webhooks")
         forward_only = {"shared_key", "hostname", "username", "password", "batch", "compress", "tag"}
--- a/brassweir/config/model/peers.py
+++ b/brassweir/config/model/peers.py
@@ -44,7 +44,9 @@
 
     copies: Path = Field(description="the file that lists all copies, including this one")
     keys: tuple[Path, ...] = Field(
-        min_length=1, max_length=4, description="newest first: the first encrypts, all of them decrypt"
+        min_length=1,
+        max_length=4,
+        description="newest first: messages are sealed with the first, and accepted with any",
     )
     listen: ReachableAddress | None = Field(None, description="the address of the own entry if not given")
 
@@ -61,7 +63,7 @@
     )
 
     @model_validator(mode="after")
-    def _sound(self) -> Self:
+    def _check_consistency(self) -> Self:
         given = sorted(self.model_fields_set & {"confirm_removed", "confirm_destinations"})
         if given and self.list is None:
             raise ValueError(f"{', '.join(given)}: only for the copy whose list is edited; list is not given")
@@ -82,7 +84,7 @@
     configuration: ConfigurationModel | None = Field(None, description="follow the endpoint list of the log")
 
     @model_validator(mode="after")
-    def _sound(self) -> Self:
+    def _check_consistency(self) -> Self:
         duplicates = sorted({name for name in self.voters if self.voters.count(name) > 1})
         if duplicates:
             raise ValueError(f"voters: {', '.join(duplicates)} is listed more than once")
--- a/brassweir/config/model/region.py
+++ b/brassweir/config/model/region.py
@@ -26,7 +26,7 @@
     asks_on_ms: MsOrZero = Field(3_600_000.0, description="how long clients ask for an answer")
 
     @model_validator(mode="after")
-    def _one_source(self) -> Self:
+    def _check_source(self) -> Self:
         if self.source == "file" and self.epochs is None:
             raise ValueError("epochs is needed: the file that head office publishes; or source: agreed")
         if self.source == "agreed" and self.epochs is not None:
