--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -45,7 +45,7 @@
     return caught.value.problems
 
 
-def test_a_good_file_is_taken() -> None:
+def test_a_valid_file_is_accepted() -> None:
     config = parse(VALID_SETTINGS, Config, "s.yaml")
     assert config.clients[0].rules[0].class_name == "payment" and config.sender.connect_timeout_ms == 1000.0
 
@@ -89,7 +89,7 @@
     assert any(one.startswith(f"s.yaml:{line}: ") and words in one for one in found), found
 
 
-def test_all_problems_come_at_once_in_the_order_of_lines() -> None:
+def test_all_problems_are_reported_at_once_in_the_order_of_lines() -> None:
     text = (
         VALID_SETTINGS.replace("slots: 8", "slots: 0")
         .replace("effect: unsafe", "effect: maybe")
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize(
     "text", ["", "- a", "a: &x [*x]", "\x00", "a: !!python/object:os.system x", "{" * 1000, "? ?"]
 )
-def test_what_is_no_settings_file_at_all(text: str) -> None:
+def test_texts_that_are_no_settings_file(text: str) -> None:
     assert problems(text)
 
 
@@ -132,7 +132,7 @@
         load(tmp_path / "latin.yaml", Config)
 
 
-def test_check_reads_every_file_that_a_start_would(tmp_path: Path) -> None:
+def test_check_reads_every_file_that_a_start_reads(tmp_path: Path) -> None:
     (tmp_path / "s.yaml").write_text(VALID_SETTINGS)
     with pytest.raises(ConfigError) as caught:
         check(tmp_path / "s.yaml")
--- a/tests/config/test_control.py
+++ b/tests/config/test_control.py
@@ -23,7 +23,7 @@
 )
 
 
-def test_a_control_machine_needs_nothing_to_deliver_by(tmp_path: Path) -> None:
+def test_a_control_machine_needs_no_delivery_settings(tmp_path: Path) -> None:
     config = check(write_copies_settings(tmp_path, CONTROL))
     assert isinstance(config, ControlConfig) and config.configuration is not None
     assert (config.configuration.list, config.configuration.confirm_removed) == (Path("endpoints.yaml"), 7)
@@ -67,14 +67,14 @@
     assert len(found) == 1 and f"s.yaml:{line}: " in found[0] and words in found[0], found
 
 
-def test_what_is_half_a_sender_is_told_what_to_leave_out(tmp_path: Path) -> None:
+def test_incomplete_sender_settings_list_what_to_remove(tmp_path: Path) -> None:
     text = SETTINGS[: SETTINGS.index("forward:")] + SETTINGS[SETTINGS.index("endpoints:") :]
     found = problems(write_copies_settings(tmp_path, text))
     assert len(found) == 1 and "no message could be submitted; a control machine has none of" in found[0]
     assert "classes, endpoints, kinds" in found[0]
 
 
-def test_the_list_that_is_edited_is_read_and_each_problem_has_its_line(tmp_path: Path) -> None:
+def test_the_edited_list_is_read_and_each_problem_has_its_line(tmp_path: Path) -> None:
     path = write_copies_settings(tmp_path, CONTROL)
     (tmp_path / "endpoints.yaml").write_text("endpoints:\n  - {name: a, url: 'ftp://x/', partner: p}\n")
     found = problems(path)
@@ -94,7 +94,7 @@
     assert len(found) == 1 and "endpoints: agreed needs agreed.configuration" in found[0], found
 
 
-def test_a_list_that_is_edited_must_fit_the_settings_of_the_sender_that_proposes_it(tmp_path: Path) -> None:
+def test_an_edited_list_must_fit_the_settings_of_the_sender_that_proposes_it(tmp_path: Path) -> None:
     path = write_copies_settings(
         tmp_path, LOG_LIST_SETTINGS.replace("configuration: {}", "configuration: {list: endpoints.yaml}")
     )
@@ -104,7 +104,7 @@
     assert "kind 'other' is not in the settings" in problems(path)[0]
 
 
-def test_a_file_of_the_same_name_is_still_a_file(tmp_path: Path) -> None:
+def test_a_list_file_named_agreed_is_still_a_file(tmp_path: Path) -> None:
     path = write_copies_settings(tmp_path, SETTINGS.replace("endpoints: endpoints.yaml", "endpoints: agreed"))
     (tmp_path / "endpoints.yaml").rename(tmp_path / "agreed")
     config = check(path)
--- a/tests/config/test_copies.py
+++ b/tests/config/test_copies.py
@@ -41,7 +41,7 @@
     return path
 
 
-def test_a_good_file_is_taken(tmp_path: Path) -> None:
+def test_a_valid_file_is_accepted(tmp_path: Path) -> None:
     config = check(write_copies_settings(tmp_path))
     assert (
         config.agreed is not None
@@ -114,7 +114,7 @@
     assert any(f"copies.yaml:{line}: " in one and words in one for one in found), found
 
 
-def test_all_problems_come_at_once(tmp_path: Path) -> None:
+def test_all_problems_are_reported_at_once(tmp_path: Path) -> None:
     bad = COPIES.replace("name: s1", "name: s3").replace("7202", "7203").replace("site: w2", "site: w 2")
     found = problems(write_copies_settings(tmp_path, SETTINGS.replace("peers.key", "short.key"), bad))
     assert [one.partition("copies.yaml:")[2].partition(":")[0] for one in found] == [
@@ -127,7 +127,7 @@
     ], found
 
 
-def test_a_file_that_names_only_others_is_refused_on_reading_again(tmp_path: Path) -> None:
+def test_a_reloaded_file_without_the_own_entry_is_refused(tmp_path: Path) -> None:
     path = write_copies_settings(tmp_path)
     config = load(path, Config)
     (tmp_path / "copies.yaml").write_text("copies:\n" + COPIES.splitlines(keepends=True)[2])
--- a/tests/config/test_forward.py
+++ b/tests/config/test_forward.py
@@ -138,7 +138,7 @@
     assert any(words in one for one in problems(write_settings(tmp_path, listed=listed)))
 
 
-def test_nobody_to_hand_anything_in(tmp_path: Path) -> None:
+def test_settings_without_any_front_are_refused(tmp_path: Path) -> None:
     text = (
         VALID_SETTINGS[: VALID_SETTINGS.index("forward:")]
         + VALID_SETTINGS[VALID_SETTINGS.index("endpoints:") :]
@@ -147,7 +147,7 @@
         parse(text, Config, "s.yaml")
 
 
-def test_key_files_are_read_again_and_keep_their_last_good_content(tmp_path: Path) -> None:
+def test_key_files_are_reloaded_and_keep_their_last_valid_content(tmp_path: Path) -> None:
     checked = check(write_settings(tmp_path))
     assert isinstance(checked, Config) and checked.forward is not None
     config = checked.forward
@@ -165,7 +165,7 @@
     assert notes == ["key_changed", "key_unreadable", "key_unreadable"]
 
 
-def test_a_port_in_use_is_named(tmp_path: Path) -> None:
+def test_a_port_in_use_is_reported(tmp_path: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
--- a/tests/config/test_lines.py
+++ b/tests/config/test_lines.py
@@ -47,7 +47,7 @@
     assert words in caught.value.problems[0]
 
 
-def test_every_bad_line_is_named_and_a_name_twice_too() -> None:
+def test_every_bad_line_and_duplicate_name_is_reported() -> None:
     with pytest.raises(ConfigError) as caught:
         lines.parse(LINE + b"\n" + b"x\n" + LINE + b"[]\n", "l.jsonl")
     assert [one.split(":")[1] for one in caught.value.problems] == ["3", "4", "5"]
@@ -57,7 +57,7 @@
     assert len(caught.value.problems) == lines.MAX_PROBLEMS
 
 
-def test_numbers_are_kept_and_never_given_twice(tmp_path: Path) -> None:
+def test_destination_numbers_stay_and_are_never_reused(tmp_path: Path) -> None:
     path, numbers = tmp_path / "l.jsonl", Numbers(config())
     path.write_bytes(LINE + LINE.replace(b"h1", b"h2").replace(b"hook 1", b"hook 2"))
     first = read_list(path, config(), numbers)
@@ -92,7 +92,7 @@
     assert not numbers.listed
 
 
-def test_descriptors_are_raised_or_refused_with_the_figure_to_set() -> None:
+def test_the_descriptor_limit_is_raised_or_refused_with_the_value_to_set() -> None:
     assert (plan(100, 200, 400), plan(300, 200, 400)) == (200, 300)
     with pytest.raises(ConfigError, match="ulimit -n 500"):
         plan(500, 200, 400)
--- a/tests/journal/made.py
+++ b/tests/journal/samples.py
@@ -1,4 +1,4 @@
-"""The script that is crashed and records that several tests use."""
+"""The script for crash tests, and records and a journal that several tests use."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 TOTAL = steps_of(Script.draw(SEED, COUNT, 2500.0), SEED)
 
 
-def taken(ident: int, cls: str = "pay", deadline: float = 6000.0, **more: object) -> Taken:
-    return Taken(ident, "o", f"m{ident}", cls, "1", "k", deadline, "a/b", "s", b"content", **more)  # type: ignore[arg-type]
+def taken_record(ident: int, cls: str = "pay", deadline: float = 6000.0, **fields: object) -> Taken:
+    """Return the record of an accepted message."""
+    return Taken(ident, "o", f"m{ident}", cls, "1", "k", deadline, "a/b", "s", b"content", **fields)  # type: ignore[arg-type]
 
 
-def written(count: int = 6) -> SimStorage:
+def written_journal(count: int = 6) -> SimStorage:
+    """Return a journal of delivered messages, each record committed in a group of its own."""
     disk = SimStorage()
     writer = Writer(disk, scan(disk))
     writer.open()
     for ident in range(1, count + 1):
         for record in (
-            taken(ident),
+            taken_record(ident),
             Intent(ident, 0, "e", 10.0 * ident),
             Ended(ident, 0, "e", "ok", 10.0 * ident + 5),
             Final(ident, "delivered", "", 0.0, 10.0 * ident + 6),
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: files, snapshots, what waits for the disk, and small folders."""
+"""The journal: files, snapshots, which facts wait for the commit, and bounded directories."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from brassweir.lab.simulated.crash import Run
 from brassweir.lab.simulated.crash_world import Script
 from brassweir.lab.simulated.disk import SimStorage
-from tests.journal.made import taken
+from tests.journal.samples import taken_record
 
 
 def test_one_process_at_a_time(tmp_path: Path) -> None:
@@ -35,41 +35,41 @@
     DirectoryStorage(tmp_path / "j").close()
 
 
-def test_real_files_do_as_the_simulated_ones(tmp_path: Path) -> None:
+def test_real_files_behave_as_the_simulated_ones(tmp_path: Path) -> None:
     files = DirectoryStorage(tmp_path / "j")
     writer = Writer(files, scan(files))
     writer.open()
     for ident in (1, 2, 3):
-        writer.add(taken(ident), None)
+        writer.add(taken_record(ident), None)
     writer.add(Final(1, "failed", "", 0.0, 5.0), None)
     group = writer.next_group()
     assert group is not None and writer.next_group() is None, "one group at a time"
     writer.group_committed(group, writer.commit(group))
     writer.snapshot(list(compact.live_records(writer.state, 5.0, 1e9)), writer.close_segment())
     files.close()
-    found = scan(DirectoryStorage(tmp_path / "j"))
+    result = scan(DirectoryStorage(tmp_path / "j"))
     assert (
-        sorted(found.state.by_id) == [1, 2, 3]
-        and not found.problems
-        and len(found.segments) == 2
-        and found.segments[0].endswith(".snap")
+        sorted(result.state.by_id) == [1, 2, 3]
+        and not result.problems
+        and len(result.segments) == 2
+        and result.segments[0].endswith(".snap")
     )
 
 
-def test_a_snapshot_keeps_what_matters_and_no_content_of_the_ended() -> None:
-    lives = JournalState()
+def test_a_snapshot_keeps_live_messages_and_no_content_of_ended_ones() -> None:
+    state = JournalState()
     for record in (
-        taken(1),
+        taken_record(1),
         Intent(1, 0, "e", 5.0),
         Final(1, "failed", "", 0.0, 50.0),
-        taken(2),
-        taken(3),
+        taken_record(2),
+        taken_record(3),
         Final(3, "delivered", "", 0.0, 10.0),
-        taken(4, reply=b"r"),
+        taken_record(4, reply=b"r"),
         Final(4, "failed", "", 0.0, 10.0),
     ):
-        lives.apply(record)
-    kept = list(compact.live_records(lives, 100.0, 60.0))
+        state.apply(record)
+    kept = list(compact.live_records(state, 100.0, 60.0))
     assert {one.id: len(one.content) for one in kept if isinstance(one, Taken)} == {1: 0, 2: 7, 4: 0}
     assert next(one for one in kept if isinstance(one, Taken) and one.id == 1).ran == 5.0
     assert compact.should_compact(10 * MIN_COMPACT_BYTES, MIN_COMPACT_BYTES) and not compact.should_compact(
@@ -79,12 +79,12 @@
 
 @pytest.mark.parametrize("fact", Fact)
 @pytest.mark.parametrize("effect", Effect)
-def test_the_table_of_what_waits(fact: Fact, effect: Effect) -> None:
-    free = fact is Fact.OUTCOME or (fact is Fact.INTENT and effect is Effect.SAFE)
-    assert durability.waits_for_commit(fact, effect) != free
+def test_which_facts_wait_for_the_commit(fact: Fact, effect: Effect) -> None:
+    immediate = fact is Fact.OUTCOME or (fact is Fact.INTENT and effect is Effect.SAFE)
+    assert durability.waits_for_commit(fact, effect) != immediate
 
 
-def test_memory_and_size_follow_what_is_open_and_not_history(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_size_follows_live_messages_and_not_history(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(compact, "MIN_COMPACT_BYTES", 20_000)
     sizes = []
     for count in (60, 180):
@@ -95,7 +95,7 @@
     assert sizes[1] < 1.6 * sizes[0] + 20_000
 
 
-def test_what_stands_behind_a_snapshot_is_no_hole_and_what_was_told_stays_told(tmp_path: Path) -> None:
+def test_records_after_a_snapshot_are_no_hole_and_delivered_receipts_stay_delivered(tmp_path: Path) -> None:
     files = DirectoryStorage(tmp_path / "j", synced=False)
     writer = Writer(files, scan(files))
     writer.open()
@@ -107,34 +107,35 @@
         assert group is not None
         writer.group_committed(group, writer.commit(group))
 
-    write(*(taken(ident, reply=b"n") for ident in range(1, 9)))
+    write(*(taken_record(ident, reply=b"n") for ident in range(1, 9)))
     write(Final(1, "failed", "", 0.0, 5.0), Told(1))
     writer.snapshot(list(compact.live_records(writer.state, 5.0, 1e9)), writer.close_segment())
     write(Final(2, "failed", "", 0.0, 6.0))
     files.close()
-    found = scan(DirectoryStorage(tmp_path / "j"))
-    assert not found.problems and not found.holes
-    assert found.state.by_id[1].receipt_delivered and not found.state.by_id[2].receipt_delivered
+    result = scan(DirectoryStorage(tmp_path / "j"))
+    assert not result.problems and not result.holes
+    assert result.state.by_id[1].receipt_delivered and not result.state.by_id[2].receipt_delivered
     log = next(path for path in (tmp_path / "j").glob("*.log"))
     data = log.read_bytes()
     first = next(part.end for part in frame.read_frames(data) if isinstance(part, FramedRecord))
-    log.write_bytes(data[: frame.HEADER_BYTES] + data[first:] + frame.encode_frame(99, taken(10)))
+    log.write_bytes(data[: frame.HEADER_BYTES] + data[first:] + frame.encode_frame(99, taken_record(10)))
     assert scan(DirectoryStorage(tmp_path / "j", write=False)).holes, (
-        "one that is missing there is still seen"
+        "a record missing after the snapshot is still detected"
     )
 
 
 @settings(max_examples=20, derandomize=True, deadline=None)
 @given(st.integers(0, 10**6))
-def test_a_small_folder_is_never_overfilled_and_open_messages_still_end(seed: int) -> None:
+def test_a_bounded_directory_is_never_exceeded_and_open_messages_still_end(seed: int) -> None:
     rng, bound, now = Random(seed), 256 * 1024, 0.0
     disk = SimStorage()
     sizes = limits_within(bound)
     writer = Writer(disk, scan(disk), sizes)
     writer.open()
-    open_, refused, last, most = set[int](), list[int](), 0, 0
+    open_ids, refused, last, max_used = set[int](), list[int](), 0, 0
 
-    def held() -> int:
+    def used_bytes() -> int:
+        """The size of the directory in blocks of 512 bytes."""
         return sum(-(-len(disk.read(name)) // 512) * 512 for name in disk.names())
 
     for _ in range(400):
@@ -142,15 +143,15 @@
         group_ids = []
         for _ in range(rng.randint(0, 6)):
             last += 1
-            fresh = Taken(
+            new = Taken(
                 last, "o", f"m{last}", "pay", "1", "k", 9e9, "a/b", "", bytes(rng.randint(0, 4000)), b"n"
             )
             group_ids.append(last)
             writer.add(
-                fresh, partial(open_.add, last), partial(lambda ident, why: refused.append(ident), last)
+                new, partial(open_ids.add, last), partial(lambda ident, reason: refused.append(ident), last)
             )
-        for ident in [one for one in open_ if rng.random() < 0.1]:
-            open_.discard(ident)
+        for ident in [ident for ident in open_ids if rng.random() < 0.1]:
+            open_ids.discard(ident)
             writer.add(Final(ident, "failed", "", 0.0, now), None)
             writer.add(Told(ident), None)
         group = writer.next_group()
@@ -158,19 +159,19 @@
             writer.group_committed(group, writer.commit(group))
         for ident in refused:
             writer.state.forget(ident)
-        most = max(most, held())
+        max_used = max(max_used, used_bytes())
         if writer.should_compact():
             number = writer.close_segment()
-            for life in list(writer.state.by_id.values()):
-                if not compact.is_live(life, now, 300.0):
-                    writer.state.forget(life.id)
+            for message in list(writer.state.by_id.values()):
+                if not compact.is_live(message, now, 300.0):
+                    writer.state.forget(message.id)
             writer.snapshot(list(compact.live_records(writer.state, now, 300.0)), number)
-            most = max(most, held())
-    assert most <= bound and last > len(refused) > 0
-    found = scan(disk)
-    assert not found.problems and open_ <= found.state.by_id.keys()
+            max_used = max(max_used, used_bytes())
+    assert max_used <= bound and last > len(refused) > 0
+    result = scan(disk)
+    assert not result.problems and open_ids <= result.state.by_id.keys()
 
 
-def test_a_folder_too_small_to_work_in_is_refused() -> None:
+def test_a_bound_that_is_too_small_is_refused() -> None:
     with pytest.raises(ValueError, match="262144"):
         limits_within(1000)
--- a/tests/journal/test_plan.py
+++ b/tests/journal/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a restart: what becomes of each message, key and destination."""
+"""The recovery plan: what becomes of each message, key and destination."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from brassweir.journal.recover import Hole
 from brassweir.journal.state import JournalState
 from brassweir.lab.simulated.crash_world import BY_NAME
-from tests.journal.made import taken
+from tests.journal.samples import taken_record
 
 
-def made(
+def planned(
     *all_records: records.Record,
     wall: float = 2000.0,
     holes: tuple[Hole, ...] = (),
-    remember: float = 1e9,
+    retention_ms: float = 1e9,
     unknown: tuple[str, ...] = (),
 ) -> recover.Plan:
-    lives = JournalState()
+    state = JournalState()
     for record in all_records:
-        lives.apply(record)
-    return recover.plan_recovery(lives, holes, BY_NAME, wall, remember, 100.0, unknown)
+        state.apply(record)
+    return recover.plan_recovery(state, holes, BY_NAME, wall, retention_ms, 100.0, unknown)
 
 
 @pytest.mark.parametrize(
-    ("cls", "seen", "wall", "answer", "left"),
+    ("cls", "records_after", "wall", "answer", "left"),
     [
         ("pay", [], 2000.0, "", 4000.0),
         ("pay", [Intent(1, 0, "e", 500.0)], 2000.0, "failed", 0.0),
@@ -46,7 +46,7 @@
             400.0,
             "",
             4000.0,
-        ),  # the clock stepped back: no window grows by it
+        ),  # the clock stepped back, which must not prolong the window
         ("safe", [Intent(1, 0, "e", 500.0)], 2000.0, "", 4000.0),
         ("safe", [Intent(1, 0, "e", 500.0)], 7000.0, "refused", 0.0),
         ("gone", [], 2000.0, "refused", 0.0),
@@ -54,9 +54,9 @@
     ],
 )
 def test_what_becomes_of_an_open_message(
-    cls: str, seen: list[records.Record], wall: float, answer: str, left: float
+    cls: str, records_after: list[records.Record], wall: float, answer: str, left: float
 ) -> None:
-    plan = made(taken(1, cls), *seen, wall=wall)
+    plan = planned(taken_record(1, cls), *records_after, wall=wall)
     if answer:
         assert [one.final.answer for one in plan.answered] == [answer] and plan.answered[0].unpersisted
         assert not plan.resumed
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "answers", "again"),
+    ("records_after", "answers", "again"),
     [
         ([], [], [1]),
         ([Intent(1, 0, "e", 500.0)], ["failed"], []),
@@ -73,22 +73,22 @@
         ([Intent(1, 0, "e", 500.0), Ended(1, 0, "e", "full", 600.0)], [], [1]),
     ],
 )
-def test_a_key_that_reaches_through_one_zone_is_not_taken_to_another(
-    seen: list[records.Record], answers: list[str], again: list[int]
+def test_a_message_whose_key_holds_in_one_zone_is_not_repeated(
+    records_after: list[records.Record], answers: list[str], again: list[int]
 ) -> None:
-    """Nothing tells after a restart in which zone it may have run: neither another attempt nor a refusal is harmless."""
-    lives = JournalState()
-    for record in (taken(1, "near"), *seen):
-        lives.apply(record)
+    """After a restart it is unknown in which zone the attempt may have run, so the message fails."""
+    state = JournalState()
+    for record in (taken_record(1, "near"), *records_after):
+        state.apply(record)
     near = api.MessageClass("near", 1000.0, 6000.0, api.Effect.KEYED, group="zone", window=5000.0)
-    plan = recover.plan_recovery(lives, (), {"near": near}, 700.0, 1e9, 100.0)
+    plan = recover.plan_recovery(state, (), {"near": near}, 700.0, 1e9, 100.0)
     assert [one.final.answer for one in plan.answered] == answers and [
         one.taken.id for one in plan.resumed
     ] == again
 
 
 @pytest.mark.parametrize(
-    ("effect", "subject", "seen", "answers"),
+    ("effect", "subject", "records_after", "answers"),
     [
         (api.Effect.KEYED, "", [], ["refused"]),
         (api.Effect.KEYED, "", [Intent(1, 0, "e", 500.0)], ["failed"]),
@@ -96,57 +96,60 @@
         (api.Effect.SAFE, "", [Intent(1, 0, "e", 500.0)], []),
     ],
 )
-def test_what_came_before_its_class_was_keyed_has_no_key_to_go_again_by(
-    effect: api.Effect, subject: str, seen: list[records.Record], answers: list[str]
+def test_messages_without_a_key_end_if_their_class_is_keyed_now(
+    effect: api.Effect, subject: str, records_after: list[records.Record], answers: list[str]
 ) -> None:
-    lives = JournalState()
-    for record in (msgspec.structs.replace(taken(1, "note", reply=b"n"), subject=subject), *seen):
-        lives.apply(record)
+    state = JournalState()
+    for record in (
+        msgspec.structs.replace(taken_record(1, "note", reply=b"n"), subject=subject),
+        *records_after,
+    ):
+        state.apply(record)
     known = {"note": api.MessageClass("note", 1000.0, 6000.0, effect, window=5000.0)}
-    plan = recover.plan_recovery(lives, (), known, 700.0, 1e9, 100.0)
+    plan = recover.plan_recovery(state, (), known, 700.0, 1e9, 100.0)
     recover.end_keyless_messages(plan, known, 700.0)
     assert [one.final.answer for one in plan.answered] == answers and len(plan.resumed) == 1 - len(answers)
     assert all(one.receipt_pending and one.unpersisted for one in plan.answered)
 
 
-def test_answers_are_remembered_for_their_time_and_receipts_until_told() -> None:
+def test_answers_are_kept_for_the_retention_and_receipts_until_delivered() -> None:
     final = Final(1, "delivered", "", 0.0, 1000.0)
-    assert made(taken(1), final, wall=1500.0, remember=1000.0).answered[0].ago == 500.0
-    assert not made(taken(1), final, wall=2500.0, remember=1000.0).answered
-    owed = made(taken(1, reply=b"x"), final, wall=9e9, remember=1000.0).answered
-    assert owed[0].receipt_pending and not owed[0].unpersisted
-    assert not made(taken(1, reply=b"x"), final, Told(1), wall=9e9, remember=1000.0).answered
+    assert planned(taken_record(1), final, wall=1500.0, retention_ms=1000.0).answered[0].ago == 500.0
+    assert not planned(taken_record(1), final, wall=2500.0, retention_ms=1000.0).answered
+    pending = planned(taken_record(1, reply=b"x"), final, wall=9e9, retention_ms=1000.0).answered
+    assert pending[0].receipt_pending and not pending[0].unpersisted
+    assert not planned(taken_record(1, reply=b"x"), final, Told(1), wall=9e9, retention_ms=1000.0).answered
 
 
-def test_of_a_message_handed_in_again_only_the_last_life_counts() -> None:
-    again = Taken(2, "o", "m1", "pay", "1", "k", 6000.0, "a/b", "s", b"content", b"reply")
-    plan = made(
-        taken(1, reply=b"reply"),
+def test_of_a_message_submitted_again_only_the_last_one_counts() -> None:
+    resubmitted = Taken(2, "o", "m1", "pay", "1", "k", 6000.0, "a/b", "s", b"content", b"reply")
+    plan = planned(
+        taken_record(1, reply=b"reply"),
         Final(1, "refused", "", 0.0, 100.0),
-        again,
+        resubmitted,
         Final(2, "delivered", "", 0.0, 200.0),
     )
     assert [(one.taken.id, one.final.answer) for one in plan.answered] == [(2, "delivered")]
-    plan = made(taken(1, reply=b"reply"), Final(1, "refused", "", 0.0, 100.0), again)
+    plan = planned(taken_record(1, reply=b"reply"), Final(1, "refused", "", 0.0, 100.0), resubmitted)
     assert not plan.answered and [one.taken.id for one in plan.resumed] == [2]
 
 
-def test_what_a_hole_hides_counts_as_may_have_run() -> None:
+def test_a_message_before_a_hole_counts_as_may_have_run() -> None:
     hole = Hole("x", last_id=1)
-    plan = made(taken(1), taken(2), holes=(hole,))
+    plan = planned(taken_record(1), taken_record(2), holes=(hole,))
     assert [one.final.answer for one in plan.answered] == ["failed"]
-    assert [one.taken.id for one in plan.resumed] == [2], "one taken after the hole is not in doubt"
-    assert made(taken(1, "safe"), holes=(hole,)).resumed
+    assert [one.taken.id for one in plan.resumed] == [2], "a message accepted after the hole is not uncertain"
+    assert planned(taken_record(1, "safe"), holes=(hole,)).resumed
 
 
-def test_keys_rest_if_one_was_out_and_destinations_may_be_gone() -> None:
-    assert made(taken(1, "key"), Intent(1, 0, "e", 500.0)).pause == 100.0
-    assert made(taken(1, "key")).pause == 0.0
-    assert made(taken(1), unknown=("1",)).answered[0].final.answer == "refused"
+def test_ordered_messages_pause_after_an_attempt_in_flight_and_unknown_destinations_end() -> None:
+    assert planned(taken_record(1, "key"), Intent(1, 0, "e", 500.0)).pause == 100.0
+    assert planned(taken_record(1, "key")).pause == 0.0
+    assert planned(taken_record(1), unknown=("1",)).answered[0].final.answer == "refused"
 
 
-def test_the_module_heeds_what_was_told_before_the_restart() -> None:
-    plan = made(
+def test_the_decision_module_uses_outcomes_from_before_the_restart() -> None:
+    plan = planned(
         *(Ended(i, 0, "e", "reset", 1000.0 + i) for i in range(1, 4)),
         Ended(9, 0, "w", "full", 1500.0, 2000.0),
         Began(1600.0, "s"),
@@ -158,16 +161,16 @@
         500.0,
         2000.0,
     )
-    sets = api.Settings(classes=tuple(BY_NAME.values()), slots=4, max_open=40, max_retry_after=2000.0)
-    sender = Sender(sets, 1, 0.0)
+    settings = api.Settings(classes=tuple(BY_NAME.values()), slots=4, max_open=40, max_retry_after=2000.0)
+    sender = Sender(settings, 1, 0.0)
     entries = (api.EndpointInfo("e", 1, ""), api.EndpointInfo("w", 2, ""), api.EndpointInfo("n", 3, ""))
     news = [api.NewMessage(i, "safe", i, 5000.0) for i in (1, 2, 3)]
     actions = sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, entries), *plan.past, *news])
     assert [one.endpoint for one in actions if isinstance(one, api.Send)] == ["n"], (
-        "one shut, one told to wait"
+        "one circuit is open, one endpoint has a requested wait"
     )
     sent: list[float] = []
     for now in range(100, 5000, 100):
         actions = sender.handle(float(now), [api.TimerDue()])
         sent += [float(now) for one in actions if isinstance(one, api.Send) and one.endpoint == "w"]
-    assert sent and 1500.0 < sent[0] < 5000.0, "its wait ran on while we were down, and is over now"
+    assert sent and 1500.0 < sent[0] < 5000.0, "the wait went on during the restart, and is over"
--- a/tests/journal/test_ready.py
+++ b/tests/journal/test_ready.py
@@ -1,4 +1,4 @@
-"""What a start costs with a full journal: counted as work done, not as time."""
+"""The cost of a start with a full journal, in reads and calls instead of time."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 
 def records(ident: int, ended: bool) -> list[Record]:
-    """One message, open or ended."""
-    taken = Taken(
+    """Return the records of one message, open or ended."""
+    accepted = Taken(
         ident,
         "o",
         f"m{ident}",
@@ -42,20 +42,20 @@
         b"x" * 40,
         b"n",
     )
-    rest: list[Record] = [
+    following: list[Record] = [
         Intent(ident, 0, "d1-0", NOW),
         Ended(ident, 0, "d1-0", "ok", NOW + 5.0),
         Final(ident, "delivered", "", 0.0, NOW + 6.0),
         Told(ident),
     ]
-    return [taken, *(rest if ended else [])]
+    return [accepted, *(following if ended else [])]
 
 
-def put(writer: Writer, *some: Record) -> bool:
-    """Write a group; false if it was refused for want of room."""
+def commit(writer: Writer, *added: Record) -> bool:
+    """Commit a group; return False if it was refused because the disk is full."""
     refused: list[str] = []
-    for one in some:
-        writer.add(one, None, refused.append)
+    for record in added:
+        writer.add(record, None, refused.append)
     group = writer.next_group()
     assert group is not None
     writer.group_committed(group, writer.commit(group))
@@ -63,8 +63,8 @@
 
 
 def started(disk: SimStorage) -> tuple[Engine, SimClock]:
-    """From the folder to the end of the module's first turn."""
-    found, clock = scan(disk), SimClock(NOW + 700.0)
+    """Start a sender on this journal, up to the end of the decision module's first turn."""
+    result, clock = scan(disk), SimClock(NOW + 700.0)
     carrier = SlowCarrier(clock)
     engine = Engine(
         api.Settings(classes=CLASSES, slots=8, max_open=60), 1, clock, lambda _: carrier, store=Store(clock)
@@ -76,55 +76,55 @@
         )
     )
     plan = recover.plan_recovery(
-        found.state, found.holes, {cls.name: cls for cls in CLASSES}, clock.now(), 3000.0, 0.0
+        result.state, result.holes, {cls.name: cls for cls in CLASSES}, clock.now(), 3000.0, 0.0
     )
     apply_plan(plan, engine, Store(clock), int, lambda *_: lambda _: None)  # type: ignore[arg-type]
     clock.run(clock.now())
     return engine, clock
 
 
-@pytest.mark.parametrize("rewritten", [False, True])
-def test_a_full_folder_is_read_once_and_a_snapshot_twice(
-    monkeypatch: pytest.MonkeyPatch, rewritten: bool
+@pytest.mark.parametrize("compacted", [False, True])
+def test_each_segment_is_read_once_and_a_snapshot_twice(
+    monkeypatch: pytest.MonkeyPatch, compacted: bool
 ) -> None:
     disk, ident = SimStorage(), 0
     writer = Writer(disk, scan(disk), limits_within(256 * 1024))
     writer.open()
-    while put(writer, *records(ident := ident + 1, ident % 4 > 0)):
-        if rewritten and ident == 300:
+    while commit(writer, *records(ident := ident + 1, ident % 4 > 0)):
+        if compacted and ident == 300:
             writer.snapshot(list(compact.live_records(writer.state, NOW, 1e9)), writer.close_segment())
     read, decoded = Counter[str](), Counter[int]()
-    real_read, real_one = SimStorage.read, frame._read_frame
+    real_read, real_read_frame = SimStorage.read, frame._read_frame
 
-    def reads(self: SimStorage, name: str) -> bytes:
+    def counted_read(self: SimStorage, name: str) -> bytes:
         read[name] += 1
         return real_read(self, name)
 
-    def one(data: bytes, at: int) -> object:
+    def read_frame(data: bytes, at: int) -> object:
         decoded[1] += 1
-        return real_one(data, at)
+        return real_read_frame(data, at)
 
-    monkeypatch.setattr(SimStorage, "read", reads)
-    monkeypatch.setattr(frame, "_read_frame", one)
-    found = scan(disk)
+    monkeypatch.setattr(SimStorage, "read", counted_read)
+    monkeypatch.setattr(frame, "_read_frame", read_frame)
+    result = scan(disk)
     snapshot = sum(name.endswith(".snap") for name in read)
-    assert snapshot == rewritten and all(times == 1 + name.endswith(".snap") for name, times in read.items())
-    assert found.records <= decoded[1] <= 2 * found.records
-    assert 100_000 < found.size <= 160_000 and len(found.state.by_id) > 300
+    assert snapshot == compacted and all(times == 1 + name.endswith(".snap") for name, times in read.items())
+    assert result.records <= decoded[1] <= 2 * result.records
+    assert 100_000 < result.size <= 160_000 and len(result.state.by_id) > 300
 
 
 @pytest.mark.parametrize("ended", [False, True])
-def test_a_start_costs_in_proportion_to_what_it_finds(ended: bool) -> None:
+def test_the_cost_of_a_start_grows_linearly_with_the_messages(ended: bool) -> None:
     def calls(count: int) -> int:
         disk = SimStorage()
         writer = Writer(disk, scan(disk))
         writer.open()
-        put(writer, *(one for ident in range(1, count + 1) for one in records(ident, ended)))
-        made = 0
+        commit(writer, *(record for ident in range(1, count + 1) for record in records(ident, ended)))
+        call_count = 0
 
         def count_call(_: FrameType, event: str, __: object) -> None:
-            nonlocal made
-            made += event == "call"
+            nonlocal call_count
+            call_count += event == "call"
 
         sys.setprofile(count_call)
         try:
@@ -132,7 +132,7 @@
         finally:
             sys.setprofile(None)
         assert len(engine.ledger.by_id) == count and len(engine.sender.messages) == (0 if ended else count)
-        return made
+        return call_count
 
     few, many = calls(200), calls(800)
     assert many < 4.4 * few
--- a/tests/journal/test_untried.py
+++ b/tests/journal/test_untried.py
@@ -1,4 +1,4 @@
-"""What a restart finds taken on and untried is tried, whatever the state of queue, bound and destinations."""
+"""After a restart, accepted messages without an attempt are attempted, whatever the state of the endpoints."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from brassweir.journal.restart import apply_plan
 from brassweir.journal.state import JournalState
 from tests.core.engines import SlowCarrier, Store
-from tests.journal.made import taken
+from tests.journal.samples import taken_record
 
 NOW = 100_000.0
 CLASSES = (
@@ -27,8 +27,8 @@
 BY_NAME = {cls.name: cls for cls in CLASSES}
 
 
-def ends(endpoint: str, *results: str, ago: float = 1000.0, wait: float = 0.0) -> list[Record]:
-    """Endings at an endpoint, 50 ms apart, the first of them so long ago."""
+def outcomes(endpoint: str, *results: str, ago: float = 1000.0, wait: float = 0.0) -> list[Record]:
+    """Return outcomes at an endpoint, 50 ms apart; the first is ``ago`` ms old."""
     return [Ended(0, 0, endpoint, result, NOW - ago + 50.0 * i, wait) for i, result in enumerate(results)]
 
 
@@ -40,18 +40,21 @@
     max_open: int = 80,
     senders: int = 200,
 ) -> Counter[str]:
-    """How messages found untried, for four destinations with two endpoints each, fared: tried, or given up with
-    what part of their time left."""
-    lives, clock = JournalState(), SimClock(NOW)
+    """Restart with ``count`` messages without an attempt, for four destinations with two endpoints each.
+
+    Returns how many were attempted ("tried"), and how many ended without an attempt in the first half of their
+    time ("early") or later ("late").
+    """
+    state, clock = JournalState(), SimClock(NOW)
     for ident in range(1, count + 1):
-        lives.apply(taken(ident, CLASSES[ident % 3].name, NOW + left, reply=b"n"))
-        taken_on = lives.by_id[ident].taken
-        assert taken_on is not None
-        lives.by_id[ident].taken = type(taken_on)(
+        state.apply(taken_record(ident, CLASSES[ident % 3].name, NOW + left, reply=b"n"))
+        accepted = state.by_id[ident].taken
+        assert accepted is not None
+        state.by_id[ident].taken = type(accepted)(
             ident,
             "o",
             f"m{ident}",
-            taken_on.class_name,
+            accepted.class_name,
             str(ident % 4 + 1),
             "",
             NOW + left,
@@ -61,9 +64,9 @@
             b"n",
         )
     for record in past:
-        lives.apply(record)
+        state.apply(record)
     carrier = SlowCarrier(clock)
-    sets = api.Settings(
+    settings = api.Settings(
         classes=CLASSES,
         slots=slots,
         max_open=max_open,
@@ -74,30 +77,30 @@
         start_capacity=0.3,
         weights="rough",
     )
-    engine = Engine(sets, 1, clock, lambda _: carrier, store=Store(clock))
+    engine = Engine(settings, 1, clock, lambda _: carrier, store=Store(clock))
     engine.update_list(
         api.ListUpdate(
             api.ListKind.CACHED,
             tuple(api.EndpointInfo(f"d{i}-{j}", i, "", rate=50.0) for i in (1, 2, 3, 4) for j in (0, 1)),
         )
     )
-    found, given_up = Counter[str](), dict[str, float]()
+    counts, time_left_at_end = Counter[str](), dict[str, float]()
 
     def owing(_: int, submission: object) -> Callable[[FinalAnswer], None]:
         assert isinstance(submission, Submission)
 
         def give(answer: FinalAnswer) -> None:
-            given_up.setdefault(submission.identity, NOW + left - clock.now())
+            time_left_at_end.setdefault(submission.identity, NOW + left - clock.now())
 
         return give
 
-    apply_plan(recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0), engine, Store(clock), int, owing)  # type: ignore[arg-type]
+    apply_plan(recover.plan_recovery(state, (), BY_NAME, NOW, 1e9, 0.0), engine, Store(clock), int, owing)  # type: ignore[arg-type]
     clock.run(NOW + left + 1000.0)
-    assert len(given_up) == count, "each has its end"
+    assert len(time_left_at_end) == count, "every message has an answer"
     tried = {name for _, name in carrier.written}
-    for name, rest in given_up.items():
-        found["tried" if name in tried else "early" if rest > left / 2 else "late"] += 1
-    return found
+    for name, left_at_end in time_left_at_end.items():
+        counts["tried" if name in tried else "early" if left_at_end > left / 2 else "late"] += 1
+    return counts
 
 
 FAILS = ("reset", "timeout", "no_connection")
@@ -107,25 +110,25 @@
     ("past", "more"),
     [
         ([], {}),
-        ([], {"max_open": 4, "slots": 4}),  # more than it may hold: a new one would be refused
-        ([], {"slots": 1, "count": 60}),  # the bound starts at twice the slots
+        ([], {"max_open": 4, "slots": 4}),  # more open messages than max_open
+        ([], {"slots": 1, "count": 60}),  # more messages than the initial limit, twice the slots
         ([], {"left": 600.0}),
-        (ends("d1-0", "reset", "timeout"), {}),  # not out yet
-        (ends("d1-0", "full", wait=1500.0), {"senders": 1}),
-        (ends("d1-0", "full", "full", "full"), {"senders": 1}),
+        (outcomes("d1-0", "reset", "timeout"), {}),  # two failures open no circuit
+        (outcomes("d1-0", "full", wait=1500.0), {"senders": 1}),
+        (outcomes("d1-0", "full", "full", "full"), {"senders": 1}),
         (
-            ends("d1-0", *FAILS) + ends("d1-1", "ok", ago=500.0),
+            outcomes("d1-0", *FAILS) + outcomes("d1-1", "ok", ago=500.0),
             {},
-        ),  # one bad endpoint of a destination that is well
+        ),  # one degraded endpoint of a working destination
         (
-            ends("d1-1", "ok", ago=1010.0)
-            + ends("d1-0", "reset", "reset")
-            + ends("d1-1", "reset", "ok", ago=500.0),
+            outcomes("d1-1", "ok", ago=1010.0)
+            + outcomes("d1-0", "reset", "reset")
+            + outcomes("d1-1", "reset", "ok", ago=500.0),
             {},
         ),
     ],
 )
-def test_all_are_tried(past: list[Record], more: dict[str, int]) -> None:
+def test_all_resumed_messages_are_attempted(past: list[Record], more: dict[str, int]) -> None:
     assert restarted(past, **more) == {"tried": more.get("count", 24)}
 
 
@@ -133,75 +136,80 @@
     ("past", "early"),
     [
         (
-            ends("d1-0", "full", wait=1500.0),
+            outcomes("d1-0", "full", wait=1500.0),
             0,
-        ),  # 200 senders under one limit: what is over it waits to the end
-        (ends("d1-0", *FAILS), 6),  # out as a whole, and each sender's trial later than there is time
-        (ends("d1-1", "ok", ago=1200.0) + ends("d1-0", *FAILS), 6),
+        ),  # 200 senders share one limit, and excess messages wait until their deadline
+        (
+            outcomes("d1-0", *FAILS),
+            6,
+        ),  # the circuit is open, and a trial of each sender comes after the deadline
+        (outcomes("d1-1", "ok", ago=1200.0) + outcomes("d1-0", *FAILS), 6),
         (
-            ends("d1-0", "full", wait=3500.0),
+            outcomes("d1-0", "full", wait=3500.0),
             6,
-        ),  # a wait that long counts as an outage; 2.5 s of it are left, of 4 s
+        ),  # so long a wait counts as an outage; 2.5 s of it are left of the messages' 4 s
     ],
 )
-def test_what_is_not_tried_is_that_of_a_sick_destination(past: list[Record], early: int) -> None:
-    """Early is as the module does it now: what cannot be sent before its time is up is not held until then."""
-    found = restarted(past)
-    assert found["tried"] >= 18 and found["early"] <= early, found
+def test_only_messages_of_a_degraded_destination_stay_without_an_attempt(
+    past: list[Record], early: int
+) -> None:
+    """A message that cannot be sent before its deadline may end early."""
+    counts = restarted(past)
+    assert counts["tried"] >= 18 and counts["early"] <= early, counts
 
 
-def test_what_stands_of_the_past_is_what_stood_when_the_process_ran() -> None:
-    lives = JournalState()
+def test_relevant_outcomes_are_those_of_a_process_that_kept_running() -> None:
+    state = JournalState()
     for record in [
-        *ends("a", *FAILS),
-        *ends("b", "ok", ago=925.0),
-        *ends("b", "reset", ago=700.0),
-        *ends("c", "full", ago=990.0, wait=100.0),
+        *outcomes("a", *FAILS),
+        *outcomes("b", "ok", ago=925.0),
+        *outcomes("b", "reset", ago=700.0),
+        *outcomes("c", "full", ago=990.0, wait=100.0),
     ]:
-        lives.apply(record)
-    plan = recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0)
+        state.apply(record)
+    plan = recover.plan_recovery(state, (), BY_NAME, NOW, 1e9, 0.0)
     agos = [one.ago for one in plan.past]
-    assert agos == sorted(agos, reverse=True), "oldest first, whatever the endpoint"
+    assert agos == sorted(agos, reverse=True), "oldest first over all endpoints"
 
     def left(place: Callable[[str], object]) -> list[tuple[str, float]]:
         return [(one.endpoint, one.ago) for one in recover.relevant_past(plan, place)]
 
     assert left(lambda name: name) == [("a", 1000.0), ("c", 990.0), ("a", 950.0), ("a", 900.0), ("b", 700.0)]
     assert left(lambda _: 1) == [("c", 990.0), ("a", 900.0), ("b", 700.0)], (
-        "the pass ended a row, and no told wait"
+        "the success ended a run of failures, but no requested wait"
     )
 
 
-def test_a_snapshot_keeps_the_last_pass_and_what_comes_twice_counts_once() -> None:
-    lives = JournalState()
-    for record in [*ends("b", "ok"), *ends("a", "reset", "reset", ago=500.0)]:
-        lives.apply(record)
+def test_a_snapshot_keeps_the_last_success_and_repeated_outcomes_count_once() -> None:
+    state = JournalState()
+    for record in [*outcomes("b", "ok"), *outcomes("a", "reset", "reset", ago=500.0)]:
+        state.apply(record)
     again = JournalState()
-    kept = list(compact.live_records(lives, NOW, 1e9))
+    kept = list(compact.live_records(state, NOW, 1e9))
     for record in [
         *kept,
-        *ends("a", "reset", "reset", ago=500.0),
-    ]:  # the last two stand behind the snapshot too
+        *outcomes("a", "reset", "reset", ago=500.0),
+    ]:  # the last two are also in the segment after the snapshot
         again.apply(record)
-    assert again.last_success_at == lives.last_success_at and again.recent_outcomes == lives.recent_outcomes
+    assert again.last_success_at == state.last_success_at and again.recent_outcomes == state.recent_outcomes
     assert list(compact.live_records(again, NOW, 1e9)) == kept
 
 
-def test_what_was_our_own_doing_drives_no_evidence_out() -> None:
-    lives = JournalState()
-    for record in [*ends("a", *FAILS), *ends("a", *["moot", "cancelled"] * 6, ago=800.0)]:
-        lives.apply(record)
+def test_results_caused_by_the_sender_displace_no_outcomes() -> None:
+    state = JournalState()
+    for record in [*outcomes("a", *FAILS), *outcomes("a", *["moot", "cancelled"] * 6, ago=800.0)]:
+        state.apply(record)
     assert [
-        one.result.value for one in recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0).past
+        one.result.value for one in recover.plan_recovery(state, (), BY_NAME, NOW, 1e9, 0.0).past
     ] == list(FAILS)
 
 
 def test_an_attempt_after_damage_has_a_number_of_its_own() -> None:
-    """Else its ending could pass for that of an earlier attempt, which may have run."""
-    lives = JournalState()
+    """Otherwise its outcome could be attributed to an earlier attempt, which may have run."""
+    state = JournalState()
     for record in (
-        taken(1, "key", NOW + 4000.0),
+        taken_record(1, "key", NOW + 4000.0),
         Intent(1, 1, "e", NOW - 100.0),
-    ):  # the first attempt is lost
-        lives.apply(record)
-    assert recover.plan_recovery(lives, (), BY_NAME, NOW, 1e9, 0.0).resumed[0].number == 2
+    ):  # the record of the first attempt is lost
+        state.apply(record)
+    assert recover.plan_recovery(state, (), BY_NAME, NOW, 1e9, 0.0).resumed[0].number == 2
--- a/tests/journal/test_windows.py
+++ b/tests/journal/test_windows.py
@@ -1,4 +1,4 @@
-"""What goes on after a restart keeps the deadline and the window it had: the time that a start takes counts too."""
+"""Messages keep their deadlines and windows across a restart; the time that a start takes counts too."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from brassweir.journal.state import JournalState
 from tests.core.engines import SlowCarrier, Store, make_slow_engine, stall_loop
 
-FIRST = 10_000.0  # wall ms at which the first attempt's intent was written
+FIRST_INTENT_MS = 10_000.0  # wall clock
 
 
 def started(
@@ -25,49 +25,52 @@
     turn: float = 0.0,
     prepare: Callable[[SlowCarrier], None] = lambda _: None,
 ) -> tuple[SlowCarrier, list[tuple[float, FinalAnswer]]]:
-    """A process that reads ``records`` at ``ready``, takes ``pause`` until it carries its plan out and ``turn`` until
-    the module's first turn after that; what it wrote and answered in the next 10 s."""
-    lives = JournalState()
+    """Start a process that reads ``records`` at ``ready`` (ms), and run it for 10 s.
+
+    It takes ``pause`` ms until it applies its plan, and ``turn`` ms until the decision module's first turn after
+    that. Returns its carrier, and the answers with their times.
+    """
+    state = JournalState()
     for record in records:
-        lives.apply(record)
+        state.apply(record)
     engine, clock, carrier = make_slow_engine(classes=classes, at=ready)
     prepare(carrier)
-    plan = recover.plan_recovery(lives, (), {cls.name: cls for cls in classes}, ready, 1e9, 0.0)
+    plan = recover.plan_recovery(state, (), {cls.name: cls for cls in classes}, ready, 1e9, 0.0)
     stall_loop(clock, pause)
-    got: list[tuple[float, FinalAnswer]] = []
+    answers: list[tuple[float, FinalAnswer]] = []
 
     def owing(*_: object) -> Callable[[FinalAnswer], None]:
-        return lambda answer: got.append((clock.now(), answer))
+        return lambda answer: answers.append((clock.now(), answer))
 
     apply_plan(plan, engine, Store(clock), int, owing)  # type: ignore[arg-type]
     stall_loop(clock, turn)
     clock.run(ready + 10_000.0)
-    return carrier, got
+    return carrier, answers
 
 
 def keyed(window: float, deadline: float = 6000.0) -> api.MessageClass:
     return api.MessageClass("key", 1500.0, deadline, api.Effect.KEYED, window=window)
 
 
-def taken(cls: str = "key", ident: int = 1, left: float = 6000.0) -> Taken:
-    return Taken(ident, "o", f"m{ident}", cls, "1", "", FIRST - 5.0 + left, "a/b", "k", b"x", b"n")
+def taken_record(cls: str = "key", ident: int = 1, left: float = 6000.0) -> Taken:
+    return Taken(ident, "o", f"m{ident}", cls, "1", "", FIRST_INTENT_MS - 5.0 + left, "a/b", "k", b"x", b"n")
 
 
-INTENT = Intent(1, 0, "d1-0", FIRST)
-STEPS: dict[str, list[Record]] = {  # what is written when the process dies
-    "intent": [taken(), INTENT],  # before its first byte, or after its last: nothing tells
-    "reset": [taken(), INTENT, Ended(1, 0, "d1-0", "reset", FIRST + 100.0)],
+INTENT = Intent(1, 0, "d1-0", FIRST_INTENT_MS)
+STEPS: dict[str, list[Record]] = {  # the records when the process dies
+    "intent": [taken_record(), INTENT],  # whether the attempt was sent is unknown
+    "reset": [taken_record(), INTENT, Ended(1, 0, "d1-0", "reset", FIRST_INTENT_MS + 100.0)],
     "again": [
-        taken(),
+        taken_record(),
         INTENT,
-        Ended(1, 0, "d1-0", "reset", FIRST + 100.0),
-        Intent(1, 1, "d1-0", FIRST + 200.0),
+        Ended(1, 0, "d1-0", "reset", FIRST_INTENT_MS + 100.0),
+        Intent(1, 1, "d1-0", FIRST_INTENT_MS + 200.0),
     ],
     "unconnected first": [
-        taken(),
+        taken_record(),
         INTENT,
-        Ended(1, 0, "d1-0", "no_connection", FIRST + 50.0),
-        Intent(1, 1, "d1-0", FIRST + 200.0),
+        Ended(1, 0, "d1-0", "no_connection", FIRST_INTENT_MS + 50.0),
+        Intent(1, 1, "d1-0", FIRST_INTENT_MS + 200.0),
     ],
 }
 
@@ -87,57 +90,63 @@
         (1300.0, 400.0, 350.0, 1.0),
     ],
 )
-def test_a_repeat_goes_within_the_window_of_the_first_intent_or_not_at_all(
+def test_a_repeat_is_sent_within_the_window_of_the_first_intent_or_not_at_all(
     step: str, window: float, down: float, pause: float, turn: float, connect: float
 ) -> None:
     records = STEPS[step]
-    died = FIRST + (200.0 if len(records) > 3 else 100.0)
-    carrier, got = started(
+    died = FIRST_INTENT_MS + (200.0 if len(records) > 3 else 100.0)
+    carrier, answers = started(
         (keyed(window),), records, died + down, pause, turn, lambda one: one.connects.append(connect)
     )
-    first = FIRST + (200.0 if step == "unconnected first" else 0.0)
+    first = FIRST_INTENT_MS + (200.0 if step == "unconnected first" else 0.0)
     at = died + down + pause + turn
-    assert all(one <= first + window for one, _ in carrier.written), "written after the window"
+    assert all(one <= first + window for one, _ in carrier.written), "sent after the window"
     if at + connect + 300.0 < first + window:
-        assert carrier.written, "there was time, and it was not tried"
-    assert len(got) == 1 and got[0][0] <= FIRST + 6000.0 + 300.0
-    assert bool(carrier.written) == (got[0][1].answer is Answer.DELIVERED)
+        assert carrier.written, "there was time, but it was not sent"
+    assert len(answers) == 1 and answers[0][0] <= FIRST_INTENT_MS + 6000.0 + 300.0
+    assert bool(carrier.written) == (answers[0][1].answer is Answer.DELIVERED)
 
 
 @pytest.mark.parametrize(("pause", "turn"), [(0.0, 0.0), (400.0, 0.0), (0.0, 400.0)])
-def test_a_message_that_goes_on_ends_in_its_own_time(pause: float, turn: float) -> None:
-    def hangs(carrier: SlowCarrier) -> None:
+def test_a_resumed_message_ends_by_its_deadline(pause: float, turn: float) -> None:
+    def never_connect(carrier: SlowCarrier) -> None:
         carrier.connects = [1e9] * 20
 
     safe = api.MessageClass("safe", 1000.0, 2000.0, api.Effect.SAFE)
-    _, got = started((safe,), [taken("safe", left=2000.0)], FIRST + 700.0, pause, turn, hangs)
-    assert len(got) == 1 and got[0][0] <= FIRST - 5.0 + 2000.0 + 1.0
+    _, answers = started(
+        (safe,), [taken_record("safe", left=2000.0)], FIRST_INTENT_MS + 700.0, pause, turn, never_connect
+    )
+    assert len(answers) == 1 and answers[0][0] <= FIRST_INTENT_MS - 5.0 + 2000.0 + 1.0
 
 
-def test_a_window_that_has_run_out_in_a_long_start_ends_its_message_at_once() -> None:
-    carrier, got = started((keyed(1000.0),), STEPS["intent"], FIRST + 700.0, 2000.0)
-    assert carrier.written == [] and len(got) == 1 and got[0][0] <= FIRST + 2700.0 + 10.0
+def test_a_window_that_passes_during_a_slow_start_ends_its_message_at_once() -> None:
+    carrier, answers = started((keyed(1000.0),), STEPS["intent"], FIRST_INTENT_MS + 700.0, 2000.0)
+    assert carrier.written == [] and len(answers) == 1 and answers[0][0] <= FIRST_INTENT_MS + 2700.0 + 10.0
 
 
-def test_of_a_key_that_holds_in_one_zone_only_no_repeat_goes_to_another_after_a_restart() -> None:
-    """Which zone the first attempt went to is not told to the module, so none goes at all."""
+def test_after_a_restart_a_key_that_holds_in_one_zone_allows_no_repeat() -> None:
+    """The decision module does not know the zone of the first attempt, so no repeat is sent."""
     zoned = api.MessageClass("key", 1500.0, 6000.0, api.Effect.KEYED, group="zone", window=5000.0)
-    carrier, got = started((zoned,), STEPS["intent"], FIRST + 700.0)
-    assert carrier.written == [] and [answer.answer for _, answer in got] == [Answer.FAILED]
-    carrier, got = started((zoned,), STEPS["intent"][:1], FIRST + 700.0)
-    assert len(carrier.written) == 1 and [answer.answer for _, answer in got] == [Answer.DELIVERED]
+    carrier, answers = started((zoned,), STEPS["intent"], FIRST_INTENT_MS + 700.0)
+    assert carrier.written == [] and [answer.answer for _, answer in answers] == [Answer.FAILED]
+    carrier, answers = started((zoned,), STEPS["intent"][:1], FIRST_INTENT_MS + 700.0)
+    assert len(carrier.written) == 1 and [answer.answer for _, answer in answers] == [Answer.DELIVERED]
 
 
-def test_what_may_not_be_repeated_goes_on_only_if_it_has_no_intent() -> None:
+def test_an_unsafe_message_resumes_only_if_no_attempt_can_have_run() -> None:
     pay = api.MessageClass("pay", 1500.0, 6000.0, api.Effect.UNSAFE)
-    never: list[Record] = [taken("pay"), INTENT, Ended(1, 0, "d1-0", "no_connection", FIRST + 50.0)]
+    never_sent: list[Record] = [
+        taken_record("pay"),
+        INTENT,
+        Ended(1, 0, "d1-0", "no_connection", FIRST_INTENT_MS + 50.0),
+    ]
     cases: list[tuple[list[Record], Answer]] = [
-        ([taken("pay")], Answer.DELIVERED),
-        ([taken("pay"), INTENT], Answer.FAILED),
-        (never, Answer.DELIVERED),
-        ([*never, Intent(1, 1, "d1-1", FIRST + 90.0)], Answer.FAILED),
+        ([taken_record("pay")], Answer.DELIVERED),
+        ([taken_record("pay"), INTENT], Answer.FAILED),
+        (never_sent, Answer.DELIVERED),
+        ([*never_sent, Intent(1, 1, "d1-1", FIRST_INTENT_MS + 90.0)], Answer.FAILED),
     ]
     for records, answer in cases:
-        carrier, got = started((pay,), list(records), FIRST + 700.0)
-        assert [one.answer for _, one in got] == [answer]
+        carrier, answers = started((pay,), list(records), FIRST_INTENT_MS + 700.0)
+        assert [one.answer for _, one in answers] == [answer]
         assert len(carrier.written) == (answer is Answer.DELIVERED)
