--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: every error at once, each with file, line and field."""
+"""Settings files: all errors are reported at once, each with file, line and field."""
 
 from __future__ import annotations
 
@@ -36,10 +36,11 @@
     certificates: [bank.crt.pem]
 endpoints: endpoints.yaml
 """
-LIST = "endpoints:\n  - {name: bank-a, url: 'http://127.0.0.1:9/as2', partner: bank}\n"
+LIST_YAML = "endpoints:\n  - {name: bank-a, url: 'http://127.0.0.1:9/as2', partner: bank}\n"
 
 
 def problems(text: str) -> list[str]:
+    """Return the problems that make this settings file invalid."""
     with pytest.raises(ConfigError) as caught:
         parse(text, Config, "s.yaml")
     return caught.value.problems
@@ -51,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "line", "words"),
+    ("change", "line", "problem"),
     [
         (("  slots: 8\n", ""), 1, "sender.slots: is missing"),
         (("slots: 8", "slots: 0"), 4, "sender.slots: Input should be greater than or equal to 1"),
@@ -83,10 +84,10 @@
         (("slots: 8", "slots: 8\n  slots: 9"), 5, "duplicate key"),
     ],
 )
-def test_bad_files_name_line_and_field(change: tuple[str, str], line: int, words: str) -> None:
+def test_bad_files_name_line_and_field(change: tuple[str, str], line: int, problem: str) -> None:
     assert change[0] in VALID_SETTINGS
     found = problems(VALID_SETTINGS.replace(*change, 1))
-    assert any(one.startswith(f"s.yaml:{line}: ") and words in one for one in found), found
+    assert any(text.startswith(f"s.yaml:{line}: ") and problem in text for text in found), found
 
 
 def test_all_problems_are_reported_at_once_in_the_order_of_lines() -> None:
@@ -96,7 +97,7 @@
         .replace("[bank.crt.pem]", "[]")
     )
     found = problems(text)
-    assert [one.split(":")[1] for one in found] == ["4", "7", "21"]
+    assert [problem.split(":")[1] for problem in found] == ["4", "7", "21"]
 
 
 @pytest.mark.parametrize(
@@ -113,8 +114,8 @@
         "endpoints: [{name: a b, url: http://x/, partner: p}]",
         "endpoints: [{name: a, url: 'ftp://x/', partner: p}]",
         "endpoints: [{name: a, url: http://u:p@x/, partner: p}]",
-        LIST + LIST.partition("\n")[2],
-        LIST.replace("partner: bank", "partner: bank, state: asleep"),
+        LIST_YAML + LIST_YAML.partition("\n")[2],
+        LIST_YAML.replace("partner: bank", "partner: bank, state: asleep"),
     ],
 )
 def test_bad_lists(text: str) -> None:
@@ -136,15 +137,15 @@
     (tmp_path / "s.yaml").write_text(VALID_SETTINGS)
     with pytest.raises(ConfigError) as caught:
         check(tmp_path / "s.yaml")
-    named = "\n".join(caught.value.problems)
+    reported = "\n".join(caught.value.problems)
     for name in ("hub.key.pem", "hub.crt.pem", "office_1.crt.pem", "bank.crt.pem", "endpoints.yaml"):
-        assert name in named
+        assert name in reported
     for name in ("hub", "office 1", "bank"):
         keys.write(identity(name), tmp_path)
-    (tmp_path / "endpoints.yaml").write_text(LIST.replace("partner: bank", "partner: other"))
+    (tmp_path / "endpoints.yaml").write_text(LIST_YAML.replace("partner: bank", "partner: other"))
     with pytest.raises(ConfigError, match="partner 'other' is not in the settings"):
         check(tmp_path / "s.yaml")
-    (tmp_path / "endpoints.yaml").write_text(LIST)
+    (tmp_path / "endpoints.yaml").write_text(LIST_YAML)
     assert check(tmp_path / "s.yaml").sender.name == "s1"
     (tmp_path / "hub.crt.pem").write_bytes((tmp_path / "bank.crt.pem").read_bytes())
     with pytest.raises(ConfigError, match="does not belong to the key"):
--- a/tests/config/test_control.py
+++ b/tests/config/test_control.py
@@ -1,4 +1,4 @@
-"""Settings of control machines, and of what follows the endpoint list of the log: one clear error each."""
+"""Settings of control machines, and of senders whose endpoint list comes from the agreed log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.config.test_copies import SETTINGS, write_copies_settings
 from tests.config.test_forward import problems
 
-CONTROL = """\
+CONTROL_SETTINGS = """\
 sender: {name: s1, metrics: '127.0.0.1:4090'}
 peers: {copies: copies.yaml, keys: [peers.key]}
 agreed:
@@ -24,15 +24,17 @@
 
 
 def test_a_control_machine_needs_no_delivery_settings(tmp_path: Path) -> None:
-    config = check(write_copies_settings(tmp_path, CONTROL))
+    config = check(write_copies_settings(tmp_path, CONTROL_SETTINGS))
     assert isinstance(config, ControlConfig) and config.configuration is not None
     assert (config.configuration.list, config.configuration.confirm_removed) == (Path("endpoints.yaml"), 7)
-    config = check(write_copies_settings(tmp_path, CONTROL[: CONTROL.index("  configuration")]))
-    assert config.configuration is None, "it is off unless the settings have it"
+    config = check(
+        write_copies_settings(tmp_path, CONTROL_SETTINGS[: CONTROL_SETTINGS.index("  configuration")])
+    )
+    assert config.configuration is None, "the endpoint list is followed only if the settings say so"
 
 
 def test_a_control_machine_may_renew_leases_and_must_know_the_longest_deadline(tmp_path: Path) -> None:
-    text = CONTROL + "region: {name: east, source: agreed, longest_deadline_ms: 8000}\n"
+    text = CONTROL_SETTINGS + "region: {name: east, source: agreed, longest_deadline_ms: 8000}\n"
     config = check(write_copies_settings(tmp_path, text))
     assert config.region is not None and config.region.longest_deadline_ms == 8000.0
     found = problems(write_copies_settings(tmp_path, text.replace(", longest_deadline_ms: 8000", "")))
@@ -44,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "words"),
+    ("old", "new", "line", "problem"),
     [
         ("peers: {copies: copies.yaml, keys: [peers.key]}\n", "", 1, "peers: is missing"),
         ("name: s1,", "name: s1, slots: 3,", 1, "sender.slots: is no known field"),
@@ -61,10 +63,10 @@
         ),
     ],
 )
-def test_bad_settings(tmp_path: Path, old: str, new: str, line: int, words: str) -> None:
-    assert old in CONTROL
-    found = problems(write_copies_settings(tmp_path, CONTROL.replace(old, new, 1)))
-    assert len(found) == 1 and f"s.yaml:{line}: " in found[0] and words in found[0], found
+def test_bad_settings(tmp_path: Path, old: str, new: str, line: int, problem: str) -> None:
+    assert old in CONTROL_SETTINGS
+    found = problems(write_copies_settings(tmp_path, CONTROL_SETTINGS.replace(old, new, 1)))
+    assert len(found) == 1 and f"s.yaml:{line}: " in found[0] and problem in found[0], found
 
 
 def test_incomplete_sender_settings_list_what_to_remove(tmp_path: Path) -> None:
@@ -75,13 +77,13 @@
 
 
 def test_the_edited_list_is_read_and_each_problem_has_its_line(tmp_path: Path) -> None:
-    path = write_copies_settings(tmp_path, CONTROL)
+    path = write_copies_settings(tmp_path, CONTROL_SETTINGS)
     (tmp_path / "endpoints.yaml").write_text("endpoints:\n  - {name: a, url: 'ftp://x/', partner: p}\n")
     found = problems(path)
     assert len(found) == 1 and "endpoints.yaml:2: endpoints[0].url: " in found[0]
     (tmp_path / "endpoints.yaml").unlink()
     assert "No such file" in problems(path)[0]
-    assert isinstance(check(path, edited=False), ControlConfig), "a start does not read it"
+    assert isinstance(check(path, edited=False), ControlConfig), "a start does not read the edited list"
 
 
 def test_a_sender_whose_list_comes_from_the_log_has_no_list_file(tmp_path: Path) -> None:
--- a/tests/config/test_copies.py
+++ b/tests/config/test_copies.py
@@ -1,4 +1,4 @@
-"""Settings of copies together: one clear error each, with its line, and all at once."""
+"""Settings of a group of copies: one error for each mistake, with its line, and all at once."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 
 
 def write_copies_settings(tmp_path: Path, text: str = SETTINGS, copies: str = COPIES) -> Path:
+    """Write settings with ``agreed`` and the files that they name; return the settings file's path."""
     path = write_settings(tmp_path, text)
     (tmp_path / "copies.yaml").write_text(copies)
     (tmp_path / "peers.key").write_text("a key of the fleet\n")
@@ -48,11 +49,11 @@
         and config.agreed.voters == ("s1", "s2", "s3")
         and config.agreed.lease_ms == 30_000.0
     )
-    assert [one.site for one in read_copies(tmp_path / "copies.yaml", config)] == ["e1", "w1", "w2"]
+    assert [copy.site for copy in read_copies(tmp_path / "copies.yaml", config)] == ["e1", "w1", "w2"]
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "problem"),
     [
         (
             "peers: {copies: copies.yaml, keys: [peers.key]}\n",
@@ -88,14 +89,14 @@
         ("voters: [", "colour: red, voters: [", "agreed.colour: is no known field"),
     ],
 )
-def test_bad_settings(tmp_path: Path, old: str, new: str, words: str) -> None:
+def test_bad_settings(tmp_path: Path, old: str, new: str, problem: str) -> None:
     assert old in SETTINGS
     found = problems(write_copies_settings(tmp_path, SETTINGS.replace(old, new, 1)))
-    assert len(found) == 1 and words in found[0], found
+    assert len(found) == 1 and problem in found[0], found
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "words"),
+    ("old", "new", "line", "problem"),
     [
         ("name: s1", "name: s9", 1, "this sender, s1, is not listed"),
         ("name: s2", "name: s3", 4, "name s3 is also on line 3"),
@@ -108,16 +109,16 @@
         ("  - {name: s2", "  - [name: s2", 3, ""),
     ],
 )
-def test_bad_copies(tmp_path: Path, old: str, new: str, line: int, words: str) -> None:
+def test_bad_copies(tmp_path: Path, old: str, new: str, line: int, problem: str) -> None:
     assert old in COPIES
     found = problems(write_copies_settings(tmp_path, copies=COPIES.replace(old, new, 1)))
-    assert any(f"copies.yaml:{line}: " in one and words in one for one in found), found
+    assert any(f"copies.yaml:{line}: " in text and problem in text for text in found), found
 
 
 def test_all_problems_are_reported_at_once(tmp_path: Path) -> None:
-    bad = COPIES.replace("name: s1", "name: s3").replace("7202", "7203").replace("site: w2", "site: w 2")
-    found = problems(write_copies_settings(tmp_path, SETTINGS.replace("peers.key", "short.key"), bad))
-    assert [one.partition("copies.yaml:")[2].partition(":")[0] for one in found] == [
+    invalid = COPIES.replace("name: s1", "name: s3").replace("7202", "7203").replace("site: w2", "site: w 2")
+    found = problems(write_copies_settings(tmp_path, SETTINGS.replace("peers.key", "short.key"), invalid))
+    assert [problem.partition("copies.yaml:")[2].partition(":")[0] for problem in found] == [
         "4",
         "4",
         "4",
@@ -133,7 +134,7 @@
     (tmp_path / "copies.yaml").write_text("copies:\n" + COPIES.splitlines(keepends=True)[2])
     with pytest.raises(ConfigError) as caught:
         read_copies(tmp_path / "copies.yaml", config)
-    assert ["s1" in one for one in caught.value.problems] == [True, True, False]
+    assert ["s1" in problem for problem in caught.value.problems] == [True, True, False]
     with pytest.raises(ConfigError) as caught:
         read_copies(tmp_path / "copies.yaml", config, founding=False)
-    assert len(caught.value.problems) == 1, "founders may have been replaced since"
+    assert len(caught.value.problems) == 1, "the founding voters may have been replaced since"
--- a/tests/config/test_forward.py
+++ b/tests/config/test_forward.py
@@ -1,4 +1,4 @@
-"""Settings of the forward front and its destinations: what stands alone, and every error with its line."""
+"""Settings of the forward front and of forward destinations: every error is reported with its line."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
         - {tag: "app.**", class: status, destination: "hook-{1}"}
 endpoints: endpoints.yaml
 """
-LIST = "endpoints:\n  - {name: c-a, url: 'forward://127.0.0.1:9', destination: c, kind: collectors}\n"
+LIST_YAML = "endpoints:\n  - {name: c-a, url: 'forward://127.0.0.1:9', destination: c, kind: collectors}\n"
 
 
-def write_settings(tmp_path: Path, text: str = VALID_SETTINGS, listed: str = LIST) -> Path:
+def write_settings(tmp_path: Path, text: str = VALID_SETTINGS, listed: str = LIST_YAML) -> Path:
+    """Write a settings file and the files that it names; return its path."""
     (tmp_path / "s.yaml").write_text(text)
     (tmp_path / "endpoints.yaml").write_text(listed)
     (tmp_path / "edge.key").write_text("a key\n")
@@ -44,6 +45,7 @@
 
 
 def problems(path: Path) -> list[str]:
+    """Return the problems that a check of this settings file reports."""
     with pytest.raises(ConfigError) as caught:
         check(path)
     return caught.value.problems
@@ -60,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "problem"),
     [
         (
             "class: status",
@@ -98,44 +100,44 @@
         ),
     ],
 )
-def test_bad_settings(tmp_path: Path, old: str, new: str, words: str) -> None:
+def test_bad_settings(tmp_path: Path, old: str, new: str, problem: str) -> None:
     assert old in VALID_SETTINGS
     path = write_settings(tmp_path, VALID_SETTINGS.replace(old, new, 1))
-    if not words:
+    if not problem:
         check(path)
         return
     found = problems(path)
-    assert any(words in one for one in found), found
+    assert any(problem in text for text in found), found
     assert str(path) in found[0] or "kind " in found[0] or "forward" in found[0]
 
 
 def test_all_sources_have_users_or_none(tmp_path: Path) -> None:
     second = "    - {name: b, shared_keys: [edge.key], users: [{username: a, password: edge.key}], rules: [{tag: x, class: status, destination: y}]}\nendpoints"
     assert any(
-        "all have some or none has" in one
-        for one in problems(write_settings(tmp_path, VALID_SETTINGS.replace("endpoints", second, 1)))
+        "all have some or none has" in text
+        for text in problems(write_settings(tmp_path, VALID_SETTINGS.replace("endpoints", second, 1)))
     )
-    twice = "    - {name: edge-1, shared_keys: [edge.key], rules: [{tag: x, class: status, destination: y}]}\nendpoints"
+    duplicate = "    - {name: edge-1, shared_keys: [edge.key], rules: [{tag: x, class: status, destination: y}]}\nendpoints"
     assert any(
-        "edge-1 is listed more than once" in one
-        for one in problems(write_settings(tmp_path, VALID_SETTINGS.replace("endpoints", twice, 1)))
+        "edge-1 is listed more than once" in text
+        for text in problems(write_settings(tmp_path, VALID_SETTINGS.replace("endpoints", duplicate, 1)))
     )
 
 
 @pytest.mark.parametrize(
-    ("listed", "words"),
+    ("listed", "problem"),
     [
         (
-            LIST.replace("forward://127.0.0.1:9", "http://127.0.0.1:9/x"),
+            LIST_YAML.replace("forward://127.0.0.1:9", "http://127.0.0.1:9/x"),
             "carries by forward, and its URL is http",
         ),
-        (LIST.replace("forward://127.0.0.1:9", "forward://127.0.0.1:9/path"), "forward://HOST[:PORT]"),
-        (LIST.replace("destination: c", "partner: c"), "partner 'c' is not in the settings"),
-        (LIST.replace("kind: collectors", "kind: other"), "kind 'other' is not in the settings"),
+        (LIST_YAML.replace("forward://127.0.0.1:9", "forward://127.0.0.1:9/path"), "forward://HOST[:PORT]"),
+        (LIST_YAML.replace("destination: c", "partner: c"), "partner 'c' is not in the settings"),
+        (LIST_YAML.replace("kind: collectors", "kind: other"), "kind 'other' is not in the settings"),
     ],
 )
-def test_bad_lists(tmp_path: Path, listed: str, words: str) -> None:
-    assert any(words in one for one in problems(write_settings(tmp_path, listed=listed)))
+def test_bad_lists(tmp_path: Path, listed: str, problem: str) -> None:
+    assert any(problem in text for text in problems(write_settings(tmp_path, listed=listed)))
 
 
 def test_settings_without_any_front_are_refused(tmp_path: Path) -> None:
@@ -166,12 +168,12 @@
 
 
 def test_a_port_in_use_is_reported(tmp_path: Path) -> None:
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        port = listener.getsockname()[1]
         path = write_settings(tmp_path, VALID_SETTINGS.replace("127.0.0.1:0", f"127.0.0.1:{port}"))
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "brassweir", "serve", str(path)],
             capture_output=True,
             text=True,
@@ -179,7 +181,7 @@
             check=False,
         )
     assert (
-        done.returncode == 1
-        and f"cannot listen on 127.0.0.1:{port}: " in done.stderr
-        and "None" not in done.stderr
+        process.returncode == 1
+        and f"cannot listen on 127.0.0.1:{port}: " in process.stderr
+        and "None" not in process.stderr
     )
--- a/tests/config/test_lines.py
+++ b/tests/config/test_lines.py
@@ -1,4 +1,4 @@
-"""The endpoint list as JSON lines: the checks of the YAML form, and every error with its line."""
+"""The endpoint list as JSON lines: the same checks as for YAML, and every error with its line."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 
 
 def config() -> Config:
+    """Return settings with a kind of webhooks, named "web"."""
     text = VALID_SETTINGS.replace("identity:", "kinds:\n  - {name: web, carrier: webhook}\nidentity:", 1)
     return parse_yaml(text.replace("may_send_to: [bank]", "may_send_to: [bank, 'hook*']"), Config, "s.yaml")
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "problem"),
     [
         ((b'"name":"h1"', b'"name":"h 1"'), ":1: name: "),
         ((b"http:", b"ftp:"), ":1: url: "),
@@ -40,17 +41,17 @@
         ((b'"h1"', b'"h1\\n"'), ":1: name: "),
     ],
 )
-def test_bad_lines(change: tuple[bytes, bytes], words: str) -> None:
+def test_bad_lines(change: tuple[bytes, bytes], problem: str) -> None:
     assert change[0] in LINE
     with pytest.raises(ConfigError) as caught:
         lines.parse(LINE.replace(*change, 1), "l.jsonl")
-    assert words in caught.value.problems[0]
+    assert problem in caught.value.problems[0]
 
 
 def test_every_bad_line_and_duplicate_name_is_reported() -> None:
     with pytest.raises(ConfigError) as caught:
         lines.parse(LINE + b"\n" + b"x\n" + LINE + b"[]\n", "l.jsonl")
-    assert [one.split(":")[1] for one in caught.value.problems] == ["3", "4", "5"]
+    assert [problem.split(":")[1] for problem in caught.value.problems] == ["3", "4", "5"]
     assert "is also on line 1" in caught.value.problems[1]
     with pytest.raises(ConfigError) as caught:
         lines.parse(b"x\n" * 1000, "l.jsonl")
@@ -74,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "problem"),
     [
         (LINE.replace(b'"web"', b'"none"'), "kind 'none' is not in the settings"),
         (LINE.replace(b'"destination":"hook 1"', b'"partner":"bank"'), "kind 'web' carries by webhook"),
@@ -83,11 +84,11 @@
         (LINE.replace(b"http:", b"https:"), "https is not served"),
     ],
 )
-def test_a_list_must_fit_the_settings(tmp_path: Path, line: bytes, words: str) -> None:
+def test_a_list_must_fit_the_settings(tmp_path: Path, line: bytes, problem: str) -> None:
     path = tmp_path / "l.jsonl"
     path.write_bytes(line)
     numbers = Numbers(config())
-    with pytest.raises(ConfigError, match=words):
+    with pytest.raises(ConfigError, match=problem):
         read_list(path, config(), numbers)
     assert not numbers.listed
 
