--- a/brassweir/config/lines.py
+++ b/brassweir/config/lines.py
@@ -18,7 +18,7 @@
 
 _URL = r"^(?:https?://[^\s/?#@]+(?:[/?][^\s#]*)?|forward://[^\s/?#@]+)\Z"
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,120}\Z")]
-_DestinationName = Annotated[str, msgspec.Meta(pattern=r"^[!-~](?:[ -~]{0,126}[!-~])?\Z")]
+_TargetName = Annotated[str, msgspec.Meta(pattern=r"^[!-~](?:[ -~]{0,126}[!-~])?\Z")]
 _PLAIN_URL = re.compile(r"[a-z]+://[A-Za-z0-9._-]+(?::(\d{1,5}))?(?:[/?]|\Z)")
 MAX_PROBLEMS = 20  # reported at once
 
@@ -28,8 +28,8 @@
 
     name: _Name
     url: Annotated[str, msgspec.Meta(pattern=_URL, max_length=2000)]
-    partner: _DestinationName | None = None
-    destination: _DestinationName | None = None
+    partner: _TargetName | None = None
+    destination: _TargetName | None = None
     kind: str = ""
     zone: str = ""
     state: Literal["ready", "draining", "gone"] = "ready"
--- a/brassweir/journal/compact.py
+++ b/brassweir/journal/compact.py
@@ -13,7 +13,7 @@
 from brassweir.journal.sizes import MIN_COMPACT_BYTES
 from brassweir.journal.state import JournalState, MessageState
 
-MAX_SIZE_RATIO = 2.0  # size of the journal by that of a snapshot; above it the journal is compacted
+MAX_SIZE_RATIO = 2.0  # journal size / snapshot size, above which the journal is compacted
 ENDED_BYTES = 200  # estimated size of an ended message in a snapshot
 
 
--- a/brassweir/journal/group.py
+++ b/brassweir/journal/group.py
@@ -9,7 +9,7 @@
 
 
 class JournalBroken(Exception):
-    """The journal can no longer be written or trusted: the process must end and act on no unwritten one."""
+    """The journal can no longer be written or trusted: the process must end without acting on it."""
 
 
 class JournalStalled(Exception):
--- a/brassweir/journal/writer.py
+++ b/brassweir/journal/writer.py
@@ -111,10 +111,10 @@
             self._try_rotate()
         return refused
 
-    def _failed(self, what: str, error: OSError) -> JournalBroken | JournalStalled:
+    def _failed(self, text: str, error: OSError) -> JournalBroken | JournalStalled:
         """Return the exception for a failed write, and remember to truncate the segment."""
         self.needs_truncate = True
-        return JournalStalled(f"{what}: {error}") if self.retry_writes else JournalBroken(f"{what}: {error}")
+        return JournalStalled(f"{text}: {error}") if self.retry_writes else JournalBroken(f"{text}: {error}")
 
     def _prepare_segment(self) -> None:
         """Begin a segment if none is open, and truncate what a failed write left. Raises as _rotate does."""
@@ -232,11 +232,11 @@
                 self.remove_file(temporary)
                 return
             raise JournalBroken(f"snapshot failed: {error}") from error
-        replaced = [one for one in self.older if int(one.partition(".")[0]) <= number]
+        replaced = [segment for segment in self.older if int(segment.partition(".")[0]) <= number]
         for segment in replaced:
             self.remove_file(segment)
             self.total_bytes -= self.sizes.pop(segment, 0)
-        self.older = [name, *(one for one in self.older if one not in replaced)]
+        self.older = [name, *(segment for segment in self.older if segment not in replaced)]
         self.sizes[name] = size
         self.total_bytes += size
 
