--- a/brassweir/journal/store.py
+++ b/brassweir/journal/store.py
@@ -78,7 +78,7 @@
         then: Callable[[], None],
         unable: Callable[[str], None],
     ) -> None:
-        """Keep one fact (see :class:`brassweir.core.ports.Store`)."""
+        """Store one fact (see :class:`brassweir.core.ports.Store`)."""
         if self.failed:
             return  # the engine must not go on: the fact will never be durable
         if self.stalled and fact is Fact.TAKEN:
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -70,8 +70,12 @@
     ):
         state.apply(record)
     kept = list(compact.live_records(state, 100.0, 60.0))
-    assert {one.id: len(one.content) for one in kept if isinstance(one, Taken)} == {1: 0, 2: 7, 4: 0}
-    assert next(one for one in kept if isinstance(one, Taken) and one.id == 1).ran == 5.0
+    assert {record.id: len(record.content) for record in kept if isinstance(record, Taken)} == {
+        1: 0,
+        2: 7,
+        4: 0,
+    }
+    assert next(record for record in kept if isinstance(record, Taken) and record.id == 1).ran == 5.0
     assert compact.should_compact(10 * MIN_COMPACT_BYTES, MIN_COMPACT_BYTES) and not compact.should_compact(
         MIN_COMPACT_BYTES, 0
     )
--- a/tests/journal/test_plan.py
+++ b/tests/journal/test_plan.py
@@ -58,10 +58,12 @@
 ) -> None:
     plan = planned(taken_record(1, cls), *records_after, wall=wall)
     if answer:
-        assert [one.final.answer for one in plan.answered] == [answer] and plan.answered[0].unpersisted
+        assert [message.final.answer for message in plan.answered] == [answer] and plan.answered[
+            0
+        ].unpersisted
         assert not plan.resumed
     else:
-        assert [one.left for one in plan.resumed] == [left] and not plan.answered
+        assert [message.left for message in plan.resumed] == [left] and not plan.answered
 
 
 @pytest.mark.parametrize(
@@ -82,8 +84,8 @@
         state.apply(record)
     near = api.MessageClass("near", 1000.0, 6000.0, api.Effect.KEYED, group="zone", window=5000.0)
     plan = recover.plan_recovery(state, (), {"near": near}, 700.0, 1e9, 100.0)
-    assert [one.final.answer for one in plan.answered] == answers and [
-        one.taken.id for one in plan.resumed
+    assert [message.final.answer for message in plan.answered] == answers and [
+        message.taken.id for message in plan.resumed
     ] == again
 
 
@@ -108,8 +110,10 @@
     known = {"note": api.MessageClass("note", 1000.0, 6000.0, effect, window=5000.0)}
     plan = recover.plan_recovery(state, (), known, 700.0, 1e9, 100.0)
     recover.end_keyless_messages(plan, known, 700.0)
-    assert [one.final.answer for one in plan.answered] == answers and len(plan.resumed) == 1 - len(answers)
-    assert all(one.receipt_pending and one.unpersisted for one in plan.answered)
+    assert [message.final.answer for message in plan.answered] == answers and len(plan.resumed) == 1 - len(
+        answers
+    )
+    assert all(message.receipt_pending and message.unpersisted for message in plan.answered)
 
 
 def test_answers_are_kept_for_the_retention_and_receipts_until_delivered() -> None:
@@ -129,16 +133,18 @@
         resubmitted,
         Final(2, "delivered", "", 0.0, 200.0),
     )
-    assert [(one.taken.id, one.final.answer) for one in plan.answered] == [(2, "delivered")]
+    assert [(message.taken.id, message.final.answer) for message in plan.answered] == [(2, "delivered")]
     plan = planned(taken_record(1, reply=b"reply"), Final(1, "refused", "", 0.0, 100.0), resubmitted)
-    assert not plan.answered and [one.taken.id for one in plan.resumed] == [2]
+    assert not plan.answered and [message.taken.id for message in plan.resumed] == [2]
 
 
 def test_a_message_before_a_hole_counts_as_may_have_run() -> None:
     hole = Hole("x", last_id=1)
     plan = planned(taken_record(1), taken_record(2), holes=(hole,))
-    assert [one.final.answer for one in plan.answered] == ["failed"]
-    assert [one.taken.id for one in plan.resumed] == [2], "a message accepted after the hole is not uncertain"
+    assert [message.final.answer for message in plan.answered] == ["failed"]
+    assert [message.taken.id for message in plan.resumed] == [2], (
+        "a message accepted after the hole is not uncertain"
+    )
     assert planned(taken_record(1, "safe"), holes=(hole,)).resumed
 
 
@@ -155,7 +161,7 @@
         Began(1600.0, "s"),
         Ended(10, 0, "w", "ok", 1700.0),
     )
-    assert [(one.endpoint, one.result, one.ago, one.wait) for one in plan.past][-1] == (
+    assert [(past.endpoint, past.result, past.ago, past.wait) for past in plan.past][-1] == (
         "w",
         Result.BUSY,
         500.0,
@@ -166,7 +172,7 @@
     entries = (api.EndpointInfo("e", 1, ""), api.EndpointInfo("w", 2, ""), api.EndpointInfo("n", 3, ""))
     news = [api.NewMessage(i, "safe", i, 5000.0) for i in (1, 2, 3)]
     actions = sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, entries), *plan.past, *news])
-    assert [one.endpoint for one in actions if isinstance(one, api.Send)] == ["n"], (
+    assert [action.endpoint for action in actions if isinstance(action, api.Send)] == ["n"], (
         "one circuit is open, one endpoint has a requested wait"
     )
     sent: list[float] = []
--- a/tests/journal/test_torn.py
+++ b/tests/journal/test_torn.py
@@ -34,7 +34,7 @@
 def planned_ids(result: Scan) -> tuple[list[int], list[int]]:
     """Return the ids of the messages that are resumed, and of those that end."""
     plan = recover.plan_recovery(result.state, result.holes, BY_NAME, 1000.0, 1e9, 0.0)
-    return [one.taken.id for one in plan.resumed], [one.taken.id for one in plan.answered]
+    return [message.taken.id for message in plan.resumed], [message.taken.id for message in plan.answered]
 
 
 @pytest.mark.parametrize("cut", [1, 5, 30, 60])
@@ -44,11 +44,11 @@
     run_process(disk, taken_record(1), taken_record(2, "key"), torn)
     size = len(frame.encode_frame(3, torn))
     disk.synced[FIRST] = disk.synced[FIRST][: -min(cut, size - 1)]
-    for more in (4, 5, 6):
+    for next_id in (4, 5, 6):
         result = scan(disk)
         assert result.problems == [] and result.holes == [] and result.torn_bytes == size - min(cut, size - 1)
-        assert planned_ids(result) == ([1, 2, *range(4, more)], []), "accepted messages are still resumed"
-        run_process(disk, taken_record(more))
+        assert planned_ids(result) == ([1, 2, *range(4, next_id)], []), "accepted messages are still resumed"
+        run_process(disk, taken_record(next_id))
 
 
 @pytest.mark.parametrize("left", [0, 7, frame.HEADER_BYTES - 1])
@@ -62,7 +62,7 @@
         name = run_process(disk).name
         disk.synced[name] = disk.synced[name][:left]
     assert run_process(disk, taken_record(9)) and not scan(disk).problems
-    assert planned_ids(scan(disk)) == ([*(one.id for one in before), 9], [])
+    assert planned_ids(scan(disk)) == ([*(accepted.id for accepted in before), 9], [])
 
 
 def truncate_record(data: bytes) -> bytes:
@@ -78,18 +78,18 @@
 
 
 @pytest.mark.parametrize("damage", [truncate_record, remove_record, flip_byte])
-@pytest.mark.parametrize("more", [[], [taken_record(2)]])
+@pytest.mark.parametrize("later_records", [[], [taken_record(2)]])
 def test_a_lost_record_that_was_complete_is_damage(
-    damage: Callable[[bytes], bytes], more: list[Record]
+    damage: Callable[[bytes], bytes], later_records: list[Record]
 ) -> None:
     """The next segment shows that the intent was complete, so it must not count as never written."""
     disk = SimStorage()
     run_process(disk, taken_record(1), Intent(1, 0, "e", 500.0))
-    run_process(disk, *more)
+    run_process(disk, *later_records)
     disk.synced[FIRST] = damage(disk.synced[FIRST])
     result = scan(disk)
     assert result.problems and result.holes[0].last_id == 1
-    assert planned_ids(result) == ([2] if more else [], [1])
+    assert planned_ids(result) == ([2] if later_records else [], [1])
 
 
 def test_repeated_crashes_cause_no_damage(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/journal/test_untried.py
+++ b/tests/journal/test_untried.py
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("past", "more"),
+    ("past", "options"),
     [
         ([], {}),
         ([], {"max_open": 4, "slots": 4}),  # more open messages than max_open
@@ -128,8 +128,8 @@
         ),
     ],
 )
-def test_all_resumed_messages_are_attempted(past: list[Record], more: dict[str, int]) -> None:
-    assert restarted(past, **more) == {"tried": more.get("count", 24)}
+def test_all_resumed_messages_are_attempted(past: list[Record], options: dict[str, int]) -> None:
+    assert restarted(past, **options) == {"tried": options.get("count", 24)}
 
 
 @pytest.mark.parametrize(
@@ -168,11 +168,11 @@
     ]:
         state.apply(record)
     plan = recover.plan_recovery(state, (), BY_NAME, NOW, 1e9, 0.0)
-    agos = [one.ago for one in plan.past]
+    agos = [past.ago for past in plan.past]
     assert agos == sorted(agos, reverse=True), "oldest first over all endpoints"
 
     def left(place: Callable[[str], object]) -> list[tuple[str, float]]:
-        return [(one.endpoint, one.ago) for one in recover.relevant_past(plan, place)]
+        return [(past.endpoint, past.ago) for past in recover.relevant_past(plan, place)]
 
     assert left(lambda name: name) == [("a", 1000.0), ("c", 990.0), ("a", 950.0), ("a", 900.0), ("b", 700.0)]
     assert left(lambda _: 1) == [("c", 990.0), ("a", 900.0), ("b", 700.0)], (
@@ -200,7 +200,7 @@
     for record in [*outcomes("a", *FAILS), *outcomes("a", *["moot", "cancelled"] * 6, ago=800.0)]:
         state.apply(record)
     assert [
-        one.result.value for one in recover.plan_recovery(state, (), BY_NAME, NOW, 1e9, 0.0).past
+        past.result.value for past in recover.plan_recovery(state, (), BY_NAME, NOW, 1e9, 0.0).past
     ] == list(FAILS)
 
 
--- a/tests/journal/test_windows.py
+++ b/tests/journal/test_windows.py
@@ -96,11 +96,11 @@
     records = STEPS[step]
     died = FIRST_INTENT_MS + (200.0 if len(records) > 3 else 100.0)
     carrier, answers = started(
-        (keyed(window),), records, died + down, pause, turn, lambda one: one.connects.append(connect)
+        (keyed(window),), records, died + down, pause, turn, lambda carrier: carrier.connects.append(connect)
     )
     first = FIRST_INTENT_MS + (200.0 if step == "unconnected first" else 0.0)
     at = died + down + pause + turn
-    assert all(one <= first + window for one, _ in carrier.written), "sent after the window"
+    assert all(sent_at <= first + window for sent_at, _ in carrier.written), "sent after the window"
     if at + connect + 300.0 < first + window:
         assert carrier.written, "there was time, but it was not sent"
     assert len(answers) == 1 and answers[0][0] <= FIRST_INTENT_MS + 6000.0 + 300.0
@@ -148,5 +148,5 @@
     ]
     for records, answer in cases:
         carrier, answers = started((pay,), list(records), FIRST_INTENT_MS + 700.0)
-        assert [one.answer for _, one in answers] == [answer]
+        assert [final.answer for _, final in answers] == [answer]
         assert len(carrier.written) == (answer is Answer.DELIVERED)
