--- a/brassweir/config/model/listing.py
+++ b/brassweir/config/model/listing.py
@@ -1,4 +1,4 @@
-"""The endpoint list."""
+"""The endpoint list in YAML."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
     rate: float = Field(0.0, ge=0, allow_inf_nan=False)
 
     @model_validator(mode="after")
-    def _one_home(self) -> Self:
+    def _check_target(self) -> Self:
         if (self.partner is None) == (self.destination is None):
             raise ValueError("an endpoint has either a partner or a destination")
         return self
 
 
 class EndpointList(Strict):
-    """The endpoint list: a file that is read again whenever it changes."""
+    """The endpoint list; its file is read again whenever it changes."""
 
     endpoints: tuple[EndpointModel, ...]
 
     @model_validator(mode="after")
-    def _once(self) -> Self:
+    def _check_names(self) -> Self:
         seen: set[str] = set()
-        for one in self.endpoints:
-            if one.name in seen:
-                raise ValueError(f"endpoint {one.name} stands more than once")
-            seen.add(one.name)
+        for endpoint in self.endpoints:
+            if endpoint.name in seen:
+                raise ValueError(f"endpoint {endpoint.name} is listed more than once")
+            seen.add(endpoint.name)
         return self
