--- a/benchmarks/capacity/events.py
+++ b/benchmarks/capacity/events.py
@@ -26,7 +26,7 @@
         "shown dead everywhere after {copy_lost_known} s; its messages until it is back, or its disk is",
         (
             "tests/peers/test_liveness.py::test_deaths_are_known_and_no_living_one_is_dead",
-            "tests/journal/test_crashes.py::test_a_crash_at_any_step_loses_doubles_and_retells_nothing",
+            "tests/journal/test_crashes.py::test_a_crash_at_any_step_loses_repeats_and_changes_no_answer",
         ),
     ),
     Event(
@@ -48,7 +48,7 @@
         "alive everywhere again after {zone_back_known} s also if a tenth starts at once",
         (
             "tests/peers/test_liveness.py::test_a_restarted_copy_is_alive_at_once_also_with_its_clock_set_back",
-            "tests/journal/test_crashes.py::test_a_crash_loop_that_falls_into_its_own_recoveries",
+            "tests/journal/test_crashes.py::test_crashes_during_recovery_are_recovered_from",
         ),
     ),
     Event(
--- a/tests/journal/test_crashes.py
+++ b/tests/journal/test_crashes.py
@@ -19,12 +19,12 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_crash_at_any_step_loses_doubles_and_retells_nothing(mode: str) -> None:
+def test_a_crash_at_any_step_loses_repeats_and_changes_no_answer(mode: str) -> None:
     result = sweep(SEED, COUNT, [mode], range(1 + MODES.index(mode), TOTAL + 1, 5))
     assert not result.problems and result.points > 30 and result.crashes >= result.points - 1
 
 
-def test_a_crash_loop_that_falls_into_its_own_recoveries() -> None:
+def test_crashes_during_recovery_are_recovered_from() -> None:
     result = sweep(2, COUNT, MODES, range(3, TOTAL + 1, 23), loops=10)
     assert not result.problems and result.crashes > 3 * result.points
 
