--- a/brassweir/net/body_budget.py
+++ b/brassweir/net/body_budget.py
@@ -1,48 +1,48 @@
-"""How many bytes of request bodies a server holds over all its connections, and who waits meanwhile. Pure."""
+"""Limits the request bytes that a server buffers over all connections, by pausing some of them. No I/O."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 
-class Reader(Protocol):
+class BodyReceiver(Protocol):
     """A connection that receives a body."""
 
-    def resume(self) -> None:
-        """Read on."""
+    def resume_reading(self) -> None:
+        """Resumes reading from the socket."""
 
 
 class BodyBudget:
-    """At most ``most`` bytes, and what had come of each body when its connection was stopped."""
+    """A budget of ``max_bytes``, exceeded at most by what each connection had received when it was paused."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.buffered = self.working = 0  # body bytes held: all, and those of requests being answered
-        self.receiving: set[Reader] = set()  # in the middle of a body, and reading
-        self.paused: dict[Reader, None] = {}  # the same, stopped: oldest first
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.buffered_bytes = self.answering_bytes = 0  # in memory: all, and of requests being handled
+        self.receiving: set[BodyReceiver] = set()  # within a body, and reading
+        self.paused: dict[BodyReceiver, None] = {}  # within a body, and paused; oldest first
 
-    def must_pause(self, connection: Reader) -> bool:
-        """Note that a connection is in the middle of a body; true if it is to stop reading for now.
+    def must_pause(self, connection: BodyReceiver) -> bool:
+        """Registers a connection within a body; returns whether it has to pause reading.
 
-        One may always go on unless requests being answered fill the budget by themselves: else bodies that
-        are each half here could wait for one another.
+        One connection may always read on, unless the requests being handled fill the budget by themselves.
+        This prevents a deadlock of half-received bodies that wait for one another.
         """
         self.receiving.add(connection)
-        alone = len(self.receiving) == 1 and self.working < self.most
-        if self.buffered < self.most or alone:
+        exempt = len(self.receiving) == 1 and self.answering_bytes < self.max_bytes
+        if self.buffered_bytes < self.max_bytes or exempt:
             return False
         self.receiving.discard(connection)
         self.paused[connection] = None
         return True
 
-    def settle(self, connection: Reader) -> None:
-        """A connection's body is whole, answered or gone: others may read on."""
+    def body_done(self, connection: BodyReceiver) -> None:
+        """Removes a connection whose body is complete, handled or lost, and resumes others within budget."""
         self.receiving.discard(connection)
         self.paused.pop(connection, None)
-        while self.paused and (self.buffered < self.most or not self.receiving):
-            if self.buffered >= self.most and self.working >= self.most:
+        while self.paused and (self.buffered_bytes < self.max_bytes or not self.receiving):
+            if self.buffered_bytes >= self.max_bytes and self.answering_bytes >= self.max_bytes:
                 return
             oldest = next(iter(self.paused))
             del self.paused[oldest]
             self.receiving.add(oldest)
-            oldest.resume()
+            oldest.resume_reading()
--- a/brassweir/net/connection.py
+++ b/brassweir/net/connection.py
@@ -1,7 +1,7 @@
-"""One connection to an endpoint, whatever is spoken on it, and honest endings of its calls.
+"""Protocol-independent client connections, and the exception that says how far a failed call came.
 
-What a caller must know of a failed call is whether it can have been read. So every failure tells how far the
-call came: nothing was written, something was written, or part of an answer had come.
+A caller may repeat a call only if the endpoint cannot have processed it. Every failure therefore carries a
+stage: nothing was written, the request was written in part or in full, or part of a response was received.
 """
 
 from __future__ import annotations
@@ -16,17 +16,18 @@
 class Stage(Enum):
     """How far a failed call came."""
 
-    CONNECT = "connect"  # no connection: not a byte was written
-    SENT = "sent"  # some byte of the request went out, none of an answer came
-    HEAD = "head"  # cut within the answer's head
-    BODY = "body"  # cut within the answer's body
-    GARBLED = "garbled"  # the answer is no HTTP, or over a limit
+    CONNECT = "connect"  # the endpoint cannot have received the complete request
+    SENT = "sent"  # the request may have been received; no byte of a response was
+    HEAD = "head"  # the response ended within its head
+    BODY = "body"  # the response ended within its body
+    GARBLED = "garbled"  # the response violates the protocol or exceeds a limit
 
 
 class CallFailed(Exception):
-    """A call without a whole answer. ``late``: its time ran out; else the peer or the path ended it.
+    """A call ended without a complete response.
 
-    ``kept``: the connection had carried calls before, so that its end says nothing of the peer now.
+    ``timed_out``: its deadline passed; otherwise the peer or the network ended it. ``reused``: the connection
+    had carried calls before, so the peer may only have closed it as idle.
     """
 
     def __init__(self, stage: Stage, reason: str, timed_out: bool = False, reused: bool = False) -> None:
@@ -34,46 +35,46 @@
         self.stage, self.reason, self.timed_out, self.reused = stage, reason, timed_out, reused
 
 
-class Owner(Protocol):
-    """The pool of a connection, as far as the connection knows it."""
+class ConnectionOwner(Protocol):
+    """What a connection needs of the pool it belongs to."""
 
     limits: Limits
 
-    def lost(self, connection: Connection) -> None:
-        """A connection that stood is gone."""
+    def connection_closed(self, connection: Connection) -> None:
+        """Removes an established connection that was closed."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection, one call at a time. What is spoken on it is a subclass's to know."""
+    """A client connection that carries one call at a time; subclasses implement the protocol."""
 
-    def __init__(self, pool: Owner, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, pool: ConnectionOwner, loop: asyncio.AbstractEventLoop) -> None:
         self.pool, self.loop = pool, loop
         self.transport: asyncio.Transport | None = None
         self.usable = False
-        self.standing = False  # set up, so that its end counts it out
+        self.established = False  # handshake done; the pool is notified when it closes
         self.stage = Stage.SENT
         self.timer: asyncio.TimerHandle | None = None
-        self.stale_at = float("inf")  # loop time from which the peer may have closed it
+        self.stale_at = float("inf")  # loop time, seconds; from then on the peer may have closed it as idle
 
     async def perform_handshake(self) -> None:
-        """What must pass before a first call; part of the set-up. Raises CallFailed."""
+        """Performs the protocol's handshake, if it has one, before the first call. Raises CallFailed."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
+        """Marks the connection as usable."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
         self.usable = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The peer, the path or we have ended it."""
+        """Fails the current call and notifies the pool, whichever side closed the connection."""
         self.usable = False
-        self.set_timer(None)
+        self.set_idle_timer(None)
         self.fail(CallFailed(self.stage, str(exc) if exc else "connection closed"))
-        if self.standing:
-            self.standing = False
-            self.pool.lost(self)
+        if self.established:
+            self.established = False
+            self.pool.connection_closed(self)
 
-    def fresh(self, now: float) -> bool:
-        """May a call go out on it? By the clock, and by what is known of the peer."""
+    def is_available(self, now: float) -> bool:
+        """Returns whether a call may be sent on this idle connection at loop time ``now`` (seconds)."""
         return (
             self.usable
             and now < self.stale_at
@@ -81,18 +82,18 @@
             and not self.transport.is_closing()
         )
 
-    def set_timer(self, span: float | None) -> None:
-        """Close after so long (ms) unused, or never."""
+    def set_idle_timer(self, timeout_ms: float | None) -> None:
+        """Closes the connection after ``timeout_ms`` without a call; None cancels the timer."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.call_later(span / 1000.0, self.drop) if span is not None else None
+        self.timer = self.loop.call_later(timeout_ms / 1000.0, self.drop) if timeout_ms is not None else None
 
     def drop(self) -> None:
-        """Close at once."""
+        """Aborts the connection."""
         self.usable = False
         if self.transport is not None:
             self.transport.abort()
 
     def fail(self, error: CallFailed) -> None:
-        """End the call in work, if there is one."""
+        """Ends the current call, if there is one, with ``error``."""
         raise NotImplementedError
--- a/brassweir/net/headers.py
+++ b/brassweir/net/headers.py
@@ -1,4 +1,4 @@
-"""Header fields as an ordered list of pairs, with the few questions that are asked of them."""
+"""Header fields as an ordered list of pairs."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class DuplicateHeader(ValueError):
-    """A field that may stand once stands more often, with different values."""
+    """A field that may occur once occurs several times with different values."""
 
 
 class Headers:
-    """Fields in the order received; names compare without case (RFC 9110, section 5.1)."""
+    """Fields in the order received; names are case-insensitive (RFC 9110, section 5.1)."""
 
     __slots__ = ("pairs",)
 
@@ -21,28 +21,28 @@
         return iter(self.pairs)
 
     def add(self, name: str, value: str) -> None:
-        """Append a field. Raises ValueError where a line end or NUL would split the head."""
+        """Appends a field. Raises ValueError on characters that allow header injection, or on a bad name."""
         if any(char in "\r\n\0" for char in name + value) or not name or ":" in name:
-            raise ValueError(f"header {name!r} cannot hold {value[:80]!r}")
+            raise ValueError(f"invalid header field {name!r} with value {value[:80]!r}")
         self.pairs.append((name, value))
 
     def all(self, name: str) -> list[str]:
-        """Every value of a field."""
+        """Returns every value of a field."""
         name = name.lower()
         return [value for field, value in self.pairs if field.lower() == name]
 
     def one(self, name: str, default: str = "") -> str:
-        """The value of a field that may stand once; raises DuplicateHeader if several differ."""
+        """Returns the value of a field that may occur once. Raises DuplicateHeader if values differ."""
         values = self.all(name)
         if len(set(values)) > 1:
-            raise DuplicateHeader(f"header {name} stands {len(values)} times")
+            raise DuplicateHeader(f"header {name} occurs {len(values)} times with different values")
         return values[0] if values else default
 
     def first(self, name: str, default: str = "") -> str:
-        """The first value, whatever else there is."""
+        """Returns the first value of a field, even if others differ."""
         return next(iter(self.all(name)), default)
 
-    def head(self, start: str) -> bytes:
-        """The head on the wire, from its start line to the empty line."""
+    def encode_head(self, start: str) -> bytes:
+        """Returns the head as bytes, from ``start``, its first line, to the empty line."""
         lines = [start, *(f"{name}: {value}" for name, value in self.pairs), "", ""]
         return "\r\n".join(lines).encode("latin-1")
--- a/brassweir/net/messages.py
+++ b/brassweir/net/messages.py
@@ -1,4 +1,4 @@
-"""What an HTTP/1.1 server hands its handler, and what it is given back."""
+"""The requests and responses of the HTTP/1.1 server, and the checks on a request's head."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from http import HTTPStatus
 
 from brassweir.net.headers import Headers
-from brassweir.net.parse import Incoming
+from brassweir.net.parse import IncomingMessage
 
 
 @dataclass(slots=True)
 class Request:
-    """One whole request. ``gone`` is set once its client has dropped the connection."""
+    """A complete request. ``disconnected`` is set once its connection is closed."""
 
     method: str
     path: str
     headers: Headers
     body: bytes
     peer: str
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 @dataclass(slots=True)
 class Response:
-    """What goes back; ``close`` ends the connection after it."""
+    """A response; ``close`` closes the connection after it."""
 
     status: int
     headers: Headers = field(default_factory=Headers)
@@ -35,34 +35,34 @@
 
 
 class Abort(Exception):
-    """A handler wants the connection cut, after these bytes and no more."""
+    """Raised by a handler to close the connection, after writing ``final_bytes`` if there are any."""
 
-    def __init__(self, last: bytes = b"") -> None:
-        super().__init__("cut by the handler")
-        self.last = last
+    def __init__(self, final_bytes: bytes = b"") -> None:
+        super().__init__("connection aborted by the handler")
+        self.final_bytes = final_bytes
 
 
 Handler = Callable[[Request], Awaitable[Response]]
-Complaint = Callable[[str, int, str], None]  # peer, status, reason
+ErrorReporter = Callable[[str, int, str], None]  # peer, status, reason
 
 
-def encoded(response: Response, keep: bool, bare: bool = False) -> bytes:
-    """One whole response as it is written; ``bare`` without its body, for HEAD."""
+def encode_response(response: Response, keep_alive: bool, omit_body: bool = False) -> bytes:
+    """Returns the response as bytes; ``omit_body`` leaves out the body, for HEAD requests."""
     headers = Headers(response.headers.pairs)
     headers.add("Date", formatdate(usegmt=True))
     headers.add("Content-Length", str(len(response.body)))
-    headers.add("Connection", "keep-alive" if keep else "close")
+    headers.add("Connection", "keep-alive" if keep_alive else "close")
     phrase = HTTPStatus(response.status).phrase
-    return headers.head(f"HTTP/1.1 {response.status} {phrase}") + (b"" if bare else response.body)
+    return headers.encode_head(f"HTTP/1.1 {response.status} {phrase}") + (b"" if omit_body else response.body)
 
 
-def fault_of(incoming: Incoming) -> tuple[int, str] | None:
-    """What is wrong with a request's head, as status and reason."""
-    headers = incoming.headers
-    if incoming.version == "1.1" and len(headers.all("host")) != 1:
+def head_error(message: IncomingMessage) -> tuple[int, str] | None:
+    """Returns the status and reason to reject a request's head with, or None if it is acceptable."""
+    headers = message.headers
+    if message.version == "1.1" and len(headers.all("host")) != 1:
         return 400, "one Host field is needed"
     codings = headers.all("transfer-encoding")
-    if codings and (incoming.version != "1.1" or [one.lower() for one in codings] != ["chunked"]):
+    if codings and (message.version != "1.1" or [coding.lower() for coding in codings] != ["chunked"]):
         return 501, "only chunked is served as transfer coding, and only in HTTP/1.1"
     if headers.first("expect").lower() not in ("", "100-continue"):
         return 417, "unknown expectation"
--- a/brassweir/net/parse.py
+++ b/brassweir/net/parse.py
@@ -1,6 +1,6 @@
-"""The part of parsing that server and client share: httptools' callbacks kept thin, sizes bounded.
+"""Reads HTTP/1.1 messages with httptools and limits their sizes, for server and client.
 
-httptools (llhttp in strict mode) itself refuses conflicting lengths, bare LF, folded fields and spaces before
+httptools (llhttp in strict mode) itself rejects conflicting lengths, bare LF, folded fields and spaces before
 the colon (RFC 9112, sections 2.2, 5, 6.3 and 11.2).
 """
 
@@ -16,15 +16,15 @@
 
 
 class TooLarge(Exception):
-    """A head or body is over its limit; ``status`` is the answer a server gives."""
+    """A head or body exceeds its limit; ``status`` is the one a server responds with."""
 
-    def __init__(self, what: str, status: int) -> None:
-        super().__init__(what)
+    def __init__(self, reason: str, status: int) -> None:
+        super().__init__(reason)
         self.status = status
 
 
-class Incoming:
-    """One message being received."""
+class IncomingMessage:
+    """A request or response while it is received."""
 
     __slots__ = (
         "body",
@@ -32,10 +32,10 @@
         "head_done",
         "head_size",
         "headers",
-        "keep",
-        "line",
+        "keep_alive",
         "method",
         "status",
+        "status_line_done",
         "target",
         "version",
     )
@@ -47,106 +47,114 @@
         self.head_size = 0
         self.method = self.version = ""
         self.status = 0
-        self.line = False  # an answer's first line came to its end
-        self.head_done = self.done = self.keep = False
+        self.status_line_done = False  # responses only
+        self.head_done = self.done = self.keep_alive = False
 
 
-class Feed:
-    """Callbacks for the life of one connection; whole and unfinished messages wait in ``queue``."""
+class MessageReader:
+    """Parser callbacks for one connection. ``queue`` holds complete messages, the last may be incomplete."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.queue: deque[Incoming] = deque()
+        self.queue: deque[IncomingMessage] = deque()
         self.error: TooLarge | None = None
-        self.parser: Any = None  # httptools' parser of requests or of answers, which has no types
-        self.unfinished = 0  # bytes fed since the present head began
+        self.parser: Any = None  # httptools' request or response parser, which has no type hints
+        self.unfinished_head_bytes = 0  # bytes fed since the current head began
 
     def feed(self, data: bytes) -> None:
-        """Parse on. Raises httptools' errors, and TooLarge once something is over its limit."""
+        """Parses the next bytes. Raises httptools' errors, and TooLarge if a limit is exceeded."""
         self.parser.feed_data(data)
         if self.error is not None:
             raise self.error
-        # One endless field reaches no callback before its end, so unfinished heads are counted here.
+        # Counted here, because an endless field would reach no callback.
         head_open = not self.queue or self.queue[-1].done or not self.queue[-1].head_done
-        self.unfinished = self.unfinished + len(data) if head_open and not self.whole else 0
-        if self.unfinished > self.limits.head_bytes:
+        self.unfinished_head_bytes = (
+            self.unfinished_head_bytes + len(data) if head_open and not self.complete else 0
+        )
+        if self.unfinished_head_bytes > self.limits.head_bytes:
             raise TooLarge("head over the limit", 431)
 
     @property
-    def whole(self) -> bool:
-        """Has the newest message ended?"""
+    def complete(self) -> bool:
+        """Whether the newest message is complete."""
         return bool(self.queue) and self.queue[-1].done
 
-    def _fail(self, what: str, status: int) -> None:
-        # Kept, not raised: the parser would wrap an exception raised in its callback.
-        self.error = self.error or TooLarge(what, status)
+    def _fail(self, reason: str, status: int) -> None:
+        # Stored and raised by feed(): the parser would wrap an exception raised in a callback.
+        self.error = self.error or TooLarge(reason, status)
 
     def on_message_begin(self) -> None:
-        """The first byte of a message."""
-        self.queue.append(Incoming())
+        """Starts a message at its first byte."""
+        self.queue.append(IncomingMessage())
 
     def on_status(self, _: bytes) -> None:
-        """Part of the reason phrase, and so the status."""
+        """Stores the status once a part of the reason phrase is received."""
         self.queue[-1].status = int(self.parser.get_status_code())
 
     def on_url(self, url: bytes) -> None:
-        """Part of the request target."""
-        now = self.queue[-1]
-        now.target += url
-        now.head_size += len(url)
-        if now.head_size > self.limits.head_bytes:
+        """Appends a part of the request target."""
+        message = self.queue[-1]
+        message.target += url
+        message.head_size += len(url)
+        if message.head_size > self.limits.head_bytes:
             self._fail("request line over the limit", 414)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One whole field."""
-        now = self.queue[-1]
-        now.head_size += len(name) + len(value) + 4
-        if now.head_size > self.limits.head_bytes or len(now.headers.pairs) >= self.limits.max_headers:
+        """Appends a complete header field."""
+        message = self.queue[-1]
+        message.head_size += len(name) + len(value) + 4
+        if (
+            message.head_size > self.limits.head_bytes
+            or len(message.headers.pairs) >= self.limits.max_headers
+        ):
             self._fail("header fields over the limit", 431)
-        elif not now.head_done:  # a trailer field changes nothing that was read from the head
-            now.headers.pairs.append((name.decode("latin-1"), value.decode("latin-1").strip()))
+        elif not message.head_done:  # trailer fields are ignored
+            message.headers.pairs.append((name.decode("latin-1"), value.decode("latin-1").strip()))
 
     def on_headers_complete(self) -> None:
-        """The head has ended."""
-        now = self.queue[-1]
-        now.head_done = True
-        now.version = self.parser.get_http_version()
+        """Ends the head; checks the declared length."""
+        message = self.queue[-1]
+        message.head_done = True
+        message.version = self.parser.get_http_version()
         if isinstance(self.parser, httptools.HttpRequestParser):
-            now.method = self.parser.get_method().decode("ascii")
+            message.method = self.parser.get_method().decode("ascii")
         else:
-            now.status = int(self.parser.get_status_code())
-        length = now.headers.first("content-length")
+            message.status = int(self.parser.get_status_code())
+        length = message.headers.first("content-length")
         if length.isdigit() and int(length) > self.limits.body_bytes:
             self._fail("body over the limit", 413)
 
     def on_body(self, part: bytes) -> None:
-        """Part of the body."""
-        now = self.queue[-1]
-        if len(now.body) + len(part) > self.limits.body_bytes:
+        """Appends a part of the body."""
+        message = self.queue[-1]
+        if len(message.body) + len(part) > self.limits.body_bytes:
             self._fail("body over the limit", 413)
         elif self.error is None:
-            now.body += part
+            message.body += part
 
     def on_message_complete(self) -> None:
-        """The body has ended."""
-        now = self.queue[-1]
+        """Marks the message as complete, unless it exceeds a limit."""
+        message = self.queue[-1]
         if self.error is not None:
-            return  # one over its limits was cut here: it never counts as whole
-        now.done = True
-        now.keep = self.parser.should_keep_alive()
+            return
+        message.done = True
+        message.keep_alive = self.parser.should_keep_alive()
 
 
-class Answers(Feed):
-    """The feed of a client. Each status line is parsed by itself, to know when it is whole: llhttp calls back
-    for parts of a reason phrase, and not for an empty one."""
+class ResponseReader(MessageReader):
+    """A client's reader, which also records whether a status line is complete.
+
+    It feeds each status line separately: llhttp has no callback for the end of that line, nor for an empty
+    reason phrase.
+    """
 
     def feed(self, data: bytes) -> None:
-        """Parse on, as Feed does."""
+        """Parses the next bytes, with the errors of MessageReader.feed."""
         at = 0
         while at < len(data):
-            now = self.queue[-1] if self.queue else None
-            known = now is not None and now.line and now.status >= 200
-            end = len(data) if known else data.find(b"\n", at) + 1 or len(data)
+            message = self.queue[-1] if self.queue else None
+            status_known = message is not None and message.status_line_done and message.status >= 200
+            end = len(data) if status_known else data.find(b"\n", at) + 1 or len(data)
             piece, at = data[at:end], end
             try:
                 super().feed(piece)
@@ -154,4 +162,4 @@
                     self.queue[-1].status = int(self.parser.get_status_code())
             finally:
                 if self.queue and piece.endswith(b"\n"):
-                    self.queue[-1].line = True
+                    self.queue[-1].status_line_done = True
--- a/brassweir/net/pool.py
+++ b/brassweir/net/pool.py
@@ -1,4 +1,4 @@
-"""The connection pool of one endpoint, whatever is spoken there, and what all pools share."""
+"""A protocol-independent connection pool for one endpoint, and the interface of a limiter over all pools."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 from brassweir.net.connection import CallFailed, Connection, Stage
 from brassweir.net.limits import Limits
 
-# The system itself is short of something: no sign of the destination's health.
-SHORT = frozenset({errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM})
-COST_GAIN = 0.3  # weight of a new set-up time in its mean: some three are remembered
-RETRY = 0.02  # seconds until a set-up that met such a shortage is tried again
+# Local shortages of descriptors, ports or memory; they say nothing about the endpoint's health.
+SHORTAGE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM})
+SETUP_WEIGHT = 0.3  # weight of the newest set-up in the exponential moving average
+SHORTAGE_RETRY_SECONDS = 0.02
 
 
 class ResourceShortage(Exception):
-    """A set-up failed for want of a descriptor or port of ours."""
+    """A connection could not be opened because this host lacks a descriptor, port or memory."""
 
 
-class Freed(Exception):
-    """While a call waited to set a connection up, one that stands became free."""
+class ConnectionFreed(Exception):
+    """An established connection became idle while a call waited for permission to open another one."""
 
 
 class Limiter:
-    """What pools share; this one sets no limits. All is told of every connection and call."""
+    """Limits connections over all pools and is notified of connections and calls; this base has no limits."""
 
     @asynccontextmanager
-    async def room(self, pool: ConnectionPool) -> AsyncIterator[None]:
-        """Hold room for one more connection while it is set up; it keeps it if this ends well. Waits by
-        :meth:`ConnectionPool.stand`, which may raise Freed."""
+    async def reserve(self, pool: ConnectionPool) -> AsyncIterator[None]:
+        """Reserves capacity for one connection, kept unless the block raises. Raises ConnectionFreed."""
         yield
 
-    def closed(self, pool: ConnectionPool) -> None:
-        """A connection is gone."""
+    def connection_closed(self, pool: ConnectionPool) -> None:
+        """Records that an established connection was closed."""
 
-    def busy(self, pool: ConnectionPool) -> None:
-        """A connection carries a call."""
+    def call_started(self, pool: ConnectionPool) -> None:
+        """Records that a connection became busy."""
 
-    def idle(self, pool: ConnectionPool) -> None:
-        """A connection carries none any more."""
+    def call_ended(self, pool: ConnectionPool) -> None:
+        """Records that a connection is no longer busy."""
 
     def report_shortage(self) -> None:
-        """The system has no descriptor or port left."""
+        """Records a local shortage of descriptors, ports or memory."""
 
-    def left(self, pool: ConnectionPool) -> None:
-        """A call or connection of the pool has ended."""
+    def forget_if_unused(self, pool: ConnectionPool) -> None:
+        """Drops the pool if it has neither calls nor connections left."""
 
 
 class ConnectionPool:
-    """Connections to one endpoint.
+    """The connections to one endpoint.
 
-    ``cap`` bounds those open at once, ``idle`` (ms) is how long one is kept unused: shorter than the peer
-    keeps it, or calls meet its closing. ``tls`` is the seam for a later direction.
+    An idle connection is closed after ``idle_ms``, which must be shorter than the endpoint's own timeout:
+    otherwise calls meet connections that the endpoint is closing. ``connect_ms`` limits the wait for a
+    connection, including its set-up.
     """
 
     def __init__(
@@ -64,143 +64,144 @@
         address: Address,
         limits: Limits,
         max_connections: int,
-        idle: float,
+        idle_ms: float,
         connect_ms: float,
         tls: SSLContext | None = None,
         limiter: Limiter | None = None,
     ) -> None:
         if address.tls and tls is None:
-            raise ValueError("https endpoints need a TLS context, which this version does not make")
+            raise ValueError("https endpoints require a TLS context, which this version does not create")
         self.address, self.limits, self.tls = address, limits, tls
-        self.max_connections, self.idle_ms, self.connect_ms = max_connections, idle, connect_ms
+        self.max_connections, self.idle_ms, self.connect_ms = max_connections, idle_ms, connect_ms
         self.idle: deque[Connection] = deque()
-        self.open = 0  # connections, those being made included
-        self.waiting: deque[asyncio.Future[None]] = deque()  # calls for which the cap has no room
-        self.entering: dict[asyncio.Future[bool], None] = {}  # those that the limiter holds up
-        self.made = self.calls = 0  # connections and calls so far
-        self.users = 0  # calls under way, those that wait for a connection included
+        self.open = 0  # connections, including those being set up
+        self.waiters: deque[asyncio.Future[None]] = deque()  # calls that wait because of max_connections
+        self.limiter_waiters: dict[asyncio.Future[bool], None] = {}  # calls that wait for the limiter
+        self.connections_made = self.calls_made = 0
+        self.active_calls = 0  # including calls that wait for a connection
         self.limiter = limiter or Limiter()
-        self.cost = 1.0  # ms that setting up a connection took lately
+        self.setup_ms = 1.0  # exponential moving average of the time to set up a connection
 
     @asynccontextmanager
     async def acquire(
-        self, deadline: float, begin: float | None = None, go: Callable[[], bool] = lambda: True
+        self, deadline: float, start_by: float | None = None, may_start: Callable[[], bool] = lambda: True
     ) -> AsyncIterator[Connection]:
-        """A connection for one call, which is over by ``deadline`` (loop time, seconds). Raises CallFailed.
+        """Yields a connection for one call that ends by ``deadline`` (loop time, seconds).
 
-        Past ``begin``, or where ``go`` says no, none is given: a call whose caller has given it up, or called
-        it back while it waited here, must not go out all the same. Nothing is repeated here: whether a call
-        may go again is not this layer's to say.
+        Raises CallFailed at ``start_by`` (loop time) or if ``may_start`` returns False, so that a call
+        abandoned or cancelled while it waited is not sent. Never retries: the caller decides on repeats.
         """
         loop = asyncio.get_running_loop()
-        self.calls += 1
-        self.users += 1
+        self.calls_made += 1
+        self.active_calls += 1
         try:
-            first = deadline if begin is None else min(begin, deadline)
-            connection = await self._take(loop, first)
-            self.limiter.busy(self)
+            latest_start = deadline if start_by is None else min(start_by, deadline)
+            connection = await self._obtain(loop, latest_start)
+            self.limiter.call_started(self)
             try:
-                if loop.time() >= first:
+                if loop.time() >= latest_start:
                     raise CallFailed(
-                        Stage.CONNECT, "its time was over before it could be written", timed_out=True
+                        Stage.CONNECT, "time ran out before the request was written", timed_out=True
                     )
-                if not go():
-                    raise CallFailed(Stage.CONNECT, "called back before anything was written")
+                if not may_start():
+                    raise CallFailed(Stage.CONNECT, "cancelled before anything was written")
                 yield connection
             finally:
-                self._give_back(connection)
-                self.limiter.idle(self)  # it may close the connection in favour of another pool
-                self._offer()
+                self._release(connection)
+                self.limiter.call_ended(self)  # may close the connection in favour of another pool
+                self._wake_waiter()
         finally:
-            self.users -= 1
-            self.limiter.left(self)
+            self.active_calls -= 1
+            self.limiter.forget_if_unused(self)
 
     def new_connection(self, loop: asyncio.AbstractEventLoop) -> Connection:
-        """A connection of the protocol that is spoken here, not yet open."""
+        """Returns a connection of this pool's protocol that is not open yet."""
         raise NotImplementedError
 
-    def close_idle(self, most: int | None = None) -> int:
-        """Close unused connections, the oldest first, at most so many, and return how many."""
-        count = len(self.idle) if most is None else min(most, len(self.idle))
+    def close_idle(self, max_count: int | None = None) -> int:
+        """Closes idle connections, least recently used first, and returns how many."""
+        count = len(self.idle) if max_count is None else min(max_count, len(self.idle))
         for _ in range(count):
             self.idle.popleft().drop()
         return count
 
-    async def stand(self, turn: asyncio.Future[bool]) -> None:
-        """Wait in a line of the limiter. Raises Freed once there is no need to."""
-        self.entering[turn] = None
+    async def wait_for_turn(self, turn: asyncio.Future[bool]) -> None:
+        """Waits for the limiter to set ``turn``. Raises ConnectionFreed if it is set to False."""
+        self.limiter_waiters[turn] = None
         try:
             if not await turn:
-                raise Freed
+                raise ConnectionFreed
         finally:
-            del self.entering[turn]
+            del self.limiter_waiters[turn]
 
-    async def _take(self, loop: asyncio.AbstractEventLoop, deadline: float) -> Connection:
-        until = min(loop.time() + self.connect_ms / 1000.0, deadline)
-        line = self.waiting.append
+    async def _obtain(self, loop: asyncio.AbstractEventLoop, deadline: float) -> Connection:
+        connect_deadline = min(loop.time() + self.connect_ms / 1000.0, deadline)
+        enqueue = self.waiters.append
         try:
             while True:
-                connection = self._free(loop.time())
+                connection = self._pop_idle(loop.time())
                 if connection is not None:
                     return connection
                 if self.open < self.max_connections:
-                    with suppress(Freed):
-                        return await self._connect(loop, until)
+                    with suppress(ConnectionFreed):
+                        return await self._connect(loop, connect_deadline)
                     continue
                 turn: asyncio.Future[None] = loop.create_future()
-                line(turn)
-                line = self.waiting.appendleft  # woken for nothing, it keeps its place
+                enqueue(turn)
+                enqueue = self.waiters.appendleft  # a waiter woken in vain keeps its place
                 try:
-                    async with asyncio.timeout_at(until):
+                    async with asyncio.timeout_at(connect_deadline):
                         await turn
                 except TimeoutError:
                     raise CallFailed(Stage.CONNECT, "no free connection in time", timed_out=True) from None
                 finally:
-                    if turn in self.waiting:
-                        self.waiting.remove(turn)
+                    if turn in self.waiters:
+                        self.waiters.remove(turn)
         except BaseException:
-            self._offer()  # it may have been woken in the very turn in which it left
+            self._wake_waiter()  # this call may have been woken in the turn in which it failed
             raise
 
-    def _free(self, now: float) -> Connection | None:
+    def _pop_idle(self, now: float) -> Connection | None:
         while self.idle:
-            connection = self.idle.pop()  # the one used last: the peer closes it last
-            # By the clock and not only by the timer, which a loop that stood still fires late.
-            if connection.fresh(now):
-                connection.set_timer(None)
+            connection = self.idle.pop()  # the most recently used: the peer closes it last
+            # Checks the clock too, because a blocked event loop fires the idle timer late.
+            if connection.is_available(now):
+                connection.set_idle_timer(None)
                 return connection
             connection.drop()
         return None
 
-    async def _connect(self, loop: asyncio.AbstractEventLoop, until: float) -> Connection:
+    async def _connect(self, loop: asyncio.AbstractEventLoop, connect_deadline: float) -> Connection:
         self.open += 1
         connection = self.new_connection(loop)
-        begun = False
+        dialing = False
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(connect_deadline):
                 while True:
                     try:
-                        async with self.limiter.room(self):
-                            begun = True
-                            before = loop.time()
+                        async with self.limiter.reserve(self):
+                            dialing = True
+                            started_at = loop.time()
                             await self._dial(loop, connection)
                             await connection.perform_handshake()
                             if not connection.usable:
-                                raise CallFailed(Stage.CONNECT, "closed during its set-up")
-                            connection.standing = True
-                            self.made += 1
-                            self.cost += COST_GAIN * ((loop.time() - before) * 1000.0 - self.cost)
+                                raise CallFailed(Stage.CONNECT, "connection closed during its set-up")
+                            connection.established = True
+                            self.connections_made += 1
+                            self.setup_ms += SETUP_WEIGHT * (
+                                (loop.time() - started_at) * 1000.0 - self.setup_ms
+                            )
                             return connection
                     except ResourceShortage:
                         self.limiter.report_shortage()
-                        await asyncio.sleep(RETRY)
+                        await asyncio.sleep(SHORTAGE_RETRY_SECONDS)
         except BaseException as error:
             connection.drop()
-            self._closed()
+            self._count_closed()
             if isinstance(error, TimeoutError):
-                reason = "connect timed out" if begun else "no room for another connection in time"
+                reason = "connect timed out" if dialing else "no capacity for another connection in time"
                 raise CallFailed(Stage.CONNECT, reason, timed_out=True) from None
-            if isinstance(error, CallFailed):  # it was not let in: nothing of a message was written
+            if isinstance(error, CallFailed):  # the handshake failed: no part of a call was written
                 raise CallFailed(Stage.CONNECT, error.reason, error.timed_out) from None
             if isinstance(error, OSError):
                 raise CallFailed(Stage.CONNECT, error.strerror or str(error)) from None
@@ -212,38 +213,38 @@
                 lambda: connection, self.address.host, self.address.port, ssl=self.tls
             )
         except OSError as error:
-            if error.errno in SHORT:
+            if error.errno in SHORTAGE_ERRNOS:
                 raise ResourceShortage from None
             raise
 
-    def _give_back(self, connection: Connection) -> None:
+    def _release(self, connection: Connection) -> None:
         if connection.usable:
             self.idle.append(connection)
             connection.stale_at = connection.loop.time() + self.idle_ms / 1000.0
-            connection.set_timer(self.idle_ms)
+            connection.set_idle_timer(self.idle_ms)
         else:
             connection.drop()
 
-    def lost(self, connection: Connection) -> None:
-        """A connection that stood is gone."""
+    def connection_closed(self, connection: Connection) -> None:
+        """Removes an established connection that was closed."""
         if connection in self.idle:
             self.idle.remove(connection)
-        self.limiter.closed(self)
-        self._closed()
+        self.limiter.connection_closed(self)
+        self._count_closed()
 
-    def _closed(self) -> None:
+    def _count_closed(self) -> None:
         self.open -= 1
-        self._offer()
-        self.limiter.left(self)
+        self._wake_waiter()
+        self.limiter.forget_if_unused(self)
 
-    def _offer(self) -> None:
-        """Wake one that waits, if a connection is free or there is room for one."""
-        while self.waiting and (self.idle or self.open < self.max_connections):
-            turn = self.waiting.popleft()
+    def _wake_waiter(self) -> None:
+        """Wakes one waiting call if a connection is idle or may be opened."""
+        while self.waiters and (self.idle or self.open < self.max_connections):
+            turn = self.waiters.popleft()
             if not turn.done():
                 turn.set_result(None)
                 return
-        for entry in self.entering if self.idle else ():
-            if not entry.done():
-                entry.set_result(False)
+        for waiter in self.limiter_waiters if self.idle else ():
+            if not waiter.done():
+                waiter.set_result(False)
                 return
--- a/brassweir/net/pool_manager.py
+++ b/brassweir/net/pool_manager.py
@@ -1,4 +1,4 @@
-"""What the connections to all endpoints share: one budget, and one line for those being set up."""
+"""Manages the connection pools of all endpoints under one connection budget and one set-up queue."""
 
 from __future__ import annotations
 
@@ -18,77 +18,85 @@
 
 
 class PoolManager(Limiter):
-    """The pools of all endpoints in use, under one budget of connections and one line for set-ups.
+    """The pools of all endpoints in use, under one connection budget and one queue for set-ups.
 
-    A pool without connections and calls is forgotten: an endpoint that is not used costs nothing here.
+    A pool without connections and calls is removed, so that an unused endpoint takes no memory here.
     """
 
     def __init__(
         self,
         limits: Limits,
         connections_per_endpoint: int,
-        idle: float,
+        idle_ms: float,
         connect_ms: float,
         budget: ConnectionBudget | None = None,
         setups: SetupQueue | None = None,
-        settling: frozenset[int] = frozenset(),
+        decisive_statuses: frozenset[int] = frozenset(),
     ) -> None:
-        self.settling = settling  # see Pool
+        self.decisive_statuses = decisive_statuses  # see HttpPool
         self.limits, self.connections_per_endpoint, self.idle_ms, self.connect_ms = (
             limits,
             connections_per_endpoint,
-            idle,
+            idle_ms,
             connect_ms,
         )
         self.budget, self.setups = budget or ConnectionBudget(1_000_000), setups or SetupQueue(1_000_000)
         self.pools: dict[str, ConnectionPool] = {}
-        self.urls: dict[ConnectionPool, str] = {}
-        self.rooms: dict[asyncio.Future[bool], str] = {}  # requests that found the budget spent, in order
-        self.turns: dict[int, asyncio.Future[bool]] = {}  # tickets in the line for set-ups
+        self.keys: dict[ConnectionPool, str] = {}
+        self.budget_waiters: dict[asyncio.Future[bool], str] = {}  # waiting for budget, in order
+        self.setup_waiters: dict[int, asyncio.Future[bool]] = {}  # waiting to start a set-up, by ticket
 
     def http_pool(self, url: str, name: str = "") -> HttpPool:
-        """The pool of an endpoint over HTTP; ``name`` keeps apart endpoints that follow each other at one
-        address. Raises ValueError on a bad URL."""
-        pool = self.pool(url, _http, name)
-        assert isinstance(pool, HttpPool)  # a URL's scheme says what is spoken there
+        """Returns the HTTP pool of an endpoint, created on first use. Raises ValueError on a bad URL.
+
+        ``name`` separates the pools of endpoints that use the same address one after another.
+        """
+        pool = self.pool(url, _make_http_pool, name)
+        assert isinstance(pool, HttpPool)  # the URL's scheme determines the protocol
         return pool
 
-    def pool(self, url: str, make: PoolFactory, name: str = "") -> ConnectionPool:
-        """The pool of an endpoint, made by ``make`` if there is none. Raises ValueError on a bad URL."""
+    def pool(self, url: str, factory: PoolFactory, name: str = "") -> ConnectionPool:
+        """Returns the pool of an endpoint, created by ``factory`` if there is none.
+
+        Raises ValueError on a bad URL.
+        """
         key = f"{url} {name}" if name else url
         pool = self.pools.get(key)
         if pool is None:
-            pool = self.pools[key] = make(Address.parse(url), self)
-            self.urls[pool] = key
+            pool = self.pools[key] = factory(Address.parse(url), self)
+            self.keys[pool] = key
         return pool
 
     def close_idle(self, url: str, name: str = "") -> int:
-        """Close the unused connections of an endpoint."""
+        """Closes the idle connections to an endpoint and returns how many."""
         pool = self.pools.get(f"{url} {name}" if name else url)
         return pool.close_idle() if pool is not None else 0
 
     def close_all_idle(self) -> None:
-        """Close all that is unused."""
+        """Closes the idle connections of all pools."""
         for pool in list(self.pools.values()):
             pool.close_idle()
 
-    # ---- as the pools' limiter
+    # ---- Limiter
 
     @asynccontextmanager
-    async def room(self, pool: ConnectionPool) -> AsyncIterator[None]:
-        """Wait for room in the budget and for a turn, and hold both while a connection is set up."""
-        url, loop = self.urls[pool], asyncio.get_running_loop()
-        if not self._grant(url, loop.time()):
-            await self._wait(pool, url, loop)
-        standing = False
-        good: bool | None = None  # one that left the line, or met our own shortage, tells nothing
-        ticket = self.setups.enqueue(url, pool.open > 1, loop.time() * 1000.0)
-        turn = self.turns[ticket] = loop.create_future()
+    async def reserve(self, pool: ConnectionPool) -> AsyncIterator[None]:
+        """Waits for budget and for a set-up slot, and holds both while a connection is set up.
+
+        The budget stays taken after a successful set-up, until :meth:`connection_closed`.
+        """
+        key, loop = self.keys[pool], asyncio.get_running_loop()
+        if not self._reserve_budget(key, loop.time()):
+            await self._wait_for_budget(pool, key, loop)
+        established = False
+        succeeded: bool | None = None  # None after a cancelled wait or a local shortage
+        ticket = self.setups.enqueue(key, pool.open > 1, loop.time() * 1000.0)
+        turn = self.setup_waiters[ticket] = loop.create_future()
         try:
-            self._turn()
-            await pool.stand(turn)
+            self._start_setups()
+            await pool.wait_for_turn(turn)
             yield
-            standing = good = True
+            established = succeeded = True
         except BaseException as error:
             if (
                 turn.done()
@@ -96,89 +104,93 @@
                 and turn.result()
                 and not isinstance(error, ResourceShortage)
             ):
-                good = False
+                succeeded = False
             raise
         finally:
-            self.turns.pop(ticket, None)
-            self.setups.done(ticket, good, loop.time() * 1000.0)
-            self._turn()
-            if not standing:
-                self.budget.closed(url)
-                self._room()
-
-    def _grant(self, url: str, now: float) -> bool:
-        step = self.budget.request(url, now * 1000.0)
-        if step.evict is not None and step.evict in self.pools:
-            self.pools[step.evict].close_idle(1)
-        if step.granted:
-            self.budget.opened(url)
-        return step.granted
-
-    async def _wait(self, pool: ConnectionPool, url: str, loop: asyncio.AbstractEventLoop) -> None:
+            self.setup_waiters.pop(ticket, None)
+            self.setups.done(ticket, succeeded, loop.time() * 1000.0)
+            self._start_setups()
+            if not established:
+                self.budget.closed(key)
+                self._wake_budget_waiters()
+
+    def _reserve_budget(self, key: str, now: float) -> bool:
+        permit = self.budget.request(key, now * 1000.0)
+        if permit.evict is not None and permit.evict in self.pools:
+            self.pools[permit.evict].close_idle(1)
+        if permit.granted:
+            self.budget.opened(key)
+        return permit.granted
+
+    async def _wait_for_budget(self, pool: ConnectionPool, key: str, loop: asyncio.AbstractEventLoop) -> None:
         turn: asyncio.Future[bool] = loop.create_future()
-        self.rooms[turn] = url
+        self.budget_waiters[turn] = key
         try:
-            await pool.stand(turn)
+            await pool.wait_for_turn(turn)
         except BaseException:
-            if self.rooms.pop(turn, None) is None and turn.result():  # granted just as it left
-                self.budget.closed(url)
-                self._room()
+            # It may have been granted in the loop turn in which this call was cancelled or timed out.
+            if self.budget_waiters.pop(turn, None) is None and turn.result():
+                self.budget.closed(key)
+                self._wake_budget_waiters()
             raise
 
-    def _turn(self) -> None:
+    def _start_setups(self) -> None:
         while (ticket := self.setups.next_ticket()) is not None:
-            turn = self.turns.get(ticket)
+            turn = self.setup_waiters.get(ticket)
             if turn is not None and not turn.done():
                 turn.set_result(True)
 
-    def _room(self) -> None:
-        """Ask again for all that wait: one behind may use what the first in line may not. Those whose pool
-        has a free connection are sent back to it; should another call take that first, they ask anew."""
-        if not self.rooms:
+    def _wake_budget_waiters(self) -> None:
+        """Retries the budget request of every waiter: a later one may be allowed what an earlier one is not.
+
+        A waiter whose pool has an idle connection is woken to use that one, and requests budget again if
+        another call takes it first.
+        """
+        if not self.budget_waiters:
             return
-        now, refused, freed = asyncio.get_running_loop().time(), set[str](), Counter[str]()
-        for turn, url in list(self.rooms.items()):
-            if turn.done() or url in refused:
+        now, refused, offered = asyncio.get_running_loop().time(), set[str](), Counter[str]()
+        for turn, key in list(self.budget_waiters.items()):
+            if turn.done() or key in refused:
                 continue
-            free = freed[url] < len(self.pools[url].idle)
-            freed[url] += free
-            if free or self._grant(url, now):
-                del self.rooms[turn]
-                turn.set_result(not free)
+            has_idle = offered[key] < len(self.pools[key].idle)
+            offered[key] += has_idle
+            if has_idle or self._reserve_budget(key, now):
+                del self.budget_waiters[turn]
+                turn.set_result(not has_idle)
             else:
-                refused.add(url)
+                refused.add(key)
 
-    def closed(self, pool: ConnectionPool) -> None:
-        """A connection is gone."""
-        self.budget.closed(self.urls[pool])
-        self._room()
+    def connection_closed(self, pool: ConnectionPool) -> None:
+        """Returns an established connection's share of the budget."""
+        self.budget.closed(self.keys[pool])
+        self._wake_budget_waiters()
 
-    def busy(self, pool: ConnectionPool) -> None:
-        """A connection carries a call."""
-        self.budget.busy(self.urls[pool])
+    def call_started(self, pool: ConnectionPool) -> None:
+        """Marks one connection of the pool as busy in the budget."""
+        self.budget.busy(self.keys[pool])
 
-    def idle(self, pool: ConnectionPool) -> None:
-        """A connection carries none any more."""
-        self.budget.idle(self.urls[pool], pool.cost)
-        self._room()
+    def call_ended(self, pool: ConnectionPool) -> None:
+        """Marks one connection of the pool as idle in the budget."""
+        self.budget.idle(self.keys[pool], pool.setup_ms)
+        self._wake_budget_waiters()
 
     def report_shortage(self) -> None:
-        """The system has no descriptor or port left."""
+        """Shrinks the budget after a local shortage, and closes an idle connection if there is one."""
         victim = self.budget.shortage(asyncio.get_running_loop().time() * 1000.0)
         if victim is not None and victim in self.pools:
             self.pools[victim].close_idle(1)
 
-    def left(self, pool: ConnectionPool) -> None:
-        """Forget a pool that nobody uses."""
-        if not pool.users and not pool.open:
-            url = self.urls.pop(pool, None)
-            if url is not None and self.pools.get(url) is pool:
-                del self.pools[url]
+    def forget_if_unused(self, pool: ConnectionPool) -> None:
+        """Drops the pool if it has neither calls nor connections left."""
+        if not pool.active_calls and not pool.open:
+            key = self.keys.pop(pool, None)
+            if key is not None and self.pools.get(key) is pool:
+                del self.pools[key]
 
 
-def _http(address: Address, pools: PoolManager) -> ConnectionPool:
+def _make_http_pool(address: Address, pools: PoolManager) -> ConnectionPool:
     pool = HttpPool(
         address, pools.limits, pools.connections_per_endpoint, pools.idle_ms, pools.connect_ms, limiter=pools
     )
-    pool.settling = pools.settling
+    pool.decisive_statuses = pools.decisive_statuses
     return pool
--- a/brassweir/net/server.py
+++ b/brassweir/net/server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server as an asyncio protocol: one request at a time per connection, all of it bounded.
+"""An HTTP/1.1 server as an asyncio protocol, which handles one request at a time per connection.
 
-Back-pressure both ways: reading stops while a request is being answered and while bodies held over all
-connections are over budget; a peer that does not read what we write is cut off after a time.
+Backpressure: a connection is not read while its request is being handled, or while the request bodies of all
+connections exceed their budget. A client that does not read its response is disconnected after a timeout.
 """
 
 from __future__ import annotations
@@ -11,24 +11,26 @@
 
 from brassweir.net.body_budget import BodyBudget
 from brassweir.net.limits import Limits
-from brassweir.net.messages import Abort, Complaint, Handler, Request, Response
+from brassweir.net.messages import Abort, ErrorReporter, Handler, Request, Response
 from brassweir.net.server_connection import ServerConnection
 
-__all__ = ["Abort", "Complaint", "Handler", "Request", "Response", "Server"]
+__all__ = ["Abort", "ErrorReporter", "Handler", "Request", "Response", "Server"]
 
 
 class Server:
-    """Listens, and holds what all its connections share."""
+    """Accepts connections and holds the state they share."""
 
-    def __init__(self, handler: Handler, limits: Limits, complain: Complaint = lambda *_: None) -> None:
-        self.handler, self.limits, self.complain = handler, limits, complain
+    def __init__(
+        self, handler: Handler, limits: Limits, report_error: ErrorReporter = lambda *_: None
+    ) -> None:
+        self.handler, self.limits, self.report_error = handler, limits, report_error
         self.connections: set[ServerConnection] = set()
-        self.bodies = BodyBudget(limits.buffered_bytes)
+        self.body_budget = BodyBudget(limits.buffered_bytes)
         self.listener: asyncio.Server | None = None
         self.draining = False
 
     async def listen(self, host: str, port: int, tls: SSLContext | None = None) -> int:
-        """Start to listen and return the port; ``tls`` is the seam for a later direction."""
+        """Starts to listen and returns the port."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: ServerConnection(self, loop), host, port, ssl=tls, backlog=1024
@@ -36,7 +38,7 @@
         return int(self.listener.sockets[0].getsockname()[1])
 
     def drain(self) -> None:
-        """Take no new connection, close idle ones, and close each other one after its answer."""
+        """Stops listening, closes idle connections, and closes the others after their next response."""
         self.draining = True
         if self.listener is not None:
             self.listener.close()
@@ -44,7 +46,7 @@
             connection.close_if_idle()
 
     def abort(self) -> None:
-        """Drop every connection."""
+        """Stops listening and aborts every connection."""
         self.drain()
         for connection in list(self.connections):
             connection.drop()
--- a/tests/net/peers.py
+++ b/tests/net/peers.py
@@ -1,4 +1,4 @@
-"""Endpoints on loopback whose every step a test chooses, and pools to call them with."""
+"""Endpoints on loopback that a test controls step by step, and the connection pools that call them."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
 
-def on(
+def run_on(
     loop: Callable[[], asyncio.AbstractEventLoop], work: Coroutine[Any, Any, _T], seconds: float = 20.0
 ) -> _T:
-    """Run on this kind of loop; a test that hangs fails."""
+    """Runs ``work`` on this kind of loop; fails after a timeout."""
 
     async def bounded() -> _T:
         async with asyncio.timeout(seconds):
@@ -38,170 +38,182 @@
         return runner.run(bounded())
 
 
-async def until(true: Callable[[], bool], seconds: float = 2.0) -> None:
-    """Let the loop turn until this holds. Raises TimeoutError."""
+async def wait_until(condition: Callable[[], bool], seconds: float = 2.0) -> None:
+    """Waits until ``condition`` holds. Raises TimeoutError."""
     async with asyncio.timeout(seconds):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-async def ending(task: asyncio.Task[Reply]) -> int | tuple[Stage, bool]:
-    """How a call ended: its status, or how far it came and whether its time ran out."""
+async def outcome_of(task: asyncio.Task[Reply]) -> int | tuple[Stage, bool]:
+    """Returns a call's status, or the stage of its failure and whether it timed out."""
     try:
         return (await task).status
-    except CallFailed as failed:
-        return failed.stage, failed.timed_out
+    except CallFailed as failure:
+        return failure.stage, failure.timed_out
 
 
-class End:
-    """The endpoint's end of one connection."""
+class EndpointConnection:
+    """The endpoint's side of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def request(self, short: int = 0) -> bytes:
-        """A request's body, but for its last so many bytes."""
+    async def request(self, omit: int = 0) -> bytes:
+        """Reads a request and returns its body, without waiting for the last ``omit`` bytes."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
-        return await self.reader.readexactly(length - short)
+        return await self.reader.readexactly(length - omit)
 
     def write(self, data: bytes) -> None:
-        """Send at once."""
+        """Sends bytes."""
         self.writer.write(data)
 
     def close(self) -> None:
-        """Close in good order."""
+        """Closes the connection."""
         self.writer.close()
 
     def reset(self) -> None:
-        """Cut, with a reset."""
+        """Resets the connection."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
-class Scene:
-    """Endpoints by number, and the pools that call them."""
+class Rig:
+    """Numbered endpoints and the pools that call them."""
 
     def __init__(self, pools: PoolManager) -> None:
         self.pools = pools
         self.servers: list[asyncio.Server] = []
-        self.came: list[asyncio.Queue[End]] = []
+        self.accepted: list[asyncio.Queue[EndpointConnection]] = []
         self.tasks: list[asyncio.Task[Reply]] = []
 
     async def endpoint(self) -> int:
-        """One more endpoint; its number."""
-        queue: asyncio.Queue[End] = asyncio.Queue()
+        """Starts another endpoint and returns its number."""
+        queue: asyncio.Queue[EndpointConnection] = asyncio.Queue()
 
-        def came(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            queue.put_nowait(End(reader, writer))
+        def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            queue.put_nowait(EndpointConnection(reader, writer))
 
-        self.servers.append(await asyncio.start_server(came, "127.0.0.1", 0))
-        self.came.append(queue)
+        self.servers.append(await asyncio.start_server(on_connection, "127.0.0.1", 0))
+        self.accepted.append(queue)
         return len(self.servers) - 1
 
     def pool(self, number: int = 0) -> HttpPool:
-        """The pool of an endpoint."""
+        """Returns the pool of an endpoint."""
         return self.pools.http_pool(f"http://127.0.0.1:{self.servers[number].sockets[0].getsockname()[1]}/x")
 
     def call(
-        self, number: int = 0, seconds: float = 2.0, hold: float = 0.0, body: bytes = b"body"
+        self, number: int = 0, seconds: float = 2.0, hold_seconds: float = 0.0, body: bytes = b"body"
     ) -> asyncio.Task[Reply]:
-        """Begin a call."""
-        over = asyncio.get_running_loop().time() + seconds
-        task = asyncio.ensure_future(self.pool(number).post(Headers(), body, over, over, hold=hold))
+        """Starts a call."""
+        deadline = asyncio.get_running_loop().time() + seconds
+        task = asyncio.ensure_future(
+            self.pool(number).post(Headers(), body, deadline, deadline, hold_seconds=hold_seconds)
+        )
         self.tasks.append(task)
         return task
 
-    async def accept(self, number: int = 0) -> End:
-        """The next connection to an endpoint."""
+    async def accept(self, number: int = 0) -> EndpointConnection:
+        """Returns the next connection to an endpoint."""
         async with asyncio.timeout(2.0):
-            return await self.came[number].get()
-
-    async def serve(self, number: int = 0) -> End:
-        """Take the next connection and the request on it; its answer is the test's to give."""
-        end = await self.accept(number)
-        await end.request()
-        return end
-
-    def seam(self, change: Callable[[Connection], object], pool: HttpPool | None = None) -> None:
-        """Change the next connection that a pool makes, before it is dialled."""
+            return await self.accepted[number].get()
+
+    async def serve(self, number: int = 0) -> EndpointConnection:
+        """Accepts the next connection and reads its request; the test sends the response."""
+        endpoint = await self.accept(number)
+        await endpoint.request()
+        return endpoint
+
+    def patch_next_connection(
+        self, change: Callable[[Connection], object], pool: HttpPool | None = None
+    ) -> None:
+        """Applies ``change`` to the next connection that a pool creates, before it is opened."""
         pool = pool or self.pool()
-        make = pool.new_connection
+        original = pool.new_connection
 
-        def made(loop: asyncio.AbstractEventLoop) -> Connection:
-            pool.new_connection = make  # type: ignore[method-assign]
-            connection = make(loop)
+        def patched(loop: asyncio.AbstractEventLoop) -> Connection:
+            pool.new_connection = original  # type: ignore[method-assign]
+            connection = original(loop)
             change(connection)
             return connection
 
-        pool.new_connection = made  # type: ignore[method-assign]
+        pool.new_connection = patched  # type: ignore[method-assign]
 
-    def counts(self) -> dict[str, object]:
-        """All that is counted and not zero."""
+    def nonzero_counts(self) -> dict[str, object]:
+        """Returns every counter and collection that should be empty in the end and is not."""
         pools = self.pools
         budget, setups = pools.budget, pools.setups
-        found: dict[str, object] = {
+        counts: dict[str, object] = {
             "budget": budget.open,
             "holders": budget.holders,
-            "rooms": pools.rooms,
-            "turns": pools.turns,
-            "out": setups.active,
+            "budget_waiters": pools.budget_waiters,
+            "setup_waiters": pools.setup_waiters,
+            "active": setups.active,
             "waking": setups.waking,
-            "lines": [line for line in setups.queues.values() if line],
+            "queues": [queue for queue in setups.queues.values() if queue],
             "pools": [
                 vars(pool)
                 for pool in pools.pools.values()
-                if pool.open or pool.users or pool.waiting or pool.idle or pool.entering
+                if pool.open or pool.active_calls or pool.waiters or pool.idle or pool.limiter_waiters
             ],
         }
-        return {name: value for name, value in found.items() if value}
+        return {name: value for name, value in counts.items() if value}
 
-    async def ended(self) -> None:
-        """Wait for the calls, close what is unused; then all counts are zero again."""
+    async def assert_all_released(self) -> None:
+        """Waits for all calls and closes idle connections; fails unless all counters return to zero."""
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.pools.close_all_idle()
         try:
-            await until(lambda: not self.counts(), 1.0)
+            await wait_until(lambda: not self.nonzero_counts(), 1.0)
         except TimeoutError:
-            raise AssertionError(f"still counted: {self.counts()}") from None
+            raise AssertionError(f"still counted: {self.nonzero_counts()}") from None
 
 
 @asynccontextmanager
-async def scene(
+async def open_rig(
     endpoints: int = 1,
     *,
-    cap: int = 4,
-    idle: float = 5000.0,
-    connect: float = 300.0,
+    max_connections: int = 4,
+    idle_ms: float = 5000.0,
+    connect_ms: float = 300.0,
     budget: int = 100,
-    places: int = 100,
-    settling: frozenset[int] = frozenset({200}),
-) -> AsyncIterator[Scene]:
-    """Endpoints and pools; at the end, all counts must be zero again."""
-    made = Scene(
-        PoolManager(LIMITS, cap, idle, connect, ConnectionBudget(budget), SetupQueue(places), settling)
+    setups: int = 100,
+    decisive_statuses: frozenset[int] = frozenset({200}),
+) -> AsyncIterator[Rig]:
+    """Yields a rig; fails at the end unless all counters have returned to zero."""
+    rig = Rig(
+        PoolManager(
+            LIMITS,
+            max_connections,
+            idle_ms,
+            connect_ms,
+            ConnectionBudget(budget),
+            SetupQueue(setups),
+            decisive_statuses,
+        )
     )
     try:
         for _ in range(endpoints):
-            await made.endpoint()
-        yield made
-        await made.ended()
+            await rig.endpoint()
+        yield rig
+        await rig.assert_all_released()
     finally:
-        for task in made.tasks:
+        for task in rig.tasks:
             task.cancel()
-        for server in made.servers:
+        for server in rig.servers:
             server.close()
 
 
-def after(of: object, name: str, then: Callable[[], object]) -> None:
-    """Once, right behind the next call of a method: the seam at which a crossing is forced."""
-    was = getattr(of, name)
+def after_next_call(target: object, name: str, action: Callable[[], object]) -> None:
+    """Runs ``action`` once, right after the next call of a method, to force a race."""
+    original = getattr(target, name)
 
-    def both(*given: Any) -> Any:
-        setattr(of, name, was)
-        result = was(*given)
-        then()
+    def wrapper(*args: Any) -> Any:
+        setattr(target, name, original)
+        result = original(*args)
+        action()
         return result
 
-    setattr(of, name, both)
+    setattr(target, name, wrapper)
--- a/tests/net/raw_peer.py
+++ b/tests/net/raw_peer.py
@@ -1,4 +1,4 @@
-"""A peer that answers the client with given bytes."""
+"""A peer that sends given bytes as responses, and a pool that calls it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 
 
 async def with_peer(
-    peer: Peer, work: Callable[[HttpPool], Awaitable[object]], *, cap: int = 4, idle: float = 500.0
+    peer: Peer,
+    work: Callable[[HttpPool], Awaitable[object]],
+    *,
+    max_connections: int = 4,
+    idle_ms: float = 500.0,
 ) -> object:
     async def guard(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -26,7 +30,7 @@
 
     server = await asyncio.start_server(guard, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    pool = HttpPool(Address.parse(f"http://127.0.0.1:{port}/x"), LIMITS, cap, idle, 300.0)
+    pool = HttpPool(Address.parse(f"http://127.0.0.1:{port}/x"), LIMITS, max_connections, idle_ms, 300.0)
     try:
         return await work(pool)
     finally:
@@ -40,11 +44,11 @@
     return await reader.readexactly(length)
 
 
-def answering(*raws: bytes) -> Peer:
+def respond_with(*responses: bytes) -> Peer:
     async def peer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        for raw in raws:
+        for response in responses:
             await request(reader)
-            writer.write(raw)
+            writer.write(response)
             await writer.drain()
 
     return peer
--- a/tests/net/server_client.py
+++ b/tests/net/server_client.py
@@ -1,4 +1,4 @@
-"""A handler that sees requests, and raw sockets that send them."""
+"""A recording handler for the server, and raw sockets that send requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from brassweir.net.limits import Limits
 from brassweir.net.server import Abort, Request, Response, Server
 
-SMALL = Limits(
+SMALL_LIMITS = Limits(
     head_bytes=2000,
     max_headers=20,
     body_bytes=5000,
@@ -20,38 +20,44 @@
 )
 
 
-class Seen:
-    """An echoing handler that keeps what came."""
+class RecordingHandler:
+    """An echo handler that records requests and reported errors."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
-        self.complaints: list[tuple[int, str]] = []
-        self.gate: asyncio.Event | None = None
+        self.errors: list[tuple[int, str]] = []
+        self.release: asyncio.Event | None = None
 
     async def __call__(self, request: Request) -> Response:
         self.requests.append(request)
-        if self.gate is not None:
-            await self.gate.wait()
+        if self.release is not None:
+            await self.release.wait()
         if request.path == "/boom":
             raise RuntimeError("a fault")
         if request.path == "/abort":
             raise Abort(b"HTTP/1.1 2")
         return Response(200, body=request.body)
 
-    def complain(self, peer: str, status: int, reason: str) -> None:
-        self.complaints.append((status, reason))
+    def report_error(self, peer: str, status: int, reason: str) -> None:
+        self.errors.append((status, reason))
 
 
-async def talk(
-    raw: bytes, seen: Seen, limits: Limits = SMALL, *, pieces: int = 1, eof: bool = False, wait: float = 3.0
+async def exchange(
+    raw: bytes,
+    handler: RecordingHandler,
+    limits: Limits = SMALL_LIMITS,
+    *,
+    pieces: int = 1,
+    eof: bool = False,
+    wait: float = 3.0,
 ) -> bytes:
-    server = Server(seen, limits, seen.complain)
+    server = Server(handler, limits, handler.report_error)
     port = await server.listen("127.0.0.1", 0)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         step = max(1, len(raw) // pieces)
-        for at in range(0, len(raw), step):
-            writer.write(raw[at : at + step])
+        for start in range(0, len(raw), step):
+            writer.write(raw[start : start + step])
             await writer.drain()
             if pieces > 1:
                 await asyncio.sleep(0.001)
@@ -67,7 +73,8 @@
 
 
 def post(body: bytes = b"abc", extra: str = "", path: str = "/", close: bool = True) -> bytes:
-    shut = "Connection: close\r\n" if close else ""
+    connection = "Connection: close\r\n" if close else ""
     return (
-        f"POST {path} HTTP/1.1\r\nHost: a\r\n{shut}{extra}Content-Length: {len(body)}\r\n\r\n".encode() + body
+        f"POST {path} HTTP/1.1\r\nHost: a\r\n{connection}{extra}Content-Length: {len(body)}\r\n\r\n".encode()
+        + body
     )
--- a/tests/net/test_answers.py
+++ b/tests/net/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that stop short, never end, or come as time runs out: what their first line says, if it came whole."""
+"""Truncated, endless and late responses: only a complete, decisive status line still yields a reply."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from brassweir.net import client
 from brassweir.net.client import Stage
 from brassweir.net.connection import Connection
-from tests.net.peers import LOOPS, OK, after, ending, on, scene
+from tests.net.peers import LOOPS, OK, after_next_call, open_rig, outcome_of, run_on
 
 Loop = Callable[[], asyncio.AbstractEventLoop]
-both = pytest.mark.parametrize("loop", LOOPS)
+both_loops = pytest.mark.parametrize("loop", LOOPS)
 HEAD = OK[:-4]
-LINES: list[tuple[bytes, int | Stage]] = [
+TRUNCATED_RESPONSES: list[tuple[bytes, int | Stage]] = [
     (b"HTTP/1.1 200 OK\r\n", 200),
     (b"HTTP/1.1 200 \r\n", 200),
     (b"HTTP/1.1 200\r\n", 200),
@@ -42,40 +42,40 @@
 ]
 
 
-def bytewise(connection: Connection) -> None:
-    """It reads single bytes."""
-    whole = connection.data_received
+def deliver_bytewise(connection: Connection) -> None:
+    """Makes the connection receive its data byte by byte."""
+    original = connection.data_received
 
-    def each(data: bytes) -> None:
-        for at in range(len(data)):
-            whole(data[at : at + 1])
+    def deliver_each_byte(data: bytes) -> None:
+        for i in range(len(data)):
+            original(data[i : i + 1])
 
-    connection.data_received = each  # type: ignore[method-assign]
+    connection.data_received = deliver_each_byte  # type: ignore[method-assign]
 
 
-@both
-@pytest.mark.parametrize(("raw", "told"), LINES)
+@both_loops
+@pytest.mark.parametrize(("raw", "expected"), TRUNCATED_RESPONSES)
 @pytest.mark.parametrize("cut", ["closed", "reset", "closed, byte by byte"])
-def test_an_answer_that_stops_short_is_told_by_its_first_line_if_that_came_whole(
-    loop: Loop, raw: bytes, told: int | Stage, cut: str
+def test_truncated_response_ends_with_a_complete_decisive_status_line(
+    loop: Loop, raw: bytes, expected: int | Stage, cut: str
 ) -> None:
     async def work() -> None:
-        async with scene() as at:
+        async with open_rig() as rig:
             if cut == "closed, byte by byte":
-                at.seam(bytewise)
-            call = at.call(hold=0.001)
-            end = await at.serve()
-            end.write(raw)
+                rig.patch_next_connection(deliver_bytewise)
+            call = rig.call(hold_seconds=0.001)
+            peer = await rig.serve()
+            peer.write(raw)
             if cut == "reset":
-                end.reset()
+                peer.reset()
             else:
-                end.close()
-            assert await ending(call) == (told if isinstance(told, int) else (told, False))
+                peer.close()
+            assert await outcome_of(call) == (expected if isinstance(expected, int) else (expected, False))
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-ENDLESS: list[tuple[bytes, bytes, int | tuple[Stage, bool]]] = [
+ENDLESS_RESPONSES: list[tuple[bytes, bytes, int | tuple[Stage, bool]]] = [
     (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", b"x", 200),
     (b"HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\n", b"x", (Stage.GARBLED, False)),
     (b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nx\r\n", (Stage.GARBLED, False)),
@@ -89,32 +89,32 @@
 ]
 
 
-@both
-@pytest.mark.parametrize(("head", "again", "told"), ENDLESS)
-def test_an_answer_that_never_ends_is_cut(
-    loop: Loop, head: bytes, again: bytes, told: int | tuple[Stage, bool]
+@both_loops
+@pytest.mark.parametrize(("head", "repeated", "expected"), ENDLESS_RESPONSES)
+def test_endless_response_is_cut(
+    loop: Loop, head: bytes, repeated: bytes, expected: int | tuple[Stage, bool]
 ) -> None:
     async def work() -> None:
-        async with scene() as at:
-            call = at.call(seconds=0.4)
-            end = await at.serve()
-            end.write(head)
+        async with open_rig() as rig:
+            call = rig.call(seconds=0.4)
+            peer = await rig.serve()
+            peer.write(head)
             while not call.done():
-                end.write(again * (1000 // len(again)))
+                peer.write(repeated * (1000 // len(repeated)))
                 await asyncio.sleep(0)
-                if not end.writer.transport.is_closing():
-                    await end.writer.drain()
-            assert await ending(call) == told
+                if not peer.writer.transport.is_closing():
+                    await peer.writer.drain()
+            assert await outcome_of(call) == expected
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-# ---- the moment in which time runs out
+# ---- at the deadline
 
 
-@both
+@both_loops
 @pytest.mark.parametrize(
-    ("raw", "told"),
+    ("raw", "expected"),
     [
         (b"HTTP/1.1 200 OK\r\n", 200),
         (b"HTTP/1.1 200\r\nX", 200),
@@ -122,37 +122,39 @@
         (b"HTTP/1.1 503 No\r\n", (Stage.HEAD, True)),
     ],
 )
-def test_a_first_line_that_is_there_as_time_runs_out_is_told(
-    loop: Loop, raw: bytes, told: int | tuple[Stage, bool], monkeypatch: pytest.MonkeyPatch
+def test_decisive_status_line_received_before_the_deadline_counts(
+    loop: Loop, raw: bytes, expected: int | tuple[Stage, bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client, "SETTLED", 60.0)  # it is the call's own time that ends it
+    monkeypatch.setattr(client, "GRACE_SECONDS", 60.0)  # so that the deadline ends the call
 
     async def work() -> None:
-        async with scene() as at:
-            call = at.call(seconds=0.25)
-            end = await at.serve()
-            end.write(raw)
-            assert await ending(call) == told
+        async with open_rig() as rig:
+            call = rig.call(seconds=0.25)
+            peer = await rig.serve()
+            peer.write(raw)
+            assert await outcome_of(call) == expected
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-@both
-def test_an_answer_read_in_the_turn_in_which_time_runs_out_counts(loop: Loop) -> None:
+@both_loops
+def test_response_read_in_the_loop_turn_of_the_deadline_counts(loop: Loop) -> None:
     async def work() -> None:
-        async with scene() as at:
-            over = time.monotonic() + 0.3
-
-            def stand_still() -> None:
-                time.sleep(max(0.0, over - time.monotonic()) + 0.005)
-
-            if loop is LOOPS[0]:  # it fires its timers, reads, and then runs what is ready
-                at.seam(lambda connection: after(connection, "data_received", stand_still))
-            call = at.call(seconds=0.3)
-            end = await at.serve()
-            end.write(OK)
-            if loop is not LOOPS[0]:  # it reads, fires its timers, and then runs what is ready
-                stand_still()
-            assert await ending(call) == 200
-
-    on(loop, work())
+        async with open_rig() as rig:
+            deadline = time.monotonic() + 0.3
+
+            def block_loop() -> None:
+                time.sleep(max(0.0, deadline - time.monotonic()) + 0.005)
+
+            if loop is LOOPS[0]:  # uvloop: timers, then reads, then ready callbacks
+                rig.patch_next_connection(
+                    lambda connection: after_next_call(connection, "data_received", block_loop)
+                )
+            call = rig.call(seconds=0.3)
+            peer = await rig.serve()
+            peer.write(OK)
+            if loop is not LOOPS[0]:  # asyncio: reads, then timers, then ready callbacks
+                block_loop()
+            assert await outcome_of(call) == 200
+
+    run_on(loop, work())
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -1,4 +1,4 @@
-"""The client: every way a call can end, told by how far it came."""
+"""How calls of the client end, and which stage a failure reports."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from brassweir.net.client import Address, CallFailed, HttpPool, Reply, Stage
 from brassweir.net.headers import DuplicateHeader, Headers
 from tests.conftest import run
-from tests.net.raw_peer import LIMITS, answering, ok, post, request, with_peer
+from tests.net.raw_peer import LIMITS, ok, post, request, respond_with, with_peer
 
 
 @pytest.mark.parametrize(
@@ -22,8 +22,8 @@
         (b"HTTP/1.1 204 No Content\r\n\r\n", 204, b""),
     ],
 )
-def test_whole_answers(raw: bytes, status: int, body: bytes) -> None:
-    reply = run(with_peer(answering(raw), post))
+def test_complete_responses(raw: bytes, status: int, body: bytes) -> None:
+    reply = run(with_peer(respond_with(raw), post))
     assert isinstance(reply, Reply) and (reply.status, reply.body) == (status, body)
 
 
@@ -39,13 +39,13 @@
         (b"HTTP/1.1 200 OK\r\nX: " + b"y" * 3000 + b"\r\n\r\n", Stage.GARBLED),
     ],
 )
-def test_answers_that_are_none(raw: bytes, stage: Stage) -> None:
+def test_incomplete_or_invalid_responses(raw: bytes, stage: Stage) -> None:
     with pytest.raises(CallFailed) as caught:
-        run(with_peer(answering(raw), post))
+        run(with_peer(respond_with(raw), post))
     assert caught.value.stage is stage and not caught.value.timed_out
 
 
-def test_time_runs_out_while_connected_and_the_connection_is_not_used_again() -> None:
+def test_timed_out_connection_is_not_reused() -> None:
     async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await request(reader)
         await asyncio.sleep(0.3)
@@ -61,9 +61,9 @@
     assert run(with_peer(hang, work)) == (0, 0)
 
 
-def test_nobody_listens_and_nobody_answers_the_knock() -> None:
+def test_connection_refused() -> None:
     async def work() -> list[tuple[Stage, bool]]:
-        found = []
+        failures = []
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
@@ -71,10 +71,10 @@
         pool = HttpPool(Address.parse(f"http://127.0.0.1:{port}/"), LIMITS, 1, 100.0, 200.0)
         try:
             await post(pool)
-        except CallFailed as failed:
-            found.append((failed.stage, failed.timed_out))
+        except CallFailed as failure:
+            failures.append((failure.stage, failure.timed_out))
         assert pool.open == 0
-        return found
+        return failures
 
     assert run(work()) == [(Stage.CONNECT, False)]
 
@@ -92,12 +92,12 @@
         "http://a/\r\nX: y",
     ],
 )
-def test_urls_that_are_none(url: str) -> None:
+def test_invalid_urls(url: str) -> None:
     with pytest.raises(ValueError):
         Address.parse(url)
 
 
-def test_headers_split_no_head_and_do_not_contradict_themselves() -> None:
+def test_headers_reject_injection_and_contradictory_values() -> None:
     headers = Headers()
     for name, value in (("A", "x\r\nB: y"), ("A\r\n", "x"), ("", "x"), ("A:", "x"), ("A", "\0")):
         with pytest.raises(ValueError):
--- a/tests/net/test_early.py
+++ b/tests/net/test_early.py
@@ -1,4 +1,4 @@
-"""Crossings of a call with bytes that are none of its answer, and with the connection's end before it was whole."""
+"""Races between a call and bytes that are not its response, or a close before the request is complete."""
 
 from __future__ import annotations
 
@@ -13,54 +13,62 @@
 
 from brassweir.net.client import CallFailed, Stage
 from brassweir.net.headers import Headers
-from tests.net.peers import LOOPS, OK, End, Scene, after, ending, on, scene, until
+from tests.net.peers import (
+    LOOPS,
+    OK,
+    EndpointConnection,
+    Rig,
+    after_next_call,
+    open_rig,
+    outcome_of,
+    run_on,
+    wait_until,
+)
 
 Loop = Callable[[], asyncio.AbstractEventLoop]
-both = pytest.mark.parametrize("loop", LOOPS)
+both_loops = pytest.mark.parametrize("loop", LOOPS)
 HEAD, REST = OK[:-4], OK[-4:]
 
 
-async def settled(at: Scene, kept: bool) -> End | None:
-    """One whole call, so that the next one goes on a kept connection, if that is wanted."""
-    if not kept:
+async def keep_idle_connection(rig: Rig, reused_connection: bool) -> EndpointConnection | None:
+    """Makes a complete call if the next one is to reuse its connection."""
+    if not reused_connection:
         return None
-    at.call()
-    end = await at.serve()
-    end.write(OK)
-    await until(lambda: bool(at.pool().idle))
-    return end
+    rig.call()
+    peer = await rig.serve()
+    peer.write(OK)
+    await wait_until(lambda: bool(rig.pool().idle))
+    return peer
 
 
-@both
-@pytest.mark.parametrize("kept", [False, True])
+@both_loops
+@pytest.mark.parametrize("reused_connection", [False, True])
 @pytest.mark.parametrize(
     ("early", "rest"),
     [(OK, b""), (HEAD, REST), (b"HTTP/1.1 2", OK[10:]), (b"\r\n", OK), (b"HTTP/1.1 102 Busy\r\n\r\n", OK)],
 )
-def test_bytes_before_a_call_was_whole_are_not_its_answer(
-    loop: Loop, kept: bool, early: bytes, rest: bytes
+def test_bytes_received_before_the_request_is_complete_are_not_its_response(
+    loop: Loop, reused_connection: bool, early: bytes, rest: bytes
 ) -> None:
     async def work() -> None:
-        async with scene() as at:
-            end = await settled(at, kept)
-            call = at.call(hold=0.5)
-            end = end or await at.accept()
-            await end.request(short=1)
-            end.write(early)
-            if await end.reader.read(1):  # the last byte came all the same
-                end.write(rest)
-            assert await ending(call) == (Stage.CONNECT, False), "nothing ran"
+        async with open_rig() as rig:
+            peer = await keep_idle_connection(rig, reused_connection)
+            call = rig.call(hold_seconds=0.5)
+            peer = peer or await rig.accept()
+            await peer.request(omit=1)
+            peer.write(early)
+            if await peer.reader.read(1):  # the last byte was sent after all
+                peer.write(rest)
+            assert await outcome_of(call) == (Stage.CONNECT, False), "the request was never complete"
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-@both
+@both_loops
 @pytest.mark.parametrize("early", [OK, HEAD, b"HTTP/1.1 2", b"", None])
-def test_bytes_or_an_end_that_wait_unread_as_the_hold_ends_are_seen_before_the_last_byte_goes(
-    loop: Loop, early: bytes | None
-) -> None:
+def test_unread_bytes_or_close_are_read_before_the_last_byte_is_sent(loop: Loop, early: bytes | None) -> None:
     listener = socket.create_server(("127.0.0.1", 0))
-    wrote, got = threading.Event(), list[bytes]()
+    wrote, received = threading.Event(), list[bytes]()
 
     def peer() -> None:
         with listener, listener.accept()[0] as sock:
@@ -71,111 +79,115 @@
             if early is None:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 sock.close()
-                got.append(b"")
+                received.append(b"")
             elif early:
                 sock.sendall(early)
             else:
                 sock.shutdown(socket.SHUT_WR)
             wrote.set()
             if early is not None:
-                got.append(sock.recv(1))
+                received.append(sock.recv(1))
 
     thread = threading.Thread(target=peer)
 
     async def work() -> None:
-        async with scene() as at:
+        async with open_rig() as rig:
             thread.start()
-            pool, here = (
-                at.pools.http_pool(f"http://127.0.0.1:{listener.getsockname()[1]}/x"),
+            pool, running_loop = (
+                rig.pools.http_pool(f"http://127.0.0.1:{listener.getsockname()[1]}/x"),
                 asyncio.get_running_loop(),
             )
 
-            def stand_still() -> None:
+            def block_loop() -> None:
                 assert wrote.wait(2.0)
-                time.sleep(0.03)  # the hold is over when the loop turns again
+                time.sleep(0.03)  # the hold time has passed when the loop continues
 
-            def come_up() -> None:  # the call goes out in the turn after this one
-                here.call_soon(here.call_soon, stand_still)
+            def on_connection_made() -> None:  # the call is written in the next loop turn
+                running_loop.call_soon(running_loop.call_soon, block_loop)
 
-            at.seam(lambda connection: after(connection, "connection_made", come_up), pool)
-            over = here.time() + 2.0
-            call = asyncio.ensure_future(pool.post(Headers(), b"body", over, over, hold=0.02))
-            assert await ending(call) == (Stage.CONNECT, False), "nothing ran"
+            rig.patch_next_connection(
+                lambda connection: after_next_call(connection, "connection_made", on_connection_made), pool
+            )
+            deadline = running_loop.time() + 2.0
+            call = asyncio.ensure_future(pool.post(Headers(), b"body", deadline, deadline, hold_seconds=0.02))
+            assert await outcome_of(call) == (Stage.CONNECT, False), "the request was never complete"
             await asyncio.to_thread(thread.join)
-            assert got == [b""]
+            assert received == [b""]
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-@both
-@pytest.mark.parametrize("hold", [0.1, 0.3])
-def test_the_last_byte_does_not_go_once_the_calls_time_is_over(loop: Loop, hold: float) -> None:
+@both_loops
+@pytest.mark.parametrize("hold_seconds", [0.1, 0.3])
+def test_last_byte_is_not_sent_after_the_deadline(loop: Loop, hold_seconds: float) -> None:
     async def work() -> None:
-        async with scene() as at:
-            call = at.call(seconds=0.2, hold=hold)
-            end = await at.accept()
-            await end.request(short=1)
-            time.sleep(0.35)  # both are over when the loop turns again
-            assert await ending(call) == (Stage.CONNECT, True)
-            assert await end.reader.read(1) == b""
-
-    on(loop, work())
-
-
-@both
-@pytest.mark.parametrize("more", [OK, b"H", b"\0noise", b"HTTP/1.1 100 Continue\r\n\r\n"])
-@pytest.mark.parametrize("apart", [False, True])
-def test_what_follows_an_answer_ends_the_connection_and_reaches_no_other_call(
-    loop: Loop, more: bytes, apart: bool
+        async with open_rig() as rig:
+            call = rig.call(seconds=0.2, hold_seconds=hold_seconds)
+            peer = await rig.accept()
+            await peer.request(omit=1)
+            time.sleep(0.35)  # hold time and deadline have passed when the loop continues
+            assert await outcome_of(call) == (Stage.CONNECT, True)
+            assert await peer.reader.read(1) == b""
+
+    run_on(loop, work())
+
+
+@both_loops
+@pytest.mark.parametrize("extra", [OK, b"H", b"\0noise", b"HTTP/1.1 100 Continue\r\n\r\n"])
+@pytest.mark.parametrize("separately", [False, True])
+def test_bytes_after_a_response_end_the_connection_and_reach_no_other_call(
+    loop: Loop, extra: bytes, separately: bool
 ) -> None:
     async def work() -> None:
-        async with scene() as at:
-            first = at.call()
-            end = await at.serve()
-            end.write(OK if apart else OK + more)
-            assert await ending(first) == 200
-            if apart:
-                end.write(more)
-            await until(lambda: not at.pool().open)
-            second = at.call()
-            (await at.serve()).write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-            assert await ending(second) == 503 and at.pool().made == 1
-
-    on(loop, work())
-
-
-@both
-@pytest.mark.parametrize("how", ["closes", "resets"])
-@pytest.mark.parametrize("kept", [False, True])
-def test_a_peer_that_ends_while_the_request_is_being_written_has_not_run_it(
-    loop: Loop, how: str, kept: bool
+        async with open_rig() as rig:
+            first = rig.call()
+            peer = await rig.serve()
+            peer.write(OK if separately else OK + extra)
+            assert await outcome_of(first) == 200
+            if separately:
+                peer.write(extra)
+            await wait_until(lambda: not rig.pool().open)
+            second = rig.call()
+            (await rig.serve()).write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+            assert await outcome_of(second) == 503 and rig.pool().connections_made == 1
+
+    run_on(loop, work())
+
+
+@both_loops
+@pytest.mark.parametrize("ending", ["closes", "resets"])
+@pytest.mark.parametrize("reused_connection", [False, True])
+def test_peer_that_closes_before_the_last_byte_cannot_have_processed_the_call(
+    loop: Loop, ending: str, reused_connection: bool
 ) -> None:
     async def work() -> None:
-        async with scene() as at:
-            end = await settled(at, kept)
-            call = at.call(hold=1.0)
-            end = end or await at.accept()
-            await end.request(short=1)
-            end.close() if how == "closes" else end.reset()
+        async with open_rig() as rig:
+            peer = await keep_idle_connection(rig, reused_connection)
+            call = rig.call(hold_seconds=1.0)
+            peer = peer or await rig.accept()
+            await peer.request(omit=1)
+            peer.close() if ending == "closes" else peer.reset()
             with pytest.raises(CallFailed) as caught:
-                await asyncio.wait_for(call, 0.5)  # it does not wait for the hold to be over
+                await asyncio.wait_for(call, 0.5)  # before the hold time ends
             assert (caught.value.stage, caught.value.timed_out, caught.value.reused) == (
                 Stage.CONNECT,
                 False,
-                kept,
+                reused_connection,
             )
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-@both
-def test_a_peer_that_resets_under_a_request_half_written_may_have_run_it(loop: Loop) -> None:
+@both_loops
+def test_peer_that_resets_during_a_large_request_may_have_processed_it(loop: Loop) -> None:
     async def work() -> None:
-        async with scene() as at:
-            call = at.call(body=b"x" * 20_000_000)
-            end = await at.accept()
-            await end.reader.readexactly(1000)
-            end.reset()
-            assert await ending(call) == (Stage.SENT, False), "what waited in the process is not told apart"
-
-    on(loop, work())
+        async with open_rig() as rig:
+            call = rig.call(body=b"x" * 20_000_000)
+            peer = await rig.accept()
+            await peer.reader.readexactly(1000)
+            peer.reset()
+            assert await outcome_of(call) == (Stage.SENT, False), (
+                "bytes still buffered in the process count as sent"
+            )
+
+    run_on(loop, work())
--- a/tests/net/test_nodelay.py
+++ b/tests/net/test_nodelay.py
@@ -1,4 +1,4 @@
-"""No small write waits in the system for the answer to another: TCP_NODELAY, read back on every kind of connection."""
+"""TCP_NODELAY is set on every kind of connection, so that no small write waits for an ACK."""
 
 from __future__ import annotations
 
@@ -14,68 +14,70 @@
 from brassweir.net.server import Request, Response, Server
 from brassweir.resp.admission import Admission
 from brassweir.resp.front import Front
-from tests.net.peers import LOOPS, OK, after, on, scene
+from tests.net.peers import LOOPS, OK, after_next_call, open_rig, run_on
 
 Loop = Callable[[], asyncio.AbstractEventLoop]
-both = pytest.mark.parametrize("loop", LOOPS)
+both_loops = pytest.mark.parametrize("loop", LOOPS)
 
 
-def nodelay(transport: asyncio.BaseTransport | None) -> bool:
-    """As the system has it."""
+def has_nodelay(transport: asyncio.BaseTransport | None) -> bool:
+    """Returns the socket option as the kernel reports it."""
     assert transport is not None
     sock = cast(socket.socket, transport.get_extra_info("socket"))
     return bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
 
-@both
-def test_connections_to_endpoints(loop: Loop) -> None:
+@both_loops
+def test_client_connections_set_nodelay(loop: Loop) -> None:
     async def work() -> None:
-        async with scene() as at:
-            found: list[bool] = []
+        async with open_rig() as rig:
+            flags: list[bool] = []
 
-            def made(connection: Connection) -> None:
-                after(connection, "connection_made", lambda: found.append(nodelay(connection.transport)))
+            def check_when_connected(connection: Connection) -> None:
+                after_next_call(
+                    connection, "connection_made", lambda: flags.append(has_nodelay(connection.transport))
+                )
 
-            at.seam(made)
-            at.call()
-            (await at.serve()).write(OK)
-            await at.ended()
-            assert found == [True]
+            rig.patch_next_connection(check_when_connected)
+            rig.call()
+            (await rig.serve()).write(OK)
+            await rig.assert_all_released()
+            assert flags == [True]
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-@both
-def test_connections_of_clients_over_http(loop: Loop) -> None:
+@both_loops
+def test_http_server_connections_set_nodelay(loop: Loop) -> None:
     async def work() -> None:
-        found: list[bool] = []
+        flags: list[bool] = []
 
-        async def answer(_: Request) -> Response:
-            found.extend(nodelay(one.transport) for one in server.connections)
+        async def handle(_: Request) -> Response:
+            flags.extend(has_nodelay(connection.transport) for connection in server.connections)
             return Response(200)
 
-        server = Server(answer, Limits())
+        server = Server(handle, Limits())
         port = await server.listen("127.0.0.1", 0)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         await reader.readline()
         writer.close()
         server.abort()
-        assert found == [True]
+        assert flags == [True]
 
-    on(loop, work())
+    run_on(loop, work())
 
 
-@both
-def test_connections_of_clients_of_the_platform(loop: Loop) -> None:
+@both_loops
+def test_resp_server_connections_set_nodelay(loop: Loop) -> None:
     async def work() -> None:
         front = Front(cast(Any, None), Admission(4, 4), lambda _: True, cast(Any, None), lambda _: None)
         reader, writer = await asyncio.open_connection("127.0.0.1", await front.listen("127.0.0.1", 0))
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         assert await reader.readline() == b"+PONG\r\n"
-        found = [nodelay(one.transport) for one in front.connections.values()]
+        flags = [has_nodelay(connection.transport) for connection in front.connections.values()]
         writer.close()
         front.close()
-        assert found == [True]
+        assert flags == [True]
 
-    on(loop, work())
+    run_on(loop, work())
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -1,4 +1,4 @@
-"""The server against raw sockets: what is no HTTP, what is too much, and what is smuggled."""
+"""The server against raw sockets: invalid, oversized and smuggled requests."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from brassweir.net.limits import Limits
 from brassweir.net.server import Server
 from tests.conftest import run
-from tests.net.server_client import SMALL, Seen, post, talk
+from tests.net.server_client import SMALL_LIMITS, RecordingHandler, exchange, post
 
 
 @pytest.mark.parametrize("pieces", [1, 7, 60])
-def test_requests_however_they_are_cut(pieces: int) -> None:
-    seen = Seen()
+def test_requests_in_any_number_of_pieces(pieces: int) -> None:
+    handler = RecordingHandler()
     chunked = (
         b"POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: ignored\r\n\r\n"
     )
     for raw, body in ((post(b"x" * 300), b"x" * 300), (chunked, b"abcde")):
-        answer = run(talk(raw, seen, pieces=pieces))
+        answer = run(exchange(raw, handler, pieces=pieces))
         assert answer.startswith(b"HTTP/1.1 200 OK\r\n") and answer.endswith(b"\r\n\r\n" + body)
-        assert not seen.requests[-1].headers.all("trailer")
+        assert not handler.requests[-1].headers.all("trailer")
 
 
 def test_pipelined_requests_are_answered_in_order_on_one_connection() -> None:
-    seen = Seen()
-    answer = run(talk(post(b"one", close=False) + post(b"two", close=False) + post(b"three"), seen))
-    assert [request.body for request in seen.requests] == [b"one", b"two", b"three"]
+    handler = RecordingHandler()
+    answer = run(exchange(post(b"one", close=False) + post(b"two", close=False) + post(b"three"), handler))
+    assert [request.body for request in handler.requests] == [b"one", b"two", b"three"]
     assert answer.count(b"HTTP/1.1 200") == 3 and answer.index(b"one") < answer.index(b"two")
 
 
@@ -67,25 +67,25 @@
         (b"POST /" + b"y" * 100_000 + b" HTTP/1.1\r\nHost: a\r\n\r\n", b"4"),
     ],
 )
-def test_bad_requests_get_a_plain_no_and_nothing_behind_them_is_read(raw: bytes, status: bytes) -> None:
-    seen = Seen()
-    answer = run(talk(raw + post(b"smuggled"), seen))
+def test_bad_requests_are_rejected_and_nothing_after_them_is_read(raw: bytes, status: bytes) -> None:
+    handler = RecordingHandler()
+    answer = run(exchange(raw + post(b"smuggled"), handler))
     # A peer that still sends may see the reset before the answer; the complaint is what operators see.
     assert answer == b"" or answer.startswith(b"HTTP/1.1 " + status), answer[:80]
-    assert str(seen.complaints[0][0]).encode().startswith(status)
-    assert not seen.requests
+    assert str(handler.errors[0][0]).encode().startswith(status)
+    assert not handler.requests
 
 
-def test_a_bad_request_behind_a_good_one_takes_nothing_from_it() -> None:
-    seen = Seen()
-    answer = run(talk(post(b"good", close=False) + b"garbage\r\n\r\n", seen))
+def test_bad_request_after_a_good_one_does_not_affect_it() -> None:
+    handler = RecordingHandler()
+    answer = run(exchange(post(b"good", close=False) + b"garbage\r\n\r\n", handler))
     assert answer.startswith(b"HTTP/1.1 200") and b"HTTP/1.1 400" in answer
-    assert [request.body for request in seen.requests] == [b"good"]
+    assert [request.body for request in handler.requests] == [b"good"]
 
 
-def test_continue_is_said_before_the_body_and_only_where_asked() -> None:
+def test_100_continue_is_sent_before_the_body_if_expected() -> None:
     async def work() -> tuple[bytes, bytes]:
-        server = Server(Seen(), SMALL)
+        server = Server(RecordingHandler(), SMALL_LIMITS)
         reader, writer = await asyncio.open_connection("127.0.0.1", await server.listen("127.0.0.1", 0))
         head, body = post(b"abc", "Expect: 100-continue\r\n").split(b"\r\n\r\n")
         writer.write(head + b"\r\n\r\n")
@@ -97,11 +97,11 @@
     assert first == b"HTTP/1.1 100 Continue\r\n\r\n" and rest.endswith(b"abc")
 
 
-def test_a_fault_in_a_handler_is_a_500_and_an_abort_is_cut_where_asked() -> None:
-    seen = Seen()
-    assert run(talk(post(path="/boom"), seen)).startswith(b"HTTP/1.1 500")
-    assert seen.complaints == [(500, "RuntimeError: a fault")]
-    assert run(talk(post(path="/abort"), seen)) == b"HTTP/1.1 2"
+def test_handler_exception_is_a_500_and_abort_cuts_the_response() -> None:
+    handler = RecordingHandler()
+    assert run(exchange(post(path="/boom"), handler)).startswith(b"HTTP/1.1 500")
+    assert handler.errors == [(500, "RuntimeError: a fault")]
+    assert run(exchange(post(path="/abort"), handler)) == b"HTTP/1.1 2"
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
@@ -125,11 +125,11 @@
         max_size=8,
     )
 )
-def test_no_bytes_end_the_server(parts: list[bytes]) -> None:
+def test_no_bytes_crash_the_server(parts: list[bytes]) -> None:
     async def work() -> bytes:
-        seen = Seen()
+        handler = RecordingHandler()
         server = Server(
-            seen, Limits(head_bytes=2000, body_bytes=500, head_ms=50.0, body_ms=50.0, idle_ms=50.0)
+            handler, Limits(head_bytes=2000, body_bytes=500, head_ms=50.0, body_ms=50.0, idle_ms=50.0)
         )
         port = await server.listen("127.0.0.1", 0)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -143,7 +143,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(post(b"still here"))
         answer = await reader.read()
-        assert not any(status == 500 for status, _ in seen.complaints)
+        assert not any(status == 500 for status, _ in handler.errors)
         server.abort()
         return answer
 
