--- a/brassweir/resp/__init__.py
+++ b/brassweir/resp/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's client protocol: RESP2 commands in, one answer each."""
+"""The server side of the platform's client protocol, which is based on RESP2."""
--- a/brassweir/resp/admission.py
+++ b/brassweir/resp/admission.py
@@ -1,8 +1,8 @@
-"""Who may keep a connection while clients press. Pure: ids and times (seconds) in, ids out.
+"""Decides which client connections to close when descriptors or memory run short. No I/O.
 
-A sender has few descriptors, and calls, the list and notices need some of them. Whoever connects is let in,
-since a usual client sends its first command with its first packet: for it the one that has been silent
-longest goes. If none is silent, the longest idle goes; one with a command in work never does.
+A new connection is always accepted if another can be closed for it. Closed first is the oldest connection
+that has not submitted a message, since a real client sends its first command in its first packet. Next is the
+longest idle one. A connection with an unanswered command is never closed for another.
 """
 
 from __future__ import annotations
@@ -10,97 +10,121 @@
 import math
 from dataclasses import dataclass
 
-IDLE = 2.0  # seconds: after this the platform lets a sender close an idle connection
-PRESSED = 0.7  # share of the room from which idle connections are closed
-USUAL_PRESSED = 0.5  # the same of what usual clients may hold: they lack what others of them keep idle
+IDLE_SECONDS = 2.0  # the platform permits closing connections that have been idle this long
+PRESSURE_LOAD = 0.7  # share of max_clients above which idle connections are closed
+SUBMITTER_PRESSURE_LOAD = 0.5  # share of expected_submitters above which idle connections are closed
 
 
 @dataclass(slots=True)
 class ClientState:
-    """One connection: since when, when it was last heard or answered, and what is known of it."""
+    """The state of one connection; times in seconds."""
 
     id: int
-    since: float
-    heard: float
-    proven: bool = False  # it has handed a message in; a PING costs a stranger nothing, and proves nothing
-    greeted: bool = False  # it has sent a PING
-    working: bool = False  # a command of it has no answer yet
-    half: bool = False  # a command of it has begun and is not whole
-    weight: int = 0  # bytes of it that are kept and not taken up yet
+    connected_at: float
+    last_active: float  # when bytes were last read or a reply was written
+    has_submitted: bool = False  # has sent a valid MSG.PUT
+    has_pinged: bool = False
+    busy: bool = False  # has a command without a reply
+    partial_command: bool = False  # has sent part of a command
+    buffered_bytes: int = 0  # received and not processed yet
 
 
 class Admission:
-    """All connections of clients; at most ``most``, of which usual clients hold ``usual`` at once.
+    """Tracks all client connections, at most ``max_clients``.
 
-    ``room`` is for bytes that they have sent and that are not taken up yet.
+    Idle connections are closed earlier while clients that have submitted messages hold many of the
+    ``expected_submitters`` connections. ``max_buffered_bytes`` limits unprocessed bytes over all connections.
     """
 
-    def __init__(self, most: int, usual: int, room: float = math.inf) -> None:
-        if most < 1:
-            raise ValueError(f"room for {most} clients serves nobody")
-        self.most, self.usual, self.room = most, usual, room
-        self.held = 0  # bytes, of all
+    def __init__(
+        self, max_clients: int, expected_submitters: int, max_buffered_bytes: float = math.inf
+    ) -> None:
+        if max_clients < 1:
+            raise ValueError(f"max_clients must be at least 1, not {max_clients}")
+        self.max_clients, self.expected_submitters, self.max_buffered_bytes = (
+            max_clients,
+            expected_submitters,
+            max_buffered_bytes,
+        )
+        self.buffered_bytes = 0  # over all connections
         self.clients: dict[int, ClientState] = {}
-        self.silent: dict[int, ClientState] = {}  # those that have handed nothing in, in the order of coming
+        self.newcomers: dict[int, ClientState] = {}  # no message submitted yet; oldest first
 
-    def admit(self, ident: int, now: float) -> tuple[bool, int | None]:
-        """A connection comes: may it stay, and who has to go for it?"""
+    def admit(self, client_id: int, now: float) -> tuple[bool, int | None]:
+        """Returns whether a new connection is accepted, and the id of the one to close for it, if any."""
         victim = None
-        if len(self.clients) >= self.most:
+        if len(self.clients) >= self.max_clients:
             victim = self._victim(now)
             if victim is None:
                 return False, None
-        self.clients[ident] = self.silent[ident] = ClientState(ident, now, now)
+        self.clients[client_id] = self.newcomers[client_id] = ClientState(client_id, now, now)
         return True, victim
 
-    def proved(self, ident: int) -> None:
-        """It has handed a message in."""
-        one = self.silent.pop(ident, None)
-        if one is not None:
-            one.proven = True
-
-    def leave(self, ident: int) -> None:
-        """A connection is gone."""
-        one = self.clients.pop(ident, None)
-        self.silent.pop(ident, None)
-        self.held -= one.weight if one is not None else 0
-
-    def weigh(self, one: ClientState, weight: int) -> int | None:
-        """A connection keeps so many bytes; who has to go, if all together keep too many. A body comes within
-        a packet or two: who keeps a part of one for long sends it in pieces, or not at all."""
-        self.held += weight - one.weight
-        one.weight = weight
-        if self.held <= self.room:
+    def mark_submitted(self, client_id: int) -> None:
+        """Records that a client has submitted a message."""
+        client = self.newcomers.pop(client_id, None)
+        if client is not None:
+            client.has_submitted = True
+
+    def remove(self, client_id: int) -> None:
+        """Removes a closed connection."""
+        client = self.clients.pop(client_id, None)
+        self.newcomers.pop(client_id, None)
+        self.buffered_bytes -= client.buffered_bytes if client is not None else 0
+
+    def set_buffered(self, client: ClientState, buffered_bytes: int) -> int | None:
+        """Updates a connection's unprocessed bytes; returns the id of one to close if the total is too high.
+
+        That is the longest inactive connection with unprocessed bytes, newcomers first. A body usually
+        arrives within a packet or two, so a partial one that stays marks a slow or stalled client.
+        """
+        self.buffered_bytes += buffered_bytes - client.buffered_bytes
+        client.buffered_bytes = buffered_bytes
+        if self.buffered_bytes <= self.max_buffered_bytes:
             return None
-        heavy = [other for other in self.silent.values() if other.weight]
-        heavy = heavy or [other for other in self.clients.values() if other.weight]
-        return min(heavy, key=lambda other: other.heard).id
+        buffering = [other for other in self.newcomers.values() if other.buffered_bytes]
+        buffering = buffering or [other for other in self.clients.values() if other.buffered_bytes]
+        return min(buffering, key=lambda other: other.last_active).id
 
     def _victim(self, now: float) -> int | None:
-        if self.silent:
-            return next(iter(self.silent))
+        if self.newcomers:
+            return next(iter(self.newcomers))
         idle = self._idle(now)
-        return min(idle, key=lambda one: one.heard).id if idle else None
+        return min(idle, key=lambda client: client.last_active).id if idle else None
 
     def _idle(self, now: float) -> list[ClientState]:
         return [
-            one for one in self.clients.values() if one.proven and not one.working and now - one.heard >= IDLE
+            client
+            for client in self.clients.values()
+            if client.has_submitted and not client.busy and now - client.last_active >= IDLE_SECONDS
         ]
 
     def expired(self, now: float) -> list[int]:
-        """Those to be closed now: the silent, those that stopped within a command, and, while there is little
-        room, the longest idle."""
-        gone = [
-            one.id
-            for one in self.silent.values()
-            if now - (one.heard if one.greeted and not one.half else one.since) >= IDLE
+        """Returns the ids of connections to close now.
+
+        Closed are newcomers without a submission in time, clients that stopped within a command, and, under
+        pressure, the longest idle ones.
+        """
+        expired = [
+            client.id
+            for client in self.newcomers.values()
+            if now
+            - (
+                client.last_active
+                if client.has_pinged and not client.partial_command
+                else client.connected_at
+            )
+            >= IDLE_SECONDS
         ]
         idle = self._idle(now)
-        gone += [one.id for one in idle if one.half]
-        over = len(self.clients) - len(gone) - int(self.most * PRESSED)
-        if len(self.clients) - len(self.silent) > self.usual * USUAL_PRESSED:
-            over = len(idle)
-        if over > 0:
-            rest = sorted((one for one in idle if not one.half), key=lambda one: one.heard)
-            gone += [one.id for one in rest[:over]]
-        return gone
+        expired += [client.id for client in idle if client.partial_command]
+        excess = len(self.clients) - len(expired) - int(self.max_clients * PRESSURE_LOAD)
+        if len(self.clients) - len(self.newcomers) > self.expected_submitters * SUBMITTER_PRESSURE_LOAD:
+            excess = len(idle)
+        if excess > 0:
+            candidates = sorted(
+                (client for client in idle if not client.partial_command),
+                key=lambda client: client.last_active,
+            )
+            expired += [client.id for client in candidates[:excess]]
+        return expired
--- a/brassweir/resp/channel.py
+++ b/brassweir/resp/channel.py
@@ -1,9 +1,9 @@
-"""The transport under a client's connection: when it is read, and a close that takes no answer with it.
+"""A client connection's transport, with flow control and a lingering close that loses no reply.
 
-A close over bytes that were not read resets the connection, and the reset takes what was written last.
-So a channel shuts its own side first, then reads on and throws away what comes until the client has closed,
-for ``LINGER`` seconds and ``WASTE`` bytes at most. A request that crosses the close is never taken up: its
-client sends it once more, elsewhere.
+Closing a socket with unread bytes resets the connection, and the reset can destroy replies that the client
+has not read. A channel therefore sends EOF first, then reads and discards until the client closes, for
+``LINGER_SECONDS`` and ``MAX_DISCARDED_BYTES`` at most. Discarded commands are not processed; their client
+sends them again on another connection.
 """
 
 from __future__ import annotations
@@ -11,99 +11,99 @@
 import asyncio
 from typing import cast
 
-LINGER = 1.0  # seconds from its end to the reset, for a client that does not read or does not close
-WASTE = 1 << 20  # bytes that are thrown away meanwhile; who sends more does not look at what it is told
+LINGER_SECONDS = 1.0  # for a client to read its replies and close
+MAX_DISCARDED_BYTES = 1 << 20  # then the connection is aborted
 
 
 class Channel(asyncio.Protocol):
-    """One connection; ``received`` gets what was read, ``readable`` says that reading may go on."""
+    """The transport of one connection; subclasses process what is read."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.transport: asyncio.Transport | None = None
-        self.paused = False
-        self.choked = False  # the client does not read what we write
-        self.ending = self.shut = False  # nothing that comes is taken up any more; our side is closed
-        self.wasted = 0
-        self.linger: asyncio.TimerHandle | None = None
-
-    def received(self, data: bytes) -> None:
-        """Something was read, and is to be taken up."""
+        self.read_paused = False
+        self.write_paused = False  # the client does not read its replies fast enough
+        self.draining = self.eof_sent = False  # draining: bytes received from now on are discarded
+        self.discarded = 0
+        self.linger_timer: asyncio.TimerHandle | None = None
+
+    def on_data(self, data: bytes) -> None:
+        """Processes bytes from the client."""
         raise NotImplementedError
 
-    def readable(self) -> None:
-        """The client reads again what we write."""
+    def on_writable(self) -> None:
+        """Continues after the client has read its pending replies."""
         raise NotImplementedError
 
     @property
     def closing(self) -> bool:
-        """Is it closed, or about to be?"""
+        """Whether the transport is closed or closing."""
         return self.transport is None or self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It stands."""
+        """Stores the transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is gone."""
-        self.ending = True
-        if self.linger is not None:
-            self.linger.cancel()
+        """Stops processing and cancels the linger timer."""
+        self.draining = True
+        if self.linger_timer is not None:
+            self.linger_timer.cancel()
 
     def eof_received(self) -> bool:
-        """A client that sends no more closes; it waits for no answer."""
+        """Closes the connection: a client that sends EOF expects no more replies."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Read on; at the end, only so that no reset takes the last answer."""
-        if not self.ending:
-            self.received(data)
+        """Processes bytes, or discards them while draining, up to MAX_DISCARDED_BYTES."""
+        if not self.draining:
+            self.on_data(data)
             return
-        self.wasted += len(data)
-        if self.wasted > WASTE and self.transport is not None:
+        self.discarded += len(data)
+        if self.discarded > MAX_DISCARDED_BYTES and self.transport is not None:
             self.transport.abort()
 
     def pause_writing(self) -> None:
-        """The client does not read: nothing more is taken up that would have to be answered."""
-        self.choked = True
-        if not self.ending:
-            self.pause(True)
+        """Pauses reading, so that no more replies accumulate for a client that does not read them."""
+        self.write_paused = True
+        if not self.draining:
+            self.set_read_paused(True)
 
     def resume_writing(self) -> None:
-        """It reads again."""
-        self.choked = False
-        self.readable()
+        """Continues once the client reads its replies."""
+        self.write_paused = False
+        self.on_writable()
 
-    def pause(self, yes: bool) -> None:
-        """Read no more for now, or again."""
-        if self.transport is None or self.transport.is_closing() or yes == self.paused:
+    def set_read_paused(self, paused: bool) -> None:
+        """Pauses or resumes reading from the socket."""
+        if self.transport is None or self.transport.is_closing() or paused == self.read_paused:
             return
-        self.paused = yes
-        if yes:
+        self.read_paused = paused
+        if paused:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
     def write(self, data: bytes) -> None:
-        """Write, unless there is nobody to read it."""
-        if self.transport is not None and not self.transport.is_closing() and not self.shut:
+        """Writes, unless the connection is closing or EOF was sent."""
+        if self.transport is not None and not self.transport.is_closing() and not self.eof_sent:
             self.transport.write(data)
 
-    def shut_down(self) -> None:
-        """All is written: close our side, and throw away what still comes."""
-        if self.shut or self.transport is None or self.transport.is_closing():
+    def send_eof(self) -> None:
+        """Sends EOF after the last reply, and resumes reading to discard what still arrives."""
+        if self.eof_sent or self.transport is None or self.transport.is_closing():
             return
-        self.shut = True
+        self.eof_sent = True
         self.transport.write_eof()
-        self.pause(False)
+        self.set_read_paused(False)
 
-    def finish(self) -> None:
-        """Take up nothing that comes from now on; whatever the client does, it is over in a while."""
-        self.ending = True
-        self.pause(True)
-        self.linger = self.loop.call_later(LINGER, self.abort)
+    def begin_close(self) -> None:
+        """Processes no more bytes from the client, and aborts the connection after LINGER_SECONDS."""
+        self.draining = True
+        self.set_read_paused(True)
+        self.linger_timer = self.loop.call_later(LINGER_SECONDS, self.abort)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Aborts the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/brassweir/resp/codec.py
+++ b/brassweir/resp/codec.py
@@ -1,55 +1,55 @@
-"""RESP2 as a server reads it: bytes in, commands or one error out. No I/O.
+"""Decodes RESP2 commands and encodes replies. No I/O.
 
-Every length is judged before its bytes are kept, so a stranger never makes us hold more than one command's
-bounds. After an error nothing more is read: where the next command begins cannot be known.
+Every length is checked before its bytes are buffered, so a connection buffers at most one command of maximum
+size. After an error nothing more is decoded, because the start of the next command cannot be known.
 """
 
 from __future__ import annotations
 
-LINE = 64  # bytes of a length line; 20 digits are more than any length has
-MOST_ARGS = 16
-MOST_BYTES = 64 * 1024 + 4 * 1024  # of all parts of one command: a body and what goes with it
+MAX_LENGTH_LINE_BYTES = 64
+MAX_ARGS = 16
+MAX_COMMAND_BYTES = 64 * 1024 + 4 * 1024  # of all parts of a command: a 64 KiB body and its arguments
 
 
 class Malformed(ValueError):
-    """What came is no command within the bounds."""
+    """The bytes received are not a valid command, or exceed a limit."""
 
 
 class Decoder:
-    """The reading end of one connection."""
+    """An incremental decoder for one connection."""
 
-    __slots__ = ("args", "buffer", "failed", "left", "position", "size")
+    __slots__ = ("args", "buffer", "failed", "parts_bytes", "position", "remaining_parts")
 
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.position = 0
-        self.left = 0  # parts of the present command still to come
-        self.size = 0  # bytes of its parts
+        self.remaining_parts = 0  # of the current command
+        self.parts_bytes = 0  # of the current command's decoded parts
         self.args: list[bytes] = []
         self.failed = False
 
     @property
     def partial(self) -> bool:
-        """Has a command begun that is not whole?"""
-        return self.left > 0 or self.position < len(self.buffer)
+        """Whether part of a command has been received."""
+        return self.remaining_parts > 0 or self.position < len(self.buffer)
 
     @property
-    def held(self) -> int:
-        """Bytes that are not read yet."""
+    def unread_bytes(self) -> int:
+        """Bytes that are not decoded yet."""
         return len(self.buffer) - self.position
 
     @property
-    def weight(self) -> int:
-        """Bytes that are kept: those, and the parts of a command that is not whole."""
-        return self.held + (self.size if self.left else 0)
+    def buffered_bytes(self) -> int:
+        """Bytes in memory: undecoded ones and the decoded parts of an incomplete command."""
+        return self.unread_bytes + (self.parts_bytes if self.remaining_parts else 0)
 
     def feed(self, data: bytes) -> None:
-        """Take what came."""
+        """Appends received bytes; ignored after an error."""
         if not self.failed:
             self.buffer += data
 
     def next(self) -> list[bytes] | None:
-        """The next whole command; None until more has come. Raises Malformed, once."""
+        """Returns the next complete command, or None if more bytes are needed. Raises Malformed, once."""
         if self.failed:
             return None
         try:
@@ -61,25 +61,25 @@
             raise
 
     def _next(self) -> list[bytes] | None:
-        if not self.left:
-            count = self._length(b"*", "a command is an array of bulk strings")
+        if not self.remaining_parts:
+            count = self._read_length(b"*", "a command is an array of bulk strings")
             if count is None:
                 self._trim()
                 return None
-            if not 1 <= count <= MOST_ARGS:
-                raise Malformed(f"a command has 1 to {MOST_ARGS} parts")
-            self.left, self.size, self.args = count, 0, []
-        while self.left:
+            if not 1 <= count <= MAX_ARGS:
+                raise Malformed(f"a command has 1 to {MAX_ARGS} parts")
+            self.remaining_parts, self.parts_bytes, self.args = count, 0, []
+        while self.remaining_parts:
             start = self.position
-            length = self._length(b"$", "parts of a command are bulk strings")
+            length = self._read_length(b"$", "parts of a command are bulk strings")
             if length is None:
                 self._trim()
                 return None
-            if self.size + length > MOST_BYTES:
-                raise Malformed(f"a command has at most {MOST_BYTES} bytes")
+            if self.parts_bytes + length > MAX_COMMAND_BYTES:
+                raise Malformed(f"a command has at most {MAX_COMMAND_BYTES} bytes")
             end = self.position + length
             if len(self.buffer) < end + 2:
-                # The length is read again once the rest is there: it is judged, and that is what matters.
+                # The length has passed its check; it is decoded again once the part is complete.
                 if bytes(self.buffer[end:]) not in (b"", b"\r"):
                     raise Malformed("a bulk string does not end where it should")
                 self.position = start
@@ -89,45 +89,45 @@
                 raise Malformed("a bulk string does not end where it should")
             self.args.append(bytes(self.buffer[self.position : end]))
             self.position = end + 2
-            self.size += length
-            self.left -= 1
+            self.parts_bytes += length
+            self.remaining_parts -= 1
         args, self.args = self.args, []
         if self.position == len(self.buffer):
             self.buffer.clear()
             self.position = 0
         return args
 
-    def _length(self, sign: bytes, wanted: str) -> int | None:
-        """Read one length line; None if it is not whole yet."""
-        at = self.position
-        if at < len(self.buffer) and self.buffer[at] != sign[0]:
-            raise Malformed(wanted)
-        end = self.buffer.find(b"\r\n", at, at + LINE)
+    def _read_length(self, prefix: bytes, reason: str) -> int | None:
+        """Reads a length line; returns None if it is incomplete. ``reason``: the error for a wrong prefix."""
+        start = self.position
+        if start < len(self.buffer) and self.buffer[start] != prefix[0]:
+            raise Malformed(reason)
+        end = self.buffer.find(b"\r\n", start, start + MAX_LENGTH_LINE_BYTES)
         if end < 0:
-            if len(self.buffer) - at >= LINE:
+            if len(self.buffer) - start >= MAX_LENGTH_LINE_BYTES:
                 raise Malformed("a length line does not end")
             return None
-        digits = self.buffer[at + 1 : end]
+        digits = self.buffer[start + 1 : end]
         if not digits.isdigit():
             raise Malformed("a length is a number that is not negative")
         self.position = end + 2
         return int(digits)
 
     def _trim(self) -> None:
-        """Let go of what is read."""
+        """Frees the decoded bytes."""
         if self.position:
             del self.buffer[: self.position]
             self.position = 0
 
 
 def error(reason: str) -> bytes:
-    """An error line; the reason is ours and holds no line end."""
+    """Returns an error reply; ``reason`` must not contain line ends."""
     return f"-ERR {reason}\r\n".encode("ascii", "replace")
 
 
-def busy(wait: float) -> bytes:
-    """A refusal, with the milliseconds until a hand-in makes sense if there are any."""
-    return f"-BUSY {wait:.0f}\r\n".encode() if wait >= 0.5 else b"-BUSY\r\n"
+def busy(wait_ms: float) -> bytes:
+    """Returns a refusal, with the milliseconds to wait before submitting again if there are any."""
+    return f"-BUSY {wait_ms:.0f}\r\n".encode() if wait_ms >= 0.5 else b"-BUSY\r\n"
 
 
 OK = b"+OK\r\n"
--- a/brassweir/resp/connection.py
+++ b/brassweir/resp/connection.py
@@ -1,6 +1,6 @@
-"""One client's commands, in order, and their answers in the same order.
+"""Processes one client's commands in order and writes the replies in the same order.
 
-What was read whole before its end was decided is answered; nothing read after that is taken up.
+Commands that were read completely before the connection starts to close get a reply; later ones are ignored.
 """
 
 from __future__ import annotations
@@ -13,226 +13,232 @@
 from brassweir.resp import codec, msg_put
 from brassweir.resp.admission import ClientState
 from brassweir.resp.channel import Channel
-from brassweir.resp.host import Host
+from brassweir.resp.host import ConnectionFront
 
-MOST_OPEN = 64  # commands of one connection being answered; more wait in its socket
-PENALTY = 0.2  # seconds for which one that sent what cannot be used is not read, doubled with each
-MOST_ERRORS = 6  # after so many it is closed
+MAX_PENDING_COMMANDS = 64  # without a reply; reading pauses at this number
+ERROR_PAUSE_SECONDS = 0.2  # pause in reading after an invalid command, doubled with each one
+MAX_ERRORS = 6  # then the connection is closed
 
 
-class Slot:
-    """One command's place in the order of answers."""
+class PendingReply:
+    """A command's position in the order of replies; ``reply`` is empty until it is known."""
 
-    __slots__ = ("answer", "record")
+    __slots__ = ("record", "reply")
 
-    def __init__(self, answer: bytes = b"") -> None:
-        self.answer = answer
+    def __init__(self, reply: bytes = b"") -> None:
+        self.reply = reply
         self.record: MessageRecord | None = None
 
 
 class Connection(Channel):
-    """One client's connection."""
+    """A client's connection: decodes its commands, submits its messages and writes the replies."""
 
-    def __init__(self, front: Host, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, front: ConnectionFront, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self.front = front
         self.decoder = codec.Decoder()
-        self.slots: deque[Slot] = deque()
+        self.pending_replies: deque[PendingReply] = deque()
         self.client: ClientState | None = None
-        self.number = 0  # its client's, which outlives its place among the clients
-        self.resting = self.advancing = False
-        self.faults = 0
-        self.why = ""  # we close it; empty while it is the client that would
+        self.client_id = 0  # kept for the log after the client is deregistered
+        self.error_paused = self.processing = False
+        self.error_count = 0
+        self.close_reason = ""  # why this side closes the connection; empty if the client does
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has connected; if there is no room, somebody must go."""
+        """Registers the client, or closes the connection if there is no capacity."""
         super().connection_made(transport)
         self.client = self.front.admit(self)
-        self.number = self.client.id if self.client is not None else 0
+        self.client_id = self.client.id if self.client is not None else 0
         if self.client is None:
-            self.ending, self.why = True, "no room for it"
+            self.draining, self.close_reason = True, "no capacity"
             transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The client is gone, or we have closed."""
+        """Logs the close, deregisters the client and withdraws its unanswered messages."""
         super().connection_lost(exc)
-        self.front.note(
+        self.front.log_event(
             "client_closed",
             {
-                "client": self.number,
-                "why": self.why or (str(exc) if exc else "closed by the client"),
-                "unanswered": len(self.slots),
+                "client": self.client_id,
+                "why": self.close_reason or (str(exc) if exc else "closed by the client"),
+                "unanswered": len(self.pending_replies),
             },
         )
-        self.leave()
-        self.take_back()
+        self.deregister()
+        self.withdraw_unanswered()
 
-    def take_back(self) -> None:
-        """Nobody will hear of what has no answer yet: it is not taken on."""
-        for slot in self.slots:
-            if slot.record is not None and not slot.answer:
+    def withdraw_unanswered(self) -> None:
+        """Withdraws messages without a reply: their client cannot learn that they were accepted."""
+        for pending in self.pending_replies:
+            if pending.record is not None and not pending.reply:
                 self.front.counts.withdrawn += 1
-                self.front.engine.withdraw(slot.record)
-        self.slots.clear()
+                self.front.engine.withdraw(pending.record)
+        self.pending_replies.clear()
 
-    def leave(self) -> None:
-        """It counts no more."""
+    def deregister(self) -> None:
+        """Removes the client from the front."""
         if self.client is not None:
-            self.front.left(self.client.id)
+            self.front.remove(self.client.id)
             self.client = None
 
-    def drop(self, why: str) -> None:
-        """Close at once."""
-        self.why = self.why or why
+    def drop(self, close_reason: str) -> None:
+        """Aborts the connection to free its capacity."""
+        self.close_reason = self.close_reason or close_reason
         self.front.counts.dropped += 1
-        self.leave()
+        self.deregister()
         self.abort()
 
-    def end(self, why: str) -> None:
-        """Read no more, and close once every command that was read whole has its answer."""
-        if not self.ending:
-            self.why = why
-            self.finish()
-            self.advance()
+    def drain(self, close_reason: str) -> None:
+        """Stops reading, and closes once every command read completely has its reply."""
+        if not self.draining:
+            self.close_reason = close_reason
+            self.begin_close()
+            self.process_commands()
 
     def expire(self) -> None:
-        """It has been silent for too long: half a command gets its error line."""
-        if self.ending:
+        """Closes the connection for inactivity, with an error reply to an incomplete command."""
+        if self.draining:
             return
-        if self.client is not None and self.client.proven:
+        if self.client is not None and self.client.has_submitted:
             self.front.counts.idled += 1
         else:
             self.front.counts.silenced += 1
         if self.decoder.partial:
-            self.fault("the command did not come whole")
-        self.end("silent for too long")
+            self.reply_error("the command did not come whole")
+        self.drain("inactive for too long")
 
-    def received(self, data: bytes) -> None:
-        """Read on."""
+    def on_data(self, data: bytes) -> None:
+        """Decodes bytes from the client and processes complete commands."""
         self.decoder.feed(data)
         if self.client is not None:
-            self.client.heard = self.loop.time()
-        self.advance()
-
-    def readable(self) -> None:
-        """The client reads its answers again."""
-        self.advance()
-
-    def advance(self) -> None:
-        """Take up what has come whole, as far as answers keep up; at the end close behind the last answer."""
-        if self.advancing or self.closing:
-            return  # one answered at once, within the loop below; or nobody is there to be answered
-        self.advancing = True
-        while not self.choked and len(self.slots) < MOST_OPEN and (self.ending or not self.resting):
+            self.client.last_active = self.loop.time()
+        self.process_commands()
+
+    def on_writable(self) -> None:
+        """Continues once the client reads its replies."""
+        self.process_commands()
+
+    def process_commands(self) -> None:
+        """Processes complete commands up to the limits; while draining, sends EOF after the last reply."""
+        if self.processing or self.closing:
+            return  # called again from a reply within the loop below, or the connection is closing
+        self.processing = True
+        while (
+            not self.write_paused
+            and len(self.pending_replies) < MAX_PENDING_COMMANDS
+            and (self.draining or not self.error_paused)
+        ):
             try:
                 args = self.decoder.next()
             except codec.Malformed as error:
-                self.fault(str(error))
-                self.end(str(error))
+                self.reply_error(str(error))
+                self.drain(str(error))
                 break
             if args is None:
                 break
-            self.command(args)
-        self.advancing = False
+            self.handle_command(args)
+        self.processing = False
         if self.client is not None:
-            self.client.working, self.client.half = bool(self.slots), self.decoder.partial
-            self.front.weigh(self.client, self.decoder.weight)
-        if not self.ending:
-            self.pause(self.resting or self.choked or len(self.slots) >= MOST_OPEN)
-        elif not self.slots and not self.choked:
-            self.shut_down()
-
-    def command(self, args: list[bytes]) -> None:
-        """Take one command up."""
+            self.client.busy, self.client.partial_command = bool(self.pending_replies), self.decoder.partial
+            self.front.set_buffered(self.client, self.decoder.buffered_bytes)
+        if not self.draining:
+            self.set_read_paused(
+                self.error_paused or self.write_paused or len(self.pending_replies) >= MAX_PENDING_COMMANDS
+            )
+        elif not self.pending_replies and not self.write_paused:
+            self.send_eof()
+
+    def handle_command(self, args: list[bytes]) -> None:
+        """Processes one command."""
         name = args[0].upper()
         if name == b"PING" and len(args) == 1:
             if self.client is not None:
-                self.client.greeted = True
-            self.slots.append(Slot(codec.PONG))
+                self.client.has_pinged = True
+            self.pending_replies.append(PendingReply(codec.PONG))
             self.flush()
         elif name == b"MSG.PUT":
-            self.put(args)
+            self.handle_put(args)
         else:
-            self.fault("only PING and MSG.PUT are served")
+            self.reply_error("only PING and MSG.PUT are served")
 
-    def put(self, args: list[bytes]) -> None:
-        """A message is handed in."""
+    def handle_put(self, args: list[bytes]) -> None:
+        """Processes MSG.PUT: submits the message, or replies with an error or -BUSY."""
         front, engine = self.front, self.front.engine
         try:
-            given = msg_put.parse(args, engine.ledger.classes, front.listed)
-            if (given.owner, given.identity) in engine.ledger.by_identity:
-                raise msg_put.Unreadable("a message of this id was handed in before")
-        except msg_put.Unreadable as error:
-            return self.fault(str(error))
+            submission = msg_put.parse(args, engine.ledger.classes, front.destination_exists)
+            if (submission.owner, submission.identity) in engine.ledger.by_identity:
+                raise msg_put.InvalidSubmission("a message of this id was handed in before")
+        except msg_put.InvalidSubmission as error:
+            return self.reply_error(str(error))
         if self.client is not None:
-            front.admission.proved(self.client.id)
-        slot = Slot()
-        self.slots.append(slot)
+            front.admission.mark_submitted(self.client.id)
+        pending = PendingReply()
+        self.pending_replies.append(pending)
         if engine.ledger.open_count >= engine.settings.max_open:
             front.counts.busy += 1
-            front.note("refused", {"id": given.identity, "why": "holds as much as the settings allow"})
-            return self.answer(slot, codec.busy(0.0))
-        self.take(given, slot)
+            front.log_event("refused", {"id": submission.identity, "why": "max_open messages are open"})
+            return self.set_reply(pending, codec.busy(0.0))
+        self.submit(submission, pending)
 
-    def take(self, given: Submission, slot: Slot) -> None:
-        """Hand a message to the engine."""
+    def submit(self, submission: Submission, pending: PendingReply) -> None:
+        """Submits a message to the engine and replies once it is accepted or has a final answer."""
         front = self.front
 
-        def ended(answer: FinalAnswer) -> None:
-            if slot.answer:  # taken on: its end goes by notice
-                front.owing(record)(answer)
+        def on_final_answer(answer: FinalAnswer) -> None:
+            if pending.reply:  # accepted before: the outcome is sent in a notice
+                front.notice_waiter(record)(answer)
                 return
-            front.told(record.id)
+            front.mark_reported(record.id)
             if answer.answer is Answer.REFUSED:
                 front.counts.busy += 1
-                self.answer(slot, codec.busy(answer.retry_after))
+                self.set_reply(pending, codec.busy(answer.retry_after))
             elif answer.answer is Answer.DELIVERED:
-                self.answer(slot, codec.OK)
+                self.set_reply(pending, codec.OK)
             else:
-                self.answer(slot, codec.error(answer.reason))
+                self.set_reply(pending, codec.error(answer.reason))
 
-        def promised() -> None:
+        def on_accepted() -> None:
             front.counts.taken += 1
-            self.answer(slot, codec.OK)
+            self.set_reply(pending, codec.OK)
 
-        _, record = front.engine.submit(given, ended)
-        slot.record = record
-        front.engine.when_admitted(record, promised)
+        _, record = front.engine.submit(submission, on_final_answer)
+        pending.record = record
+        front.engine.when_admitted(record, on_accepted)
 
-    def fault(self, reason: str) -> None:
-        """Answer what cannot be used, and read no more from its sender for a while."""
+    def reply_error(self, reason: str) -> None:
+        """Replies with an error and pauses reading; closes the connection after MAX_ERRORS."""
         self.front.counts.errors += 1
-        self.faults += 1
-        self.slots.append(Slot(codec.error(reason)))
+        self.error_count += 1
+        self.pending_replies.append(PendingReply(codec.error(reason)))
         self.flush()
-        if self.faults >= MOST_ERRORS or self.decoder.held > codec.MOST_BYTES:
-            self.decoder = codec.Decoder()  # it sends on before it has read why: none of that is kept
-            self.end("too many commands that cannot be used")
-        elif not self.ending:
-            self.resting = True
-            self.loop.call_later(PENALTY * 2.0 ** (self.faults - 1), self.rested)
-
-    def rested(self) -> None:
-        """Read on after a fault."""
-        self.resting = False
-        if not self.ending:
-            self.advance()
-
-    def answer(self, slot: Slot, line: bytes) -> None:
-        """A command has its answer."""
-        slot.answer = line
-        slot.record = None
+        if self.error_count >= MAX_ERRORS or self.decoder.unread_bytes > codec.MAX_COMMAND_BYTES:
+            self.decoder = codec.Decoder()  # discards commands already received
+            self.drain("too many invalid commands")
+        elif not self.draining:
+            self.error_paused = True
+            self.loop.call_later(ERROR_PAUSE_SECONDS * 2.0 ** (self.error_count - 1), self.resume_after_error)
+
+    def resume_after_error(self) -> None:
+        """Resumes processing after an error pause."""
+        self.error_paused = False
+        if not self.draining:
+            self.process_commands()
+
+    def set_reply(self, pending: PendingReply, line: bytes) -> None:
+        """Sets a command's reply and writes all replies that are next in order."""
+        pending.reply = line
+        pending.record = None
         self.flush()
-        if self.ending or (not self.resting and (self.paused or self.decoder.partial)):
-            self.advance()
+        if self.draining or (not self.error_paused and (self.read_paused or self.decoder.partial)):
+            self.process_commands()
 
     def flush(self) -> None:
-        """Write the answers whose turn has come."""
+        """Writes the replies that are next in order."""
         lines = []
-        while self.slots and self.slots[0].answer:
-            lines.append(self.slots.popleft().answer)
+        while self.pending_replies and self.pending_replies[0].reply:
+            lines.append(self.pending_replies.popleft().reply)
         if lines:
             self.write(b"".join(lines))
             if self.client is not None:
-                self.client.heard = self.loop.time()
-                self.client.working = bool(self.slots)
+                self.client.last_active = self.loop.time()
+                self.client.busy = bool(self.pending_replies)
--- a/brassweir/resp/counts.py
+++ b/brassweir/resp/counts.py
@@ -1,4 +1,4 @@
-"""What the platform's front has counted since it was made."""
+"""Counters of the RESP front."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Totals by what became of commands and connections, in the order in which the log tells them."""
+    """Totals since the front was created; the log writes the fields by name, in this order."""
 
-    taken: int = 0  # messages
-    busy: int = 0  # hand-ins refused
-    errors: int = 0  # commands that could not be used
-    opened: int = 0  # connections
-    dropped: int = 0  # connections closed for want of room
-    silenced: int = 0  # connections closed since they said nothing
-    idled: int = 0  # connections closed since they said no more
-    withdrawn: int = 0  # messages whose client went before its answer
+    taken: int = 0  # messages accepted
+    busy: int = 0  # submissions refused
+    errors: int = 0  # invalid commands
+    opened: int = 0  # connections opened
+    dropped: int = 0  # connections closed or rejected for lack of capacity
+    silenced: int = 0  # connections closed for inactivity without a submission
+    idled: int = 0  # connections closed for inactivity after a submission
+    withdrawn: int = 0  # messages whose client disconnected before the reply
--- a/brassweir/resp/front.py
+++ b/brassweir/resp/front.py
@@ -1,8 +1,8 @@
-"""The platform's clients: who is connected, who must go, and what they are told together.
+"""The RESP server: accepts the platform's clients and closes connections when capacity runs short.
 
-``+OK`` is written once the message is in the journal and the module holds it, before any attempt goes out; a
-refusal in the module's first turn is ``-BUSY``. What is refused or fails later is told by a notice, which is
-not this front's. A client that goes before its answer takes its message back.
+``+OK`` is sent once the message is journaled and accepted by the decision module, before its first attempt.
+``-BUSY`` is sent if the module refuses the message at once. Later refusals and failures are reported by
+notices, outside this package. A message is withdrawn if its client disconnects before the reply.
 """
 
 from __future__ import annotations
@@ -17,37 +17,42 @@
 from brassweir.resp.connection import Connection
 from brassweir.resp.counts import Counts
 
-BACKLOG = 512  # connections that wait to be accepted
-Note = Callable[[str, dict[str, object]], None]
-LOOK = 0.05  # seconds between two looks at who has been silent for too long
+BACKLOG = 512  # connections waiting to be accepted
+LogEvent = Callable[[str, dict[str, object]], None]
+EXPIRY_CHECK_SECONDS = 0.05  # between checks for inactive connections
 
 
 class Front:
-    """Listens for clients. ``listed`` says which destinations exist; ``admission`` decides who must go."""
+    """Listens for clients; ``admission`` decides which connections to close.
+
+    ``notice_waiter`` returns the callback that sends a message's outcome in a notice. ``mark_reported``
+    records, by message id, that the client learned the outcome from its reply.
+    """
 
     def __init__(
         self,
         engine: Engine,
         admission: Admission,
-        listed: Callable[[int], bool],
-        owing: Callable[[MessageRecord], Waiter],
-        told: Callable[[int], None],
-        note: Note = lambda event, details: None,
+        destination_exists: Callable[[int], bool],
+        notice_waiter: Callable[[MessageRecord], Waiter],
+        mark_reported: Callable[[int], None],
+        log_event: LogEvent = lambda event, details: None,
     ) -> None:
-        self.engine, self.admission, self.listed = engine, admission, listed
-        self.owing, self.told, self.note = owing, told, note
+        self.engine, self.admission, self.destination_exists = engine, admission, destination_exists
+        self.notice_waiter, self.mark_reported, self.log_event = notice_waiter, mark_reported, log_event
         self.connections: dict[int, Connection] = {}
-        self.last = 0
+        self.last_id = 0
         self.closed = False
         self.listener: asyncio.Server | None = None
-        self.looking: asyncio.TimerHandle | None = None
+        self.expiry_timer: asyncio.TimerHandle | None = None
         self.counts = Counts()
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to listen and return the port. Raises OSError."""
+        """Starts to listen and returns the port. Raises OSError."""
         loop = asyncio.get_running_loop()
-        # Bound here: a loop that is given a name starts threads to look it up, and this process needs none.
-        bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)  # else TCP delays
+        # Bound here, because the loop would start a thread to resolve a host name. The explicit IPPROTO_TCP
+        # lets asyncio set TCP_NODELAY on accepted sockets.
+        bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             bound.bind((host, port))
@@ -55,59 +60,59 @@
             bound.close()
             raise
         self.listener = await loop.create_server(lambda: Connection(self, loop), sock=bound, backlog=BACKLOG)
-        self.looking = loop.call_later(LOOK, self._look, loop)
+        self.expiry_timer = loop.call_later(EXPIRY_CHECK_SECONDS, self._check_expired, loop)
         return int(self.listener.sockets[0].getsockname()[1])
 
-    def _look(self, loop: asyncio.AbstractEventLoop) -> None:
-        for ident in self.admission.expired(loop.time()):
-            self.connections[ident].expire()
-        self.looking = loop.call_later(LOOK, self._look, loop)
+    def _check_expired(self, loop: asyncio.AbstractEventLoop) -> None:
+        for client_id in self.admission.expired(loop.time()):
+            self.connections[client_id].expire()
+        self.expiry_timer = loop.call_later(EXPIRY_CHECK_SECONDS, self._check_expired, loop)
 
     def admit(self, connection: Connection) -> ClientState | None:
-        """One more client, for whom another may have to go; None if there is no room for it, or no time."""
+        """Registers a new client, closing another if needed; returns None if it is not accepted."""
         if self.closed:
             return None
-        self.last += 1
+        self.last_id += 1
         self.counts.opened += 1
-        go, victim = self.admission.admit(self.last, connection.loop.time())
+        admitted, victim = self.admission.admit(self.last_id, connection.loop.time())
         if victim is not None:
             self.connections[victim].drop("gave way to a new connection")
-        if not go:
+        if not admitted:
             self.counts.dropped += 1
             return None
-        self.connections[self.last] = connection
-        return self.admission.clients[self.last]
+        self.connections[self.last_id] = connection
+        return self.admission.clients[self.last_id]
 
-    def weigh(self, one: ClientState, weight: int) -> None:
-        """A client keeps so many bytes here, for which another may have to go."""
-        victim = self.admission.weigh(one, weight)
+    def set_buffered(self, client: ClientState, buffered_bytes: int) -> None:
+        """Updates a client's unprocessed bytes, closing a connection if all together have too many."""
+        victim = self.admission.set_buffered(client, buffered_bytes)
         if victim is not None:
-            self.connections[victim].drop("kept too many bytes that were not taken up")
+            self.connections[victim].drop("too many unprocessed bytes")
 
-    def left(self, ident: int) -> None:
-        """A client is gone."""
-        self.admission.leave(ident)
-        self.connections.pop(ident, None)
+    def remove(self, client_id: int) -> None:
+        """Removes a disconnected client."""
+        self.admission.remove(client_id)
+        self.connections.pop(client_id, None)
 
     def stop_listening(self) -> None:
-        """Take no new connection; those that stand go on."""
+        """Accepts no new connections; existing ones continue."""
         if self.listener is not None:
             self.listener.close()
 
     def close(self) -> None:
-        """Close every connection as soon as it has its answers."""
-        self.closed = True  # some may have been accepted that have not come by yet
+        """Stops listening and closes every connection once it has its replies."""
+        self.closed = True  # rejects connections accepted by the loop but not admitted yet
         self.stop_listening()
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
         for connection in list(self.connections.values()):
-            connection.end("the sender leaves")
+            connection.drain("the sender is stopping")
 
     def withdraw_unanswered(self) -> None:
-        """The process ends: who has no answer yet gets none, and what it handed in is not taken on."""
+        """Withdraws every message without a reply, as the process ends."""
         for connection in list(self.connections.values()):
-            connection.take_back()
+            connection.withdraw_unanswered()
 
-    def open(self) -> int:
-        """Commands that have no answer yet."""
-        return sum(len(one.slots) for one in self.connections.values())
+    def pending_commands(self) -> int:
+        """Returns the number of commands without a reply."""
+        return sum(len(client.pending_replies) for client in self.connections.values())
--- a/brassweir/resp/host.py
+++ b/brassweir/resp/host.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of the front that has accepted it."""
+"""The interface between a client's connection and the front that accepted it."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from brassweir.resp.counts import Counts
 
 
-class Host(Protocol):
-    """The front that has accepted a connection, as the connection needs it."""
+class ConnectionFront(Protocol):
+    """What a connection needs of the front that accepted it; see Front."""
 
     engine: Engine
     admission: Admission
     counts: Counts
-    listed: Callable[[int], bool]
-    owing: Callable[[MessageRecord], Waiter]
-    told: Callable[[int], None]
-    note: Callable[[str, dict[str, object]], None]
+    destination_exists: Callable[[int], bool]
+    notice_waiter: Callable[[MessageRecord], Waiter]
+    mark_reported: Callable[[int], None]
+    log_event: Callable[[str, dict[str, object]], None]
 
     def admit(self, connection: Any) -> ClientState | None:
-        """Keep a new connection, or None."""
+        """Registers a new connection's client; returns None if it is not accepted."""
 
-    def weigh(self, one: ClientState, weight: int) -> None:
-        """A client keeps so many bytes here."""
+    def set_buffered(self, client: ClientState, buffered_bytes: int) -> None:
+        """Updates a client's unprocessed bytes."""
 
-    def left(self, ident: int) -> None:
-        """A client is gone."""
+    def remove(self, ident: int) -> None:
+        """Removes a disconnected client."""
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: any split of the bytes gives the same commands; any bytes give commands, an error or a wait."""
+"""The decoder gives the same result however the bytes are split, and bounds what it buffers."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 def read(pieces: list[bytes]) -> tuple[list[list[bytes]], str, int]:
-    """Commands, the error, and the most bytes that were held after a piece was taken up."""
-    decoder, found, error, held = codec.Decoder(), [], "", 0
+    """Returns the commands, the error, and the most bytes buffered after any piece."""
+    decoder, commands, error, max_buffered = codec.Decoder(), [], "", 0
     for piece in pieces:
         decoder.feed(piece)
         try:
             while (args := decoder.next()) is not None:
-                found.append(args)
+                commands.append(args)
         except codec.Malformed as malformed:
             error = str(malformed)
-        held = max(held, len(decoder.buffer) + sum(map(len, decoder.args)))
-    return found, error, held
+        max_buffered = max(max_buffered, len(decoder.buffer) + sum(map(len, decoder.args)))
+    return commands, error, max_buffered
 
 
-def cut(data: bytes, places: list[int]) -> list[bytes]:
-    marks = sorted({0, len(data), *(place % (len(data) + 1) for place in places)})
-    return [data[a:b] for a, b in zip(marks, marks[1:], strict=False)]
+def split(data: bytes, places: list[int]) -> list[bytes]:
+    cuts = sorted({0, len(data), *(place % (len(data) + 1) for place in places)})
+    return [data[a:b] for a, b in zip(cuts, cuts[1:], strict=False)]
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(PARTS, st.lists(st.integers(0, 10_000), max_size=20))
 def test_any_split_gives_the_same_commands(commands: list[list[bytes]], places: list[int]) -> None:
     data = b"".join(Client.command(*parts) for parts in commands)
-    assert read(cut(data, places))[:2] == (commands, "")
+    assert read(split(data, places))[:2] == (commands, "")
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
@@ -44,8 +44,8 @@
     st.lists(st.integers(0, 300), max_size=6),
 )
 def test_any_bytes_give_commands_an_error_or_a_wait(data: bytes, places: list[int]) -> None:
-    whole = read([data])
-    assert read(cut(data, places))[:2] == whole[:2]
+    unsplit = read([data])
+    assert read(split(data, places))[:2] == unsplit[:2]
 
 
 @pytest.mark.parametrize(
@@ -68,23 +68,23 @@
         b"*1\n$4\nPING\n" + b" " * 70,
     ],
 )
-def test_what_is_no_command_is_refused_before_it_is_kept(data: bytes) -> None:
-    found, error, _ = read([data])
-    assert found == [] and error
+def test_invalid_command_is_rejected_before_it_is_buffered(data: bytes) -> None:
+    commands, error, _ = read([data])
+    assert commands == [] and error
     decoder = codec.Decoder()
     decoder.feed(data)
     with pytest.raises(codec.Malformed):
         decoder.next()
     decoder.feed(b"x" * 100_000)
-    assert decoder.next() is None and not decoder.buffer, "nothing more is kept"
+    assert decoder.next() is None and not decoder.buffer, "nothing more is buffered"
 
 
-def test_what_is_held_stays_within_the_bound() -> None:
-    for length in (codec.MOST_BYTES, codec.MOST_BYTES + 1, 60_000_000):
+def test_buffered_bytes_stay_within_the_limit() -> None:
+    for length in (codec.MAX_COMMAND_BYTES, codec.MAX_COMMAND_BYTES + 1, 60_000_000):
         pieces = [b"*1\r\n$%d\r\n" % length, *[b"x" * 4096] * 40]
-        assert read(pieces)[2] <= codec.MOST_BYTES + 4096 + codec.LINE
+        assert read(pieces)[2] <= codec.MAX_COMMAND_BYTES + 4096 + codec.MAX_LENGTH_LINE_BYTES
 
 
-def test_answers() -> None:
+def test_replies() -> None:
     assert codec.busy(0.2) == b"-BUSY\r\n" and codec.busy(480.4) == b"-BUSY 480\r\n"
     assert codec.error("no\u00e9") == b"-ERR no?\r\n"
--- a/tests/resp/test_flood.py
+++ b/tests/resp/test_flood.py
@@ -1,4 +1,4 @@
-"""Many clients that each keep a part of a command here: what they fill is bounded, and others are served beside."""
+"""Many clients that each send part of a command: buffered bytes are limited, and other clients are served."""
 
 from __future__ import annotations
 
@@ -6,45 +6,45 @@
 
 from brassweir.resp.admission import Admission
 from brassweir.resp.codec import OK
-from tests.resp.desk import Desk, put
-from tests.resp.test_closing import play
+from tests.resp.harness import Harness, put
+from tests.resp.test_closing import run_scenario
 
 
 @pytest.mark.parametrize("part", [60_000, 30])
-def test_halves_of_commands_fill_no_more_than_their_room(part: int) -> None:
-    async def day(desk: Desk) -> None:
-        admission, usual = desk.front.admission, await desk.client()
+def test_incomplete_commands_stay_within_the_buffer_limit(part: int) -> None:
+    async def scenario(harness: Harness) -> None:
+        admission, submitter = harness.front.admission, await harness.client()
         for i in range(40):
-            half = await desk.client()
-            half.send(put(f"h{i}", body=b"x" * 60_000)[:part])
-            await desk.until(lambda: admission.clients[desk.front.last].weight)
+            flooder = await harness.client()
+            flooder.send(put(f"h{i}", body=b"x" * 60_000)[:part])
+            await harness.wait_until(lambda: admission.clients[harness.front.last_id].buffered_bytes)
             if not i:
-                admission.room = 5.5 * admission.held
-            assert admission.held <= admission.room
+                admission.max_buffered_bytes = 5.5 * admission.buffered_bytes
+            assert admission.buffered_bytes <= admission.max_buffered_bytes
             if i % 10 == 0:
-                usual.send(put(f"u{i}", "note"))
-                assert await desk.loop.sock_recv(usual, 100) == OK
-        assert len(desk.front.connections) == 6 and desk.front.counts.dropped == 35
+                submitter.send(put(f"u{i}", "note"))
+                assert await harness.loop.sock_recv(submitter, 100) == OK
+        assert len(harness.front.connections) == 6 and harness.front.counts.dropped == 35
 
-    play(day)
+    run_scenario(scenario)
 
 
-def test_the_weight_of_those_that_are_gone_or_whole_counts_no_more() -> None:
+def test_buffered_bytes_of_removed_or_complete_clients_are_not_counted() -> None:
     admission = Admission(10, 10, 100.0)
-    ones = []
-    for ident in range(4):
-        admission.admit(ident, float(ident))
-        ones.append(admission.clients[ident])
-    admission.proved(0)
-    assert admission.weigh(ones[0], 90) is None
-    assert admission.weigh(ones[1], 10) is None
-    assert admission.weigh(ones[2], 10) == 1, "who has handed nothing in goes first, the longest unheard"
-    admission.leave(1)
-    assert admission.held == 100
-    admission.leave(2)
-    assert admission.weigh(ones[3], 0) is None and admission.weigh(ones[0], 101) == 0
-    assert admission.weigh(ones[0], 0) is None
-    for ident in (0, 3):
-        admission.leave(ident)
-    admission.leave(0)
-    assert admission.held == 0
+    clients = []
+    for client_id in range(4):
+        admission.admit(client_id, float(client_id))
+        clients.append(admission.clients[client_id])
+    admission.mark_submitted(0)
+    assert admission.set_buffered(clients[0], 90) is None
+    assert admission.set_buffered(clients[1], 10) is None
+    assert admission.set_buffered(clients[2], 10) == 1, "the longest inactive newcomer is closed first"
+    admission.remove(1)
+    assert admission.buffered_bytes == 100
+    admission.remove(2)
+    assert admission.set_buffered(clients[3], 0) is None and admission.set_buffered(clients[0], 101) == 0
+    assert admission.set_buffered(clients[0], 0) is None
+    for client_id in (0, 3):
+        admission.remove(client_id)
+    admission.remove(0)
+    assert admission.buffered_bytes == 0
--- a/tests/resp/test_msg_put.py
+++ b/tests/resp/test_msg_put.py
@@ -1,4 +1,4 @@
-"""What a hand-in must hold."""
+"""Parsing of MSG.PUT: valid submissions and each kind of invalid one."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from brassweir.core.ports import Payload
 from brassweir.interface import Effect, MessageClass
-from brassweir.resp.msg_put import Unreadable, parse
+from brassweir.resp.msg_put import InvalidSubmission, parse
 
 CLASSES = {
     "note": MessageClass("note", 1000.0, 9000.0, Effect.SAFE),
@@ -19,18 +19,23 @@
     return [b"MSG.PUT", key, ident, names, body]
 
 
-def test_a_whole_one() -> None:
-    found = parse(args(b"c=order,d=12000,k=k1,dest=7,again=1,new=thing"), CLASSES, {7}.__contains__)
-    assert (found.identity, found.class_name, found.destination, found.key) == ("ab12", "order", 7, "")
-    assert found.resent and found.time_left == 9000.0, "no longer than the class lets it be delivered"
-    assert found.payload == Payload("application/octet-stream", b"\r\n\0x", "k1")
+def test_valid_submission() -> None:
+    submission = parse(args(b"c=order,d=12000,k=k1,dest=7,again=1,new=thing"), CLASSES, {7}.__contains__)
+    assert (submission.identity, submission.class_name, submission.destination, submission.key) == (
+        "ab12",
+        "order",
+        7,
+        "",
+    )
+    assert submission.resent and submission.time_left == 9000.0, "limited by the deadline of the class"
+    assert submission.payload == Payload("application/octet-stream", b"\r\n\0x", "k1")
     assert not parse(args(b"c=note,d=1.5,dest=7"), CLASSES, {7}.__contains__).resent
 
 
 @pytest.mark.parametrize(
     ("name", "key", "order"), [(b"line", b"0af1", "0af1"), (b"line", b"0000", ""), (b"note", b"0af1", "")]
 )
-def test_the_first_word_orders_where_the_class_asks_for_it(name: bytes, key: bytes, order: str) -> None:
+def test_order_key_is_used_only_if_the_class_requires_order(name: bytes, key: bytes, order: str) -> None:
     assert parse(args(b"c=" + name + b",d=100,dest=7", key=key), CLASSES, {7}.__contains__).key == order
 
 
@@ -57,13 +62,13 @@
         b"c=\xff,d=100,dest=7",
     ],
 )
-def test_bad_names(names: bytes) -> None:
-    with pytest.raises(Unreadable):
+def test_invalid_names(names: bytes) -> None:
+    with pytest.raises(InvalidSubmission):
         parse(args(names), CLASSES, {7}.__contains__)
 
 
 @pytest.mark.parametrize(
-    "given",
+    "command",
     [
         args(b"c=note,d=100,dest=7", ident=b""),
         args(b"c=note,d=100,dest=7", ident=b"a" * 65),
@@ -73,6 +78,6 @@
         [*args(b"c=note,d=100,dest=7"), b""],
     ],
 )
-def test_bad_parts(given: list[bytes]) -> None:
-    with pytest.raises(Unreadable):
-        parse(given, CLASSES, {7}.__contains__)
+def test_invalid_arguments(command: list[bytes]) -> None:
+    with pytest.raises(InvalidSubmission):
+        parse(command, CLASSES, {7}.__contains__)
