--- a/brassweir/webhook/__init__.py
+++ b/brassweir/webhook/__init__.py
@@ -1,1 +1,1 @@
-"""Plain HTTP webhooks: an id that stays the same over attempts, signed as Standard Webhooks has it."""
+"""Webhooks over HTTP, signed as in Standard Webhooks."""
--- a/brassweir/webhook/carrier.py
+++ b/brassweir/webhook/carrier.py
@@ -1,4 +1,4 @@
-"""Makes one attempt at one webhook endpoint."""
+"""Sends attempts to webhook endpoints over HTTP."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from brassweir.net.client import CallFailed, Stage
 from brassweir.net.headers import Headers
 from brassweir.net.pool_manager import PoolManager
-from brassweir.webhook import codec, endings
+from brassweir.webhook import codec, outcomes
 
 
 class WebhookCarrier(TaskCarrier):
-    """Carries attempts to webhooks. ``keys`` sign every post; the id is the same over all attempts.
+    """Posts messages as webhooks, signed with each of ``keys``; all attempts of a message have the same id.
 
-    ``linger`` (ms) is how long a call whose time is over is still listened to, as for AS2.
+    A response is still awaited for ``linger_ms`` after an attempt is abandoned.
     """
 
     def __init__(
@@ -29,27 +29,27 @@
         keys: tuple[bytes, ...],
         note: Note,
         name: str = "",
-        linger: float = 2000.0,
+        linger_ms: float = 2000.0,
     ) -> None:
         super().__init__(urls, pools, note, name)
-        self.pools, self.keys, self.linger = pools, keys, linger
+        self.pools, self.keys, self.linger_ms = pools, keys, linger_ms
 
     async def call(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
-        """Make the attempt and tell how it ended."""
+        """Makes an attempt and passes its outcome to ``done``."""
         url, payload = self.urls.url(attempt.endpoint.name), attempt.submission.payload
         if url is None or not isinstance(payload, Payload):
             done(Outcome(Result.NO_CONNECTION, "no address for this endpoint"))
             return
-        ident = delivery_id(attempt.submission.owner, attempt.submission.identity)
+        webhook_id = delivery_id(attempt.submission.owner, attempt.submission.identity)
         fields = Headers(
-            [("User-Agent", self.agent), *codec.headers(ident, int(time.time()), payload, self.keys)]
+            [("User-Agent", self.agent), *codec.headers(webhook_id, int(time.time()), payload, self.keys)]
         )
-        begin, until = attempt.abandon_at / 1000.0, (attempt.abandon_at + self.linger) / 1000.0
+        start_by, deadline = attempt.abandon_at / 1000.0, (attempt.abandon_at + self.linger_ms) / 1000.0
         try:
             reply = await self.pools.http_pool(url).post(
-                fields, payload.content, until, begin, attempt.start_guard.begin
+                fields, payload.content, deadline, start_by, attempt.start_guard.begin
             )
-        except CallFailed as failed:
-            done(no_answer(failed.stage is not Stage.CONNECT, True, failed.timed_out, failed.reason))
+        except CallFailed as failure:
+            done(no_answer(failure.stage is not Stage.CONNECT, True, failure.timed_out, failure.reason))
         else:
-            done(endings.status(reply.status, read_hints(reply.headers.first, time.time())))
+            done(outcomes.from_status(reply.status, read_hints(reply.headers.first, time.time())))
--- a/brassweir/webhook/codec.py
+++ b/brassweir/webhook/codec.py
@@ -1,4 +1,4 @@
-"""Headers of a webhook (Standard Webhooks 1.0: webhook-id, webhook-timestamp, webhook-signature). No I/O."""
+"""Signs and verifies webhooks as in Standard Webhooks 1.0. No I/O."""
 
 from __future__ import annotations
 
@@ -9,55 +9,57 @@
 
 from brassweir.core.ports import Payload
 
-PREFIX = "whsec_"
-TOLERANCE = 300.0  # seconds by which a receiver's clock may differ, as the specification's libraries have it
+SECRET_PREFIX = "whsec_"
+TIMESTAMP_TOLERANCE_SECONDS = 300.0  # allowed clock difference, as in the specification's libraries
 
 
 class WebhookError(ValueError):
-    """A secret cannot be read, or a received webhook does not hold."""
+    """A secret is malformed, or a received webhook is not authentic."""
 
 
 def parse_secret(text: str) -> bytes:
-    """Read a signing secret: base64, with or without its prefix, 24 to 64 bytes. Raises WebhookError."""
+    """Decodes a signing secret: base64 of 24 to 64 bytes, with or without prefix. Raises WebhookError."""
     try:
-        key = base64.b64decode(text.removeprefix(PREFIX), validate=True)
+        key = base64.b64decode(text.removeprefix(SECRET_PREFIX), validate=True)
     except (binascii.Error, ValueError):
-        raise WebhookError("a webhook secret is base64, perhaps behind whsec_") from None
+        raise WebhookError("a webhook secret must be base64, optionally prefixed with whsec_") from None
     if not 24 <= len(key) <= 64:
-        raise WebhookError(f"a webhook secret has 24 to 64 bytes, this one {len(key)}")
+        raise WebhookError(f"a webhook secret must have 24 to 64 bytes, not {len(key)}")
     return key
 
 
-def signature(key: bytes, ident: str, timestamp: int, content: bytes) -> str:
-    """One signature over id, time and content, joined by dots."""
-    signed = f"{ident}.{timestamp}.".encode() + content
+def sign(key: bytes, webhook_id: str, timestamp: int, content: bytes) -> str:
+    """Returns the signature of id, timestamp and content, joined by dots."""
+    signed = f"{webhook_id}.{timestamp}.".encode() + content
     return "v1," + base64.b64encode(hmac.digest(key, signed, hashlib.sha256)).decode("ascii")
 
 
-def headers(ident: str, timestamp: int, payload: Payload, keys: tuple[bytes, ...]) -> list[tuple[str, str]]:
-    """All fields of a post; several keys while one is being changed make several signatures."""
+def headers(
+    webhook_id: str, timestamp: int, payload: Payload, keys: tuple[bytes, ...]
+) -> list[tuple[str, str]]:
+    """Returns the header fields of a webhook, with one signature per key (several during a key rotation)."""
     fields = [
         ("Content-Type", payload.content_type),
-        ("webhook-id", ident),
+        ("webhook-id", webhook_id),
         ("webhook-timestamp", str(timestamp)),
-        ("Idempotency-Key", f'"{ident}"'),
+        ("Idempotency-Key", f'"{webhook_id}"'),
     ]
     if keys:
-        signed = " ".join(signature(key, ident, timestamp, payload.content) for key in keys)
+        signed = " ".join(sign(key, webhook_id, timestamp, payload.content) for key in keys)
         fields.append(("webhook-signature", signed))
     return fields
 
 
 def verify(
-    keys: tuple[bytes, ...], ident: str, timestamp: str, signatures: str, content: bytes, now: float
+    keys: tuple[bytes, ...], webhook_id: str, timestamp: str, signatures: str, content: bytes, now: float
 ) -> None:
-    """Check a received webhook, as a receiver does. Raises WebhookError with the reason."""
+    """Verifies a received webhook against any of ``keys``. Raises WebhookError with the reason."""
     if not timestamp.isascii() or not timestamp.isdigit() or len(timestamp) > 12:
-        raise WebhookError("webhook-timestamp is no number of seconds")
-    if abs(now - int(timestamp)) > TOLERANCE:
-        raise WebhookError("webhook-timestamp is too far from now")
-    expected = [signature(key, ident, int(timestamp), content) for key in keys]
-    for given in signatures.split(" "):
-        if any(hmac.compare_digest(given.encode(), one.encode()) for one in expected):
+        raise WebhookError("webhook-timestamp is not a number of seconds")
+    if abs(now - int(timestamp)) > TIMESTAMP_TOLERANCE_SECONDS:
+        raise WebhookError("webhook-timestamp is outside the allowed clock difference")
+    expected = [sign(key, webhook_id, int(timestamp), content) for key in keys]
+    for received in signatures.split(" "):
+        if any(hmac.compare_digest(received.encode(), valid.encode()) for valid in expected):
             return
-    raise WebhookError("no signature holds")
+    raise WebhookError("no signature matches")
