--- a/brassweir/net/client.py
+++ b/brassweir/net/client.py
@@ -58,8 +58,8 @@
 
         Raises CallFailed, also at ``start_by`` (loop time) or if ``may_start`` returns False.
 
-        The last byte is sent ``hold_seconds`` after the others. If the endpoint closes or resets
-        the connection meanwhile, it cannot have processed the incomplete request. Bytes received meanwhile
+        The last byte is sent ``hold_seconds`` after the others. If the endpoint closes or resets the
+        connection meanwhile, it cannot have processed the incomplete request. Bytes received meanwhile
         belong to an earlier call and end the connection. ``may_start`` is called again before the last byte,
         because the event loop may have been blocked in between.
         """
@@ -70,6 +70,7 @@
             )
 
     def _request_head(self, headers: Headers, length: int) -> bytes:
+        """Returns the request's head, with Host and Content-Length added to ``headers``."""
         addr = self.address
         fields = Headers([("Host", addr.host if addr.port in (80, 443) else f"{addr.host}:{addr.port}")])
         for name, value in headers:
--- a/brassweir/net/connection.py
+++ b/brassweir/net/connection.py
@@ -61,7 +61,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Marks the connection as usable."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's do not subclass it
         self.usable = True
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/brassweir/net/parse.py
+++ b/brassweir/net/parse.py
@@ -80,7 +80,7 @@
         return bool(self.queue) and self.queue[-1].done
 
     def _fail(self, reason: str, status: int) -> None:
-        # Stored and raised by feed(): the parser would wrap an exception raised in a callback.
+        """Stores the first error for feed() to raise: the parser would wrap one raised in a callback."""
         self.error = self.error or TooLarge(reason, status)
 
     def on_message_begin(self) -> None:
--- a/brassweir/net/pool.py
+++ b/brassweir/net/pool.py
@@ -100,9 +100,7 @@
             self.limiter.call_started(self)
             try:
                 if loop.time() >= latest_start:
-                    raise CallFailed(
-                        Stage.CONNECT, "time ran out before the request was written", timed_out=True
-                    )
+                    raise CallFailed(Stage.CONNECT, "no time left to write the request", timed_out=True)
                 if not may_start():
                     raise CallFailed(Stage.CONNECT, "cancelled before anything was written")
                 yield connection
@@ -135,6 +133,7 @@
             del self.limiter_waiters[turn]
 
     async def _obtain(self, loop: asyncio.AbstractEventLoop, deadline: float) -> Connection:
+        """Returns an idle or a new connection, waiting for one if necessary. Raises CallFailed."""
         connect_deadline = min(loop.time() + self.connect_ms / 1000.0, deadline)
         enqueue = self.waiters.append
         try:
@@ -162,6 +161,7 @@
             raise
 
     def _pop_idle(self, now: float) -> Connection | None:
+        """Removes and returns an available idle connection, and drops those that are not available."""
         while self.idle:
             connection = self.idle.pop()  # the most recently used: the peer closes it last
             # Checks the clock too, because a blocked event loop fires the idle timer late.
@@ -172,6 +172,7 @@
         return None
 
     async def _connect(self, loop: asyncio.AbstractEventLoop, connect_deadline: float) -> Connection:
+        """Opens a connection once the limiter permits it. Raises CallFailed or ConnectionFreed."""
         self.open += 1
         connection = self.new_connection(loop)
         dialing = False
@@ -181,16 +182,14 @@
                     try:
                         async with self.limiter.reserve(self):
                             dialing = True
-                            started_at = loop.time()
+                            started = loop.time()
                             await self._dial(loop, connection)
                             await connection.perform_handshake()
                             if not connection.usable:
                                 raise CallFailed(Stage.CONNECT, "connection closed during its set-up")
                             connection.established = True
                             self.connections_made += 1
-                            self.setup_ms += SETUP_WEIGHT * (
-                                (loop.time() - started_at) * 1000.0 - self.setup_ms
-                            )
+                            self.setup_ms += SETUP_WEIGHT * ((loop.time() - started) * 1000.0 - self.setup_ms)
                             return connection
                     except ResourceShortage:
                         self.limiter.report_shortage()
@@ -218,6 +217,7 @@
             raise
 
     def _release(self, connection: Connection) -> None:
+        """Puts a connection back into the pool after a call, or drops it if it is not usable."""
         if connection.usable:
             self.idle.append(connection)
             connection.stale_at = connection.loop.time() + self.idle_ms / 1000.0
--- a/brassweir/net/pool_manager.py
+++ b/brassweir/net/pool_manager.py
@@ -41,8 +41,8 @@
             connect_ms,
         )
         self.budget, self.setups = budget or ConnectionBudget(1_000_000), setups or SetupQueue(1_000_000)
-        self.pools: dict[str, ConnectionPool] = {}
-        self.keys: dict[ConnectionPool, str] = {}
+        self.pools: dict[str, ConnectionPool] = {}  # by URL, or URL and name
+        self.keys: dict[ConnectionPool, str] = {}  # the reverse of ``pools``
         self.budget_waiters: dict[asyncio.Future[bool], str] = {}  # waiting for budget, in order
         self.setup_waiters: dict[int, asyncio.Future[bool]] = {}  # waiting to start a set-up, by ticket
 
@@ -115,6 +115,7 @@
                 self._wake_budget_waiters()
 
     def _reserve_budget(self, key: str, now: float) -> bool:
+        """Returns whether a connection may be opened; may close an idle one of another pool for it."""
         permit = self.budget.request(key, now * 1000.0)
         if permit.evict is not None and permit.evict in self.pools:
             self.pools[permit.evict].close_idle(1)
@@ -123,6 +124,7 @@
         return permit.granted
 
     async def _wait_for_budget(self, pool: ConnectionPool, key: str, loop: asyncio.AbstractEventLoop) -> None:
+        """Waits until the budget admits one more connection. Raises ConnectionFreed."""
         turn: asyncio.Future[bool] = loop.create_future()
         self.budget_waiters[turn] = key
         try:
@@ -135,6 +137,7 @@
             raise
 
     def _start_setups(self) -> None:
+        """Wakes the calls whose tickets the set-up queue hands out next."""
         while (ticket := self.setups.next_ticket()) is not None:
             turn = self.setup_waiters.get(ticket)
             if turn is not None and not turn.done():
@@ -189,6 +192,7 @@
 
 
 def _make_http_pool(address: Address, pools: PoolManager) -> ConnectionPool:
+    """Returns a new HTTP pool with the manager's settings."""
     pool = HttpPool(
         address, pools.limits, pools.connections_per_endpoint, pools.idle_ms, pools.connect_ms, limiter=pools
     )
--- a/brassweir/net/server_connection.py
+++ b/brassweir/net/server_connection.py
@@ -50,7 +50,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Registers the connection, or aborts it if the server has too many."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's do not subclass it
         self.peer = str(transport.get_extra_info("peername"))
         if len(self.server.connections) >= self.limits.connections:
             self.drop()
@@ -161,7 +161,7 @@
         return None
 
     def check_head(self, incoming: IncomingMessage) -> bool:
-        """Rejects an invalid head (returns False), and sends 100 Continue if expected (RFC 9110, 10.1.1)."""
+        """Returns whether the head is valid; rejects it, or sends 100 Continue (RFC 9110, section 10.1.1)."""
         error = head_error(incoming)
         if error is not None:
             self.reject(*error)
--- a/brassweir/resp/admission.py
+++ b/brassweir/resp/admission.py
@@ -2,7 +2,7 @@
 
 A new connection is always accepted if another can be closed for it. Closed first is the oldest connection
 that has not submitted a message, since a real client sends its first command in its first packet. Next is the
-longest idle one. A connection with an unanswered command is never closed for another.
+longest idle one. A client that has submitted messages and waits for a reply is never closed for this.
 """
 
 from __future__ import annotations
@@ -87,12 +87,14 @@
         return min(buffering, key=lambda other: other.last_active).id
 
     def _victim(self, now: float) -> int | None:
+        """Returns the id of the connection to close for a new one, if any may be closed."""
         if self.newcomers:
             return next(iter(self.newcomers))
         idle = self._idle(now)
         return min(idle, key=lambda client: client.last_active).id if idle else None
 
     def _idle(self, now: float) -> list[ClientState]:
+        """Returns the clients that have submitted a message and are now idle."""
         return [
             client
             for client in self.clients.values()
@@ -102,8 +104,8 @@
     def expired(self, now: float) -> list[int]:
         """Returns the ids of connections to close now.
 
-        Closed are newcomers without a submission in time, clients that stopped within a command, and, under
-        pressure, the longest idle ones.
+        These are newcomers after IDLE_SECONDS (from their last activity while they send PINGs), clients that
+        stopped within a command for as long, and, under pressure, those that are idle longest.
         """
         expired = [
             client.id
--- a/brassweir/resp/channel.py
+++ b/brassweir/resp/channel.py
@@ -1,4 +1,4 @@
-"""A client connection's transport, with flow control and a lingering close that loses no reply.
+"""The transport of a client's connection, with flow control and a lingering close that loses no reply.
 
 Closing a socket with unread bytes resets the connection, and the reset can destroy replies that the client
 has not read. A channel therefore sends EOF first, then reads and discards until the client closes, for
@@ -42,7 +42,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Stores the transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's do not subclass it
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Stops processing and cancels the linger timer."""
@@ -98,7 +98,7 @@
         self.set_read_paused(False)
 
     def begin_close(self) -> None:
-        """Processes no more bytes from the client, and aborts the connection after LINGER_SECONDS."""
+        """Stops processing bytes from the client; aborts the connection after LINGER_SECONDS."""
         self.draining = True
         self.set_read_paused(True)
         self.linger_timer = self.loop.call_later(LINGER_SECONDS, self.abort)
--- a/brassweir/resp/codec.py
+++ b/brassweir/resp/codec.py
@@ -61,6 +61,7 @@
             raise
 
     def _next(self) -> list[bytes] | None:
+        """Decodes the next command; keeps the parts decoded so far if it is incomplete."""
         if not self.remaining_parts:
             count = self._read_length(b"*", "a command is an array of bulk strings")
             if count is None:
--- a/brassweir/resp/front.py
+++ b/brassweir/resp/front.py
@@ -64,6 +64,7 @@
         return int(self.listener.sockets[0].getsockname()[1])
 
     def _check_expired(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Closes expired connections and schedules the next check."""
         for client_id in self.admission.expired(loop.time()):
             self.connections[client_id].expire()
         self.expiry_timer = loop.call_later(EXPIRY_CHECK_SECONDS, self._check_expired, loop)
--- a/brassweir/resp/msg_put.py
+++ b/brassweir/resp/msg_put.py
@@ -71,6 +71,7 @@
 
 
 def _parse_fields(names: bytes) -> dict[bytes, bytes]:
+    """Returns the comma-separated ``name=value`` pairs. Raises InvalidSubmission."""
     fields: dict[bytes, bytes] = {}
     for part in names.split(b",") if names else ():
         name, separator, value = part.partition(b"=")
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -70,7 +70,7 @@
 def test_bad_requests_are_rejected_and_nothing_after_them_is_read(raw: bytes, status: bytes) -> None:
     handler = RecordingHandler()
     answer = run(exchange(raw + post(b"smuggled"), handler))
-    # A peer that still sends may see the reset before the answer; the complaint is what operators see.
+    # A peer that is still sending may see a reset instead of the response; the error is reported anyway.
     assert answer == b"" or answer.startswith(b"HTTP/1.1 " + status), answer[:80]
     assert str(handler.errors[0][0]).encode().startswith(status)
     assert not handler.requests
