--- a/brassweir/net/client.py
+++ b/brassweir/net/client.py
@@ -157,7 +157,7 @@
                 self.stage = Stage.SENT
                 self.transport.write(last_byte)
             else:
-                self.fail(CallFailed(Stage.CONNECT, "the call may no longer start", timed_out=True))
+                self.fail(CallFailed(Stage.CONNECT, "it may not begin any more", timed_out=True))
                 self.drop()
 
     def _on_deadline(self, pending: asyncio.Future[Reply]) -> Reply:
@@ -167,7 +167,7 @@
         self.drop()
         reply = self.early_reply()
         if reply is None:
-            raise CallFailed(self.stage, "no complete response in time", timed_out=True)
+            raise CallFailed(self.stage, "no whole answer in time", timed_out=True)
         return reply
 
     def fail(self, error: CallFailed) -> None:
@@ -185,7 +185,7 @@
             self.drop()
             return
         if self.stage is Stage.CONNECT:
-            self.fail(CallFailed(Stage.CONNECT, "bytes received before the request was complete"))
+            self.fail(CallFailed(Stage.CONNECT, "bytes came before the call was whole"))
             self.drop()
             return
         try:
@@ -196,7 +196,7 @@
                 self.usable = False
                 self.complete_reply()
             else:
-                self.fail(CallFailed(Stage.GARBLED, f"response is not valid HTTP: {error}"))
+                self.fail(CallFailed(Stage.GARBLED, f"answer is no HTTP: {error}"))
             self.drop()
             return
         except TooLarge as error:
--- a/brassweir/net/headers.py
+++ b/brassweir/net/headers.py
@@ -35,7 +35,7 @@
         """Returns the value of a field that may occur once. Raises DuplicateHeader if values differ."""
         values = self.all(name)
         if len(set(values)) > 1:
-            raise DuplicateHeader(f"header {name} occurs {len(values)} times with different values")
+            raise DuplicateHeader(f"header {name} stands {len(values)} times")
         return values[0] if values else default
 
     def first(self, name: str, default: str = "") -> str:
--- a/brassweir/net/pool.py
+++ b/brassweir/net/pool.py
@@ -100,9 +100,11 @@
             self.limiter.call_started(self)
             try:
                 if loop.time() >= latest_start:
-                    raise CallFailed(Stage.CONNECT, "no time left to write the request", timed_out=True)
+                    raise CallFailed(
+                        Stage.CONNECT, "its time was over before it could be written", timed_out=True
+                    )
                 if not may_start():
-                    raise CallFailed(Stage.CONNECT, "cancelled before anything was written")
+                    raise CallFailed(Stage.CONNECT, "called back before anything was written")
                 yield connection
             finally:
                 self._release(connection)
@@ -161,7 +163,6 @@
             raise
 
     def _pop_idle(self, now: float) -> Connection | None:
-        """Removes and returns an available idle connection, and drops those that are not available."""
         while self.idle:
             connection = self.idle.pop()  # the most recently used: the peer closes it last
             # Checks the clock too, because a blocked event loop fires the idle timer late.
@@ -186,7 +187,7 @@
                             await self._dial(loop, connection)
                             await connection.perform_handshake()
                             if not connection.usable:
-                                raise CallFailed(Stage.CONNECT, "connection closed during its set-up")
+                                raise CallFailed(Stage.CONNECT, "closed during its set-up")
                             connection.established = True
                             self.connections_made += 1
                             self.setup_ms += SETUP_WEIGHT * ((loop.time() - started) * 1000.0 - self.setup_ms)
@@ -198,7 +199,7 @@
             connection.drop()
             self._count_closed()
             if isinstance(error, TimeoutError):
-                reason = "connect timed out" if dialing else "no capacity for another connection in time"
+                reason = "connect timed out" if dialing else "no room for another connection in time"
                 raise CallFailed(Stage.CONNECT, reason, timed_out=True) from None
             if isinstance(error, CallFailed):  # the handshake failed: no part of a call was written
                 raise CallFailed(Stage.CONNECT, error.reason, error.timed_out) from None
@@ -217,7 +218,6 @@
             raise
 
     def _release(self, connection: Connection) -> None:
-        """Puts a connection back into the pool after a call, or drops it if it is not usable."""
         if connection.usable:
             self.idle.append(connection)
             connection.stale_at = connection.loop.time() + self.idle_ms / 1000.0
