--- a/brassweir/core/__init__.py
+++ b/brassweir/core/__init__.py
@@ -1,1 +1,1 @@
-"""The engine that carries out the module's decisions, its ledger of messages, and the ports of both."""
+"""The engine that executes the decision module's actions, its ledger of messages, and its interfaces."""
--- a/brassweir/core/cancel.py
+++ b/brassweir/core/cancel.py
@@ -1,9 +1,8 @@
-"""Which attempts are called back before their first byte: news that came while they waited for a connection.
+"""Selects the attempts to cancel before their first byte is written.
 
-A decision to send is made on what was known then. Setting a connection up may take longer than a destination
-needs to tell another call to wait, or the list to tell that an endpoint drains. An attempt of which nothing
-was written cannot have run, so it can still be called back, as moot; what becomes of its message is decided
-anew. Pure.
+While an attempt waits for a connection, its destination may ask another call to wait, or an update of the
+endpoint list may make its endpoint unusable. An attempt of which no byte was written cannot have taken
+effect, so it can be cancelled; the module then decides again about its message. Pure.
 """
 
 from __future__ import annotations
@@ -20,25 +19,31 @@
 def cancelled_by_wait(
     ended: Attempt, outcome: Outcome, waiting: Iterable[Attempt], apart: frozenset[str]
 ) -> list[Attempt]:
-    """Attempts that a told wait calls back: those to the same destination, or where the kind's routes have
-    limits of their own (``apart``), to the same endpoint."""
+    """Return the attempts that the wait requested in ``outcome`` cancels.
+
+    These are the attempts to the same destination. If each endpoint of its kind has its own limits
+    (``apart``), they are only those to the same endpoint.
+    """
     if outcome.wait <= 0.0:
         return []
-    own = ended.endpoint.kind in apart
+    per_endpoint = ended.endpoint.kind in apart
     return [
-        one
-        for one in waiting
-        if one.endpoint.destination == ended.endpoint.destination
-        and (not own or one.endpoint.name == ended.endpoint.name)
+        attempt
+        for attempt in waiting
+        if attempt.endpoint.destination == ended.endpoint.destination
+        and (not per_endpoint or attempt.endpoint.name == ended.endpoint.name)
     ]
 
 
 def cancelled_by_list(entries: Iterable[EndpointInfo], waiting: Iterable[Attempt]) -> list[Attempt]:
-    """Attempts that news of the list calls back: to endpoints not ready, or of another destination now."""
-    told = {info.name: info for info in entries}
+    """Return the attempts that a list update cancels.
+
+    Their endpoint is no longer ready, or belongs to another destination now.
+    """
+    updated = {info.name: info for info in entries}
     return [
-        one
-        for one in waiting
-        if (info := told.get(one.endpoint.name)) is not None
-        and (info.state is not EntryState.READY or info.destination != one.submission.destination)
+        attempt
+        for attempt in waiting
+        if (info := updated.get(attempt.endpoint.name)) is not None
+        and (info.state is not EntryState.READY or info.destination != attempt.submission.destination)
     ]
--- a/brassweir/core/clock.py
+++ b/brassweir/core/clock.py
@@ -1,4 +1,4 @@
-"""Two clocks with one face: the event loop's, and a simulated one that never sleeps."""
+"""Two implementations of the engine's clock: the event loop's time, and simulated time."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
         self.loop = loop
 
     def now(self) -> float:
-        """The loop's time now."""
+        """Return the loop's current time (ms)."""
         return self.loop.time() * 1000.0
 
-    def call_at(self, when: float, what: Callable[[], None]) -> asyncio.Handle:
-        """Run ``what`` at ``when`` (ms)."""
-        return self.loop.call_at(when / 1000.0, what)
+    def call_at(self, when: float, callback: Callable[[], None]) -> asyncio.Handle:
+        """Run ``callback`` at ``when`` (ms)."""
+        return self.loop.call_at(when / 1000.0, callback)
 
-    def call_soon(self, what: Callable[[], None]) -> asyncio.Handle:
-        """Run ``what`` in the next turn."""
-        return self.loop.call_soon(what)
+    def call_soon(self, callback: Callable[[], None]) -> asyncio.Handle:
+        """Run ``callback`` in the loop's next iteration."""
+        return self.loop.call_soon(callback)
 
 
 class SimHandle:
-    """A simulated call put off."""
+    """A scheduled call of :class:`SimClock`."""
 
-    __slots__ = ("what",)
+    __slots__ = ("callback",)
 
-    def __init__(self, what: Callable[[], None]) -> None:
-        self.what: Callable[[], None] | None = what
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Take it back."""
-        self.what = None
+        """Cancel the call; does nothing if it has already run."""
+        self.callback = None
 
 
 class SimClock:
-    """Time that moves only from one event to the next, in a fixed order: same calls in, same run out."""
+    """Simulated time: advances from one scheduled call to the next, in a reproducible order."""
 
     def __init__(self, now: float = 0.0) -> None:
         self.time = now
@@ -49,23 +49,23 @@
         self.numbers = count()
 
     def now(self) -> float:
-        """The simulated time."""
+        """Return the simulated time (ms)."""
         return self.time
 
-    def call_at(self, when: float, what: Callable[[], None]) -> SimHandle:
-        """Run ``what`` at ``when``, never in the past."""
-        handle = SimHandle(what)
+    def call_at(self, when: float, callback: Callable[[], None]) -> SimHandle:
+        """Run ``callback`` at ``when``, or now if that has passed."""
+        handle = SimHandle(callback)
         heappush(self.queue, (max(when, self.time), next(self.numbers), handle))
         return handle
 
-    def call_soon(self, what: Callable[[], None]) -> SimHandle:
-        """Run ``what`` at this time, after all that is already due now."""
-        return self.call_at(self.time, what)
+    def call_soon(self, callback: Callable[[], None]) -> SimHandle:
+        """Run ``callback`` at the present time, after all calls that are already scheduled for it."""
+        return self.call_at(self.time, callback)
 
     def run(self, until: float) -> None:
-        """Run everything due up to and at ``until``."""
+        """Run all calls scheduled up to and including ``until``, and advance the time to it."""
         while self.queue and self.queue[0][0] <= until:
             self.time, _, handle = heappop(self.queue)
-            if handle.what is not None:
-                handle.what()
+            if handle.callback is not None:
+                handle.callback()
         self.time = max(self.time, until)
--- a/brassweir/core/engine.py
+++ b/brassweir/core/engine.py
@@ -1,8 +1,8 @@
-"""Drives one ``control.Sender``: facts in, one ``handle`` call a turn, actions carried out.
+"""Drives the decision module: events in, one ``control.Sender.handle`` call a turn, actions executed.
 
-The engine decides nothing on delivery and knows no protocol. What it adds to the module is bookkeeping: the
-ledger makes each answer final once, the store is asked before each step that must not be forgotten, and an
-outcome that comes after the answer is recorded and changes nothing.
+The engine makes no delivery decision and depends on no protocol. It does the bookkeeping: the ledger gives
+each message one final answer, the store persists a fact before any step that relies on it, and an outcome
+that comes after the final answer is recorded without changing it.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 )
 from brassweir.core.unstarted import UnstartedAttempts
 
-LATE = 5.0  # ms: a time-out that comes later than this shows that the loop stood still
-READ_FIRST = 2.0  # ms until it counts then: the sockets are read before that
+STALL_MS = 5.0  # a time-out that fires later than this means that the event loop was blocked
+READ_GRACE_MS = 2.0  # delay of such a time-out, so that the loop first reads answers that wait in sockets
 
 
 class Engine:
-    """One sender's bookkeeping around the decision module.
+    """Connects one sender's decision module with its ledger, store and carriers.
 
-    ``carrier_for`` gives the carrier of an endpoint's kind; ``remember`` and ``most`` bound the memory of
-    ended messages (see :class:`Ledger`); ``watch_list`` is called when the module asks for the list.
+    ``carrier_for`` returns an endpoint's carrier; ``retention_ms`` and ``max_ended`` bound the memory of
+    ended messages (see :class:`Ledger`); ``watch_list`` is called when the module asks for the endpoint list.
     """
 
     def __init__(
@@ -64,137 +64,137 @@
         self.ledger = Ledger({cls.name: cls for cls in settings.classes}, retention_ms, max_ended)
         self.first_byte = FirstByteCheck()
         self.endpoints = self.first_byte.endpoints
-        self.facts: list[api.Event | MessageRecord] = []  # a record: a message that the module is to hold
+        self.inbox: list[api.Event | MessageRecord] = []  # a record: a new message
         self.apart = frozenset(kind.name for kind in settings.kinds if kind.separate_routes)
         self.unstarted = UnstartedAttempts(self.apart)
-        self.recalls: list[Callable[[], None]] = []  # by what the module hears in the next turn
+        self.rechecks: list[Callable[[], None]] = []  # run after the next turn, see :meth:`_notify`
         self.admission_callbacks: dict[int, Callable[[], None]] = {}  # see :meth:`when_admitted`
-        self.turning = False
+        self.turn_scheduled = False
         self.stopping = False
-        # Asked of each new message before anything is kept of it: a refusal, if it is not to be taken here.
+        # Called for each new message before it is persisted; a returned answer refuses the message.
         self.admission_check: Callable[[Submission], FinalAnswer | None] = lambda _: None
         self.on_turn: Callable[[float, list[api.Event], list[api.Action]], None] | None = None
-        self._turn_soon()  # the first turn lets the module set its first timer
+        self._schedule_turn()  # so that the module sets its first timer
 
-    # ---- facts in
+    # ---- events in
 
     def submit(self, submission: Submission, waiter: Waiter) -> tuple[SubmitStatus, MessageRecord]:
-        """Take one message; ``waiter`` gets its one final answer, never from inside this call.
+        """Accept a message; ``waiter`` receives its final answer, but never before this method has returned.
 
-        Raises ValueError if the class is unknown or the time left is no positive number.
+        Raises ValueError if the class is unknown or the time left is not a positive number.
         """
         if submission.class_name not in self.ledger.classes:
             raise ValueError(f"unknown class {submission.class_name!r}")
         if not 0.0 < submission.time_left < float("inf"):
-            raise ValueError(f"time left {submission.time_left!r} is no positive number")
-        how, record = self.ledger.accept(submission, self.clock.now(), waiter)
-        self.observer.submitted(record, how)
-        if how is SubmitStatus.ENDED:
+            raise ValueError(f"time left {submission.time_left!r} is not a positive number")
+        status, record = self.ledger.accept(submission, self.clock.now(), waiter)
+        self.observer.submitted(record, status)
+        if status is SubmitStatus.ENDED:
             answer = record.answer
             assert answer is not None
             self.clock.call_soon(lambda: waiter(answer))
-        elif how is SubmitStatus.NEW:
+        elif status is SubmitStatus.NEW:
             if self.stopping:
                 self._finish(record, FinalAnswer(Answer.REFUSED, "the sender is stopping"))
-                return how, record
+                return status, record
             refusal = self.admission_check(record.submission)
             if refusal is not None:
                 self._finish(record, refusal)
-                return how, record
+                return status, record
 
-            def kept() -> None:
+            def on_durable() -> None:
                 if record.answer is not None:
-                    return  # withdrawn before it was written down: the module is not to hear of it
+                    return  # withdrawn before it was persisted: the module never receives it
                 record.persisted = True
-                for keeper in record.persist_callbacks:
-                    keeper()
+                for callback in record.persist_callbacks:
+                    callback()
                 record.persist_callbacks.clear()
-                self._fact(record)
+                self._add_event(record)
 
             self.store.persist(
                 Fact.TAKEN,
                 record.id,
                 record.submission,
-                kept,
-                lambda why: self._finish(
-                    record, FinalAnswer(Answer.REFUSED, why, self.settings.max_retry_after)
+                on_durable,
+                lambda reason: self._finish(
+                    record, FinalAnswer(Answer.REFUSED, reason, self.settings.max_retry_after)
                 ),
             )
-        return how, record
+        return status, record
 
     def knows(self, owner: str, identity: str) -> bool:
-        """Would a hand-in of this message join it or be told its answer, rather than be taken as new?"""
+        """Whether a submission of this message would join the open one or return its answer."""
         record = self.ledger.by_identity.get((owner, identity))
         return record is not None and (
             record.answer is None or self.ledger.retry_window(record, self.clock.now()) <= 0.0
         )
 
     def restore_past_attempts(self, known: Iterable[api.PastAttempt]) -> None:
-        """Tell what was known of endpoints before a restart; after the list, before any message."""
-        for one in known:
-            self._fact(one)
+        """Pass on attempts from before a restart; call it after the endpoint list, before any message."""
+        for past in known:
+            self._add_event(past)
 
     def resume(self, record: MessageRecord) -> None:
-        """Go on with a message from before a restart, under its old id, without writing it down again."""
+        """Continue a message from before a restart under its old id, without persisting it again."""
         self.ledger.put(record)
         record.persisted = record.resumed = True
         self.observer.submitted(record, SubmitStatus.NEW)
-        self._fact(record)
+        self._add_event(record)
 
     def update_list(self, news: api.ListUpdate) -> None:
-        """Pass on news of the endpoint list."""
+        """Pass on an update of the endpoint list, and cancel unstarted attempts that it rules out."""
         self.first_byte.update(news)
-        self._tell(news, lambda: self.unstarted.cancelled_by_list(news.entries), cancel.NOT_READY)
+        self._notify(news, lambda: self.unstarted.cancelled_by_list(news.entries), cancel.NOT_READY)
 
-    def _fact(self, event: api.Event | MessageRecord) -> None:
-        self.facts.append(event)
-        self._turn_soon()
+    def _add_event(self, event: api.Event | MessageRecord) -> None:
+        self.inbox.append(event)
+        self._schedule_turn()
 
-    def _turn_soon(self) -> None:
-        if not self.turning:
-            self.turning = True
+    def _schedule_turn(self) -> None:
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
             self.clock.call_soon(self._turn)
 
     # ---- one turn
 
     def _turn(self) -> None:
-        self.turning = False
-        recalls, self.recalls = self.recalls, []
-        before = thread_time()  # for the watcher only: nothing is decided by it
+        self.turn_scheduled = False
+        rechecks, self.rechecks = self.rechecks, []
+        cpu_before = thread_time()  # only reported to the observer, never an input to decisions
         now = self.clock.now()
-        events = [one.new_message(now) if isinstance(one, MessageRecord) else one for one in self.facts]
-        self.facts = []
+        events = [item.new_message(now) if isinstance(item, MessageRecord) else item for item in self.inbox]
+        self.inbox = []
         actions = self.sender.handle(now, events)
-        self.observer.turn(len(events), len(actions), thread_time() - before)
+        self.observer.turn(len(events), len(actions), thread_time() - cpu_before)
         if self.on_turn is not None:
             self.on_turn(now, events, actions)
         if self.admission_callbacks:
-            self._promise(events, actions)
+            self._call_admitted(events, actions)
         for action in actions:
-            self._carry_out(action)
-        for again in recalls:
-            again()
+            self._execute(action)
+        for recheck in rechecks:
+            recheck()
         for event in events:
             if isinstance(event, api.ListUpdate):
-                self._forget(event)
+                self._forget_gone(event)
 
-    def _forget(self, news: api.ListUpdate) -> None:
-        """Let go of endpoints that the module now knows to be gone: it names them no more."""
+    def _forget_gone(self, news: api.ListUpdate) -> None:
+        """Drop removed endpoints; the module has processed their removal and no longer refers to them."""
         for info in news.entries:
             known = self.endpoints.get(info.name)
             if info.state is api.EntryState.GONE and known is not None and known.state is api.EntryState.GONE:
                 del self.endpoints[info.name]
 
-    def _promise(self, events: list[api.Event], actions: list[api.Action]) -> None:
-        """Before anything goes out: tell who waits for it that a message is held."""
-        ended = {one.id for one in actions if isinstance(one, api.Refuse | api.Fail)}
+    def _call_admitted(self, events: list[api.Event], actions: list[api.Action]) -> None:
+        """Call the admission callbacks of the new messages of a turn, except those that the turn ended."""
+        ended = {action.id for action in actions if isinstance(action, api.Refuse | api.Fail)}
         for event in events:
             if isinstance(event, api.NewMessage):
-                promise = self.admission_callbacks.pop(event.id, None)
-                if promise is not None and event.id not in ended:
-                    promise()
+                callback = self.admission_callbacks.pop(event.id, None)
+                if callback is not None and event.id not in ended:
+                    callback()
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._send(action)
         elif isinstance(action, api.Refuse):
@@ -202,7 +202,7 @@
         elif isinstance(action, api.Fail):
             self._answer(action.id, FinalAnswer(Answer.FAILED, "not delivered in time"))
         elif isinstance(action, api.SetTimer):
-            self.clock.call_at(action.at, lambda: self._fact(api.TimerDue()))
+            self.clock.call_at(action.at, lambda: self._add_event(api.TimerDue()))
         elif isinstance(action, api.CloseIdle):
             info = self.endpoints.get(action.endpoint)
             if info is not None:
@@ -213,7 +213,7 @@
     def _send(self, action: api.Send) -> None:
         record = self.ledger.by_id[action.id]
         info = self.endpoints[action.endpoint]
-        until, repeat = self.ledger.repeat_deadline(record), record.first_run_at is not None
+        repeat_deadline, is_repeat = self.ledger.repeat_deadline(record), record.first_run_at is not None
         number = self.ledger.add_attempt(action.id, action.endpoint, self.clock.now())
         attempt = Attempt(
             action.id,
@@ -221,75 +221,75 @@
             record.submission,
             info,
             action.abandon_at,
-            repeat,
+            is_repeat,
             StartGuard(
-                lambda: self.first_byte.block(record, action.endpoint, self.clock.now(), until),
-                lambda: self.observer.began(record, number),  # not of the attempt: that would be a cycle
+                lambda: self.first_byte.block(record, action.endpoint, self.clock.now(), repeat_deadline),
+                lambda: self.observer.began(record, number),  # the number: the attempt would be a cycle
             ),
         )
         started = self.clock.now()
-        limit: Handle | None = None
+        timer: Handle | None = None
 
         def done(outcome: Outcome) -> None:
-            if limit is not None:
-                limit.cancel()
+            if timer is not None:
+                timer.cancel()
             if attempt.start_guard.block is not None:
                 outcome = Outcome(api.Result.NOT_STARTED, attempt.start_guard.block.value)
             self.unstarted.remove(attempt)
             self.unstarted.cancel(self.unstarted.cancelled_by_wait(attempt, outcome), cancel.MUST_WAIT)
-            self._ended(attempt, started, outcome)
+            self._on_outcome(attempt, started, outcome)
 
-        def over() -> None:
-            nonlocal limit
+        def timer_fired() -> None:
+            nonlocal timer
             now = self.clock.now()
-            if now > attempt.abandon_at + LATE:
-                # The loop stood still: an answer that came in time may lie in its socket. It is read first.
-                limit = self.clock.call_at(now + READ_FIRST, end)
+            if now > attempt.abandon_at + STALL_MS:
+                # The loop was blocked: an answer that came in time may still be unread in its socket.
+                timer = self.clock.call_at(now + READ_GRACE_MS, end_timed_out)
             else:
-                end()
+                end_timed_out()
 
-        def end() -> None:
-            if attempt.start_guard.cancel():  # not a byte was written, so nothing can have run
+        def end_timed_out() -> None:
+            if attempt.start_guard.cancel():  # no byte was written, so it cannot have taken effect
                 done(Outcome(api.Result.NO_CONNECTION, "no connection in time"))
             else:
                 done(Outcome(api.Result.TIMEOUT, "no whole answer in time"))
 
-        def go() -> None:
-            nonlocal limit
+        def start() -> None:
+            nonlocal timer
             if attempt.start_guard.cancelled:
-                return  # while its intent was kept
+                return  # cancelled while its intent was persisted
             self.observer.sent(attempt)
-            # Kept here and not by the carrier: one that hangs must not hold an answer back.
-            limit = self.clock.call_at(attempt.abandon_at, over)
+            # The engine sets this timer itself: a carrier that hangs must not delay the final answer.
+            timer = self.clock.call_at(attempt.abandon_at, timer_fired)
             self.carrier_for(info).start(attempt, done)
 
-        def unable(why: str) -> None:
-            done(Outcome(api.Result.NO_CONNECTION, why))
+        def on_rejected(reason: str) -> None:
+            done(Outcome(api.Result.NO_CONNECTION, reason))
 
         self.unstarted.add(attempt, done)
-        self.store.persist(Fact.INTENT, action.id, attempt, go, unable)
+        self.store.persist(Fact.INTENT, action.id, attempt, start, on_rejected)
 
-    def _tell(self, event: api.Event, which: Callable[[], list[Attempt]], why: str) -> None:
-        """Tell what may call attempts back: now, and after the turn that hears it and may not heed it yet."""
+    def _notify(self, event: api.Event, affected: Callable[[], list[Attempt]], reason: str) -> None:
+        """Pass on an event; cancel unstarted attempts that it affects now, and again after the next turn."""
 
-        def again() -> None:
-            self.unstarted.cancel(which(), why)
+        def recheck() -> None:
+            self.unstarted.cancel(affected(), reason)
 
-        again()
-        self.recalls.append(again)
-        self._fact(event)
+        recheck()
+        self.rechecks.append(recheck)
+        self._add_event(event)
 
-    def _ended(self, attempt: Attempt, started: float, outcome: Outcome) -> None:
+    def _on_outcome(self, attempt: Attempt, started: float, outcome: Outcome) -> None:
         record = self.ledger.by_id.get(attempt.id)
         if record is not None and not self.ledger.record_outcome(attempt.id, attempt.number, outcome):
-            self._afterwards(record, attempt, outcome)
+            self._on_late_outcome(record, attempt, outcome)
             return
         latency = max(0.0, self.clock.now() - started)
         served = outcome.result is api.Result.OK
         if record is not None:
             self.observer.outcome(record, attempt.number, outcome, record.answer is not None)
 
-        def tell() -> None:
+        def on_durable() -> None:
             closed = True
             if record is not None:
                 if (served or outcome.rejected) and record.answer is None:
@@ -308,22 +308,22 @@
                 outcome.limit_left,
                 outcome.limit,
             )
-            self._tell(ended, lambda: self.unstarted.cancelled_by_wait(attempt, outcome), cancel.MUST_WAIT)
+            self._notify(ended, lambda: self.unstarted.cancelled_by_wait(attempt, outcome), cancel.MUST_WAIT)
 
-        self.store.persist(Fact.OUTCOME, attempt.id, (attempt, outcome), tell, lambda _: tell())
+        self.store.persist(Fact.OUTCOME, attempt.id, (attempt, outcome), on_durable, lambda _: on_durable())
 
-    def _afterwards(self, record: MessageRecord, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt that had its outcome has another one: after its time, or a second receipt.
+    def _on_late_outcome(self, record: MessageRecord, attempt: Attempt, outcome: Outcome) -> None:
+        """Record another outcome of an attempt that already has one: a late answer, or a second receipt.
 
-        It is recorded. If it says that the message was delivered after all, and no answer was given yet, that
-        is the answer: another attempt could only do the work twice.
+        If it proves delivery and the message is still open, the message ends as delivered: another attempt
+        could only deliver it twice.
         """
         if outcome.result is api.Result.TIMEOUT or attempt.start_guard.cancelled:
-            return  # the two clocks of one time-out; or what a carrier makes of having been called back
+            return  # the carrier's own time-out of this attempt, or its reaction to the cancellation
         self.observer.late_outcome(record, attempt.number, outcome)
         if outcome.result is api.Result.OK and not outcome.rejected and record.answer is None:
             self._finish(record, FinalAnswer(Answer.DELIVERED, "the receipt came late"))
-            self._fact(api.Withdrawn(record.id))
+            self._add_event(api.Withdrawn(record.id))
 
     # ---- answers out
 
@@ -335,53 +335,52 @@
     def _finish(self, record: MessageRecord, answer: FinalAnswer) -> None:
         waiters = self.ledger.finish(record.id, answer, self.clock.now())
         if waiters is None:
-            return  # it had one: the first stays
+            return  # the message already has its final answer
         self.admission_callbacks.pop(record.id, None)
         self.ledger.drop_content(record)
         self.observer.final(record)
 
-        def give() -> None:
+        def call_waiters() -> None:
             for waiter in waiters:
                 self.clock.call_soon(lambda waiter=waiter: waiter(answer))  # type: ignore[misc]
 
-        # An answer there is no room to keep is given all the same: it was promised in time.
-        self.store.persist(Fact.FINAL, record.id, answer, give, lambda _: give())
+        # Given even if the store has no capacity for it: clients were promised an answer in time.
+        self.store.persist(Fact.FINAL, record.id, answer, call_waiters, lambda _: call_waiters())
 
     # ---- stopping
 
     def announce_exit(self, at: float) -> None:
-        """Tell that this process ends at a time (engine clock), and another goes on from its journal."""
-        self._fact(api.StopScheduled(at))
+        """Announce that this process exits at ``at`` (engine clock); its journal is resumed later."""
+        self._add_event(api.StopScheduled(at))
 
     def stop_accepting(self) -> None:
-        """From now on new messages are refused; open ones go on."""
+        """Refuse new messages from now on; open ones continue."""
         self.stopping = True
 
-    def when_persisted(self, record: MessageRecord, keeper: Callable[[], None]) -> None:
-        """Call ``keeper`` once a message is written down, perhaps at once."""
+    def when_persisted(self, record: MessageRecord, callback: Callable[[], None]) -> None:
+        """Call ``callback`` once the message is persisted, perhaps before this method returns."""
         if record.persisted:
-            keeper()
+            callback()
         else:
-            record.persist_callbacks.append(keeper)
+            record.persist_callbacks.append(callback)
 
-    def when_admitted(self, record: MessageRecord, promise: Callable[[], None]) -> None:
-        """Call ``promise`` once a message just handed in is written down and the module holds it: before any
-        attempt goes out, and never if its first turn ends it."""
+    def when_admitted(self, record: MessageRecord, callback: Callable[[], None]) -> None:
+        """Call ``callback`` once the message is persisted and the module admits it, before any attempt."""
         if record.answer is None:
-            self.admission_callbacks[record.id] = promise
+            self.admission_callbacks[record.id] = callback
 
     def withdraw(self, record: MessageRecord) -> None:
-        """Nobody waits for a message any more, and nobody was told that it is taken on."""
+        """End a message that nobody waits for and whose acceptance was reported to nobody."""
         if record.answer is None:
-            self._fact(api.Withdrawn(record.id))
+            self._add_event(api.Withdrawn(record.id))
             self._finish(record, self.ledger.closing_answer(record))
 
     def close(self) -> int:
-        """Answer everything still open with what can be promised, and return how many that were."""
-        left: Iterable[MessageRecord] = self.ledger.open_messages()
+        """Give each open message the strongest final answer that holds, and return how many there were."""
+        still_open: Iterable[MessageRecord] = self.ledger.open_messages()
         count = 0
-        for record in left:
-            self._fact(api.Withdrawn(record.id))
+        for record in still_open:
+            self._add_event(api.Withdrawn(record.id))
             self._finish(record, self.ledger.closing_answer(record))
             count += 1
         return count
--- a/brassweir/core/first_byte.py
+++ b/brassweir/core/first_byte.py
@@ -1,9 +1,9 @@
-"""The one check that stands right before a request's first byte, on whatever path it leaves.
+"""The check that every carrier makes right before it writes the first byte of a request.
 
-A decision to send is made on what was known then. Between it and the byte lie an intent to be kept, a
-wait for a connection, a set-up, a loop that stood still. So the last question is asked here, by every
-carrier, in the turn in which the byte is written: is the message still open, may it be repeated still,
-does the list name the endpoint as ready, and does anybody vouch for the list.
+Between the decision to send and that byte, time passes: the intent is persisted, the attempt waits for a
+connection, the event loop may be blocked. So this check is made in the loop iteration in which the byte is
+written: the message is still open, a repeat is still allowed, the endpoint list has the endpoint as ready,
+and the list is confirmed.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class FirstByteCheck:
-    """What is known of the endpoint list at this moment, and what it allows."""
+    """The endpoint list as it is now, whether or not the decision module has received it yet."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, EndpointInfo] = {}
         self.list_usable = True
 
     def update(self, news: ListUpdate) -> None:
-        """News of the list; from now on it counts, whatever was decided before."""
+        """Apply an update of the list; it holds at once, also for attempts already decided on."""
         if news.kind is ListKind.UNCONFIRMED:
             self.list_usable = False
         elif news.kind is ListKind.USABLE:
@@ -32,7 +32,10 @@
     def block(
         self, record: MessageRecord, endpoint: str, now: float, repeat_until: float
     ) -> BlockReason | None:
-        """What bars an attempt at a message from beginning ``now`` (ms), or None."""
+        """Return why an attempt may not begin at ``now`` (ms), or None if it may.
+
+        ``repeat_until`` (ms) is the end of the message's idempotency window.
+        """
         if record.answer is not None:
             return BlockReason.MESSAGE_OVER
         if now > repeat_until:
--- a/brassweir/core/futures.py
+++ b/brassweir/core/futures.py
@@ -1,4 +1,4 @@
-"""Final answers as futures, for whoever waits on the loop."""
+"""Turns final answers into futures, for callers that await them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def resolver(answered: asyncio.Future[FinalAnswer]) -> Waiter:
-    """A waiter that gives its answer to ``answered``, unless nobody waits for that any more."""
+    """Return a waiter that resolves ``answered``, unless it is already done or cancelled."""
 
     def resolve(answer: FinalAnswer) -> None:
         if not answered.done():
--- a/brassweir/core/http_responses.py
+++ b/brassweir/core/http_responses.py
@@ -1,4 +1,4 @@
-"""What carriers of every protocol over HTTP read alike: calls without an answer, told waits, limits. Pure."""
+"""How all HTTP carriers read a failed call, a requested wait and a reported rate limit. Pure."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def no_answer(connected: bool, written: bool, late: bool, reason: str) -> Outcome:
-    """A call that brought no whole answer.
+    """Return the outcome of a call without a complete response; ``late`` means that its time was up.
 
-    Nothing written proves that nothing ran; once a byte went out the message may have been read whole, even
-    where the answer was cut in its first byte.
+    If nothing was written, the call cannot have taken effect. Once a byte was written, the destination may
+    have read the whole request, however little of the response arrived.
     """
     if not connected or not written:
         return Outcome(Result.NO_CONNECTION, reason)
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerHints:
-    """What headers tell of waits and limits: ``wait`` in ms, ``limit`` in calls a second, share ``left``."""
+    """Response headers as values: ``wait`` in ms, ``limit`` in calls per second, ``limit_left`` a share."""
 
     wait: float = 0.0
     limit: float | None = None
@@ -32,10 +32,11 @@
 
 
 def read_hints(field: Callable[[str], str], wall: float) -> ServerHints:
-    """Read Retry-After (RFC 9110, section 10.2.3) and RateLimit fields; ``wall`` is the time in seconds.
+    """Read Retry-After (RFC 9110, section 10.2.3) and the RateLimit fields; ``wall`` is the time in seconds.
 
-    The RateLimit fields are read in both of the forms that the drafts of httpapi-ratelimit-headers gave
-    them. What cannot be read is passed over: a bad hint must not fail a delivered message.
+    ``field`` returns a header's value, or "". Both forms of the RateLimit fields in the drafts of
+    httpapi-ratelimit-headers are accepted. Unreadable values are ignored, as they must not fail a delivered
+    message.
     """
     wait = 0.0
     text = field("retry-after").strip()
@@ -46,32 +47,32 @@
             wait = max(0.0, parsedate_to_datetime(text).timestamp() - wall) * 1000.0
         except (ValueError, TypeError, OverflowError):
             wait = 0.0
-    limit, left = _rate(field)
-    return ServerHints(wait, limit, left)
+    limit, limit_left = _rate_limit(field)
+    return ServerHints(wait, limit, limit_left)
 
 
-def _rate(field: Callable[[str], str]) -> tuple[float | None, float | None]:
+def _rate_limit(field: Callable[[str], str]) -> tuple[float | None, float | None]:
     policy = re.search(r"(?:^|,)\s*\"?[\w.-]*\"?\s*;(.*)", field("ratelimit-policy"))
     quota, window = _number(field("ratelimit-limit")), None
     if policy is not None:
         quota = _param(policy[1], "q") or quota
         window = _param(policy[1], "w")
     else:
-        found = re.match(r"\s*(\d+)\s*;\s*w=(\d+)", field("ratelimit-policy"))
-        if found is not None:
-            quota, window = float(found[1]), float(found[2])
-    now = re.search(r";(.*)", field("ratelimit"))
-    remaining = _param(now[1], "r") if now is not None else _number(field("ratelimit-remaining"))
+        legacy = re.match(r"\s*(\d+)\s*;\s*w=(\d+)", field("ratelimit-policy"))
+        if legacy is not None:
+            quota, window = float(legacy[1]), float(legacy[2])
+    state = re.search(r";(.*)", field("ratelimit"))
+    remaining = _param(state[1], "r") if state is not None else _number(field("ratelimit-remaining"))
     if not quota or not window:
         return None, None
     return quota / window, None if remaining is None else min(1.0, remaining / quota)
 
 
 def _number(text: str) -> float | None:
-    found = re.match(r"\s*(\d{1,9})(?:\s*[,;]|\s*$)", text)
-    return float(found[1]) if found is not None else None
+    number = re.match(r"\s*(\d{1,9})(?:\s*[,;]|\s*$)", text)
+    return float(number[1]) if number is not None else None
 
 
 def _param(text: str, name: str) -> float | None:
-    found = re.search(rf"(?:^|;)\s*{name}=(\d{{1,9}})\b", text)
-    return float(found[1]) if found is not None else None
+    parameter = re.search(rf"(?:^|;)\s*{name}=(\d{{1,9}})\b", text)
+    return float(parameter[1]) if parameter is not None else None
--- a/brassweir/core/identity.py
+++ b/brassweir/core/identity.py
@@ -1,4 +1,4 @@
-"""The id under which a message goes on: made from the client's identity, so that it outlives our memory."""
+"""Derives the id that a message carries to its destination, as its idempotency key."""
 
 from __future__ import annotations
 
@@ -6,5 +6,9 @@
 
 
 def delivery_id(owner: str, identity: str) -> str:
-    """The same for every attempt, hand-in and restart; 40 hexadecimal digits."""
+    """Return 40 hexadecimal digits that depend on owner and identity alone.
+
+    They are the same for every attempt, submission and restart, even after the ledger has forgotten the
+    message.
+    """
     return hashlib.sha256(f"{owner}\0{identity}".encode()).hexdigest()[:40]
--- a/brassweir/core/key_order.py
+++ b/brassweir/core/key_order.py
@@ -1,4 +1,4 @@
-"""Keeps hand-ins of one key in the order of their arrival while each is opened on a thread of its own."""
+"""Keeps submissions of one key in their order of arrival while threads decode them concurrently."""
 
 from __future__ import annotations
 
@@ -8,36 +8,40 @@
 
 
 class KeyOrder:
-    """One line for each key that has hand-ins being opened."""
+    """A first-in, first-out queue for each key with submissions in progress."""
 
     def __init__(self) -> None:
         self.last: dict[str, asyncio.Future[None]] = {}
 
     @asynccontextmanager
     async def turn(self, key: str) -> AsyncIterator[Callable[[], Awaitable[None]]]:
-        """Stand in line now; await what this yields to come to the front. Leaving passes the turn on."""
+        """Enter the queue of ``key`` now, and leave it at the end of the ``async with`` block.
+
+        Yields a function that waits until all earlier entries have left. An empty key has no order: it never
+        waits.
+        """
         if not key:
-            yield _at_once
+            yield _no_wait
             return
-        before = self.last.get(key)
-        mine = self.last[key] = asyncio.get_running_loop().create_future()
+        predecessor = self.last.get(key)
+        finished = self.last[key] = asyncio.get_running_loop().create_future()
 
-        async def turn() -> None:
-            if before is not None:
-                await before
+        async def wait_for_turn() -> None:
+            if predecessor is not None:
+                await predecessor
 
         try:
-            yield turn
+            yield wait_for_turn
         finally:
-            # One that leaves without its turn (it could not be opened) must not let the next one overtake
-            # those still before it.
-            if before is not None and not before.done():
-                before.add_done_callback(lambda _: mine.set_result(None))
+            # An entry that could not be decoded leaves before its turn. Its successor must still wait for the
+            # entries ahead.
+            if predecessor is not None and not predecessor.done():
+                predecessor.add_done_callback(lambda _: finished.set_result(None))
             else:
-                mine.set_result(None)
-            if self.last.get(key) is mine:
+                finished.set_result(None)
+            if self.last.get(key) is finished:
                 del self.last[key]
 
 
-async def _at_once() -> None:
+async def _no_wait() -> None:
     return None
--- a/brassweir/core/ledger.py
+++ b/brassweir/core/ledger.py
@@ -1,7 +1,8 @@
-"""The ledger of messages: who handed in what, which attempts went out, and the one final answer of each.
+"""The ledger of messages: each submission, its attempts, and its one final answer.
 
-Pure: no clock, no I/O. It is the single place that makes an answer final, so that whatever order outcomes,
-time-outs and repeats come in, a message has one answer and whoever asks again is told the same.
+Pure: no clock, no I/O. Only the ledger makes an answer final. In whatever order outcomes, time-outs and
+repeated submissions arrive, a message has one final answer, and every repeated submission receives that
+answer.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt: where, when sent (ms), and how it ended (None while it is out)."""
+    """One attempt; ``sent_at`` is in ms, and ``outcome`` is None while the attempt is in flight."""
 
     endpoint: str
     sent_at: float
@@ -28,8 +29,11 @@
 
 @dataclass(slots=True)
 class MessageRecord:
-    """One message. ``until`` is when its time is up, ``ran`` when the first attempt that may have taken
-    effect was sent; ``resumed`` says that it was taken on before a restart."""
+    """One message and its state; times are engine clock, in ms.
+
+    ``first_run_at`` is when the first attempt that may have taken effect was sent. ``resumed`` means that the
+    message was accepted before a restart.
+    """
 
     id: int
     submission: Submission
@@ -40,42 +44,46 @@
     answer: FinalAnswer | None = None
     answered_at: float = 0.0
     first_run_at: float | None = None
-    persisted: bool = False  # it was written down: its client may rely on it
-    persist_callbacks: list[Callable[[], None]] = field(default_factory=list)  # who waits for that
+    persisted: bool = False  # from then on its client may rely on it
+    persist_callbacks: list[Callable[[], None]] = field(default_factory=list)  # called once it is persisted
     resumed: bool = False
 
     @property
     def in_flight(self) -> bool:
-        """Is an attempt without outcome?"""
+        """Whether an attempt has no outcome yet."""
         return any(note.outcome is None for note in self.attempts)
 
     def new_message(self, now: float) -> NewMessage:
-        """What the module is told of it: its time ran on while it was written down, or a start took long."""
-        given = self.submission
+        """Return the decision module's event for this message.
+
+        Its time left counts from the deadline, since time has passed while the message was persisted or
+        restored.
+        """
+        submission = self.submission
         return NewMessage(
             self.id,
-            given.class_name,
-            given.destination,
+            submission.class_name,
+            submission.destination,
             self.deadline - now,
-            given.key,
-            given.resent,
+            submission.key,
+            submission.resent,
             admitted=self.resumed,
         )
 
 
 class SubmitStatus(Enum):
-    """What became of a hand-in."""
+    """What a submission was."""
 
     NEW = auto()
-    JOINED = auto()
-    ENDED = auto()
+    JOINED = auto()  # a repetition of a message that is still open
+    ENDED = auto()  # a repetition of a message that has its final answer
 
 
 class Ledger:
-    """All messages of one sender, open and lately ended.
+    """All messages of one sender that are open or ended recently.
 
-    ``remember`` (ms) is how long an ended message still answers for itself; it must be longer than any
-    client goes on asking. ``most`` bounds how many ended messages are kept.
+    ``retention_ms`` is how long a repeated submission of an ended message receives its answer; it must be
+    longer than clients repeat a submission. ``max_ended`` bounds how many ended messages are remembered.
     """
 
     def __init__(self, classes: Mapping[str, MessageClass], retention_ms: float, max_ended: int) -> None:
@@ -84,58 +92,59 @@
         self.by_id: dict[int, MessageRecord] = {}
         self.ended: OrderedDict[int, MessageRecord] = OrderedDict()
         self.last_id = 0
-        self.dropped_early = 0  # ended records dropped for want of room before their time
+        self.dropped_early = 0  # ended records dropped before their time, because of max_ended
 
     def accept(
         self, submission: Submission, now: float, waiter: Waiter
     ) -> tuple[SubmitStatus, MessageRecord]:
-        """Take a hand-in: a new message, one that joins an open one, or one that has its answer.
+        """Record a submission; return what it is, and the record of the message that it belongs to.
 
-        A refused message may be handed in again once its told wait has passed, if nothing rules out that a
-        repeat is harmless (:meth:`reopens`); it is then taken as new, under its old name.
+        A refused message may be submitted again after its requested wait, provided that a repeat is harmless
+        (see :meth:`retry_window`). It then counts as a new message with the same owner and identity.
         """
         name = (submission.owner, submission.identity)
-        known = self.by_identity.get(name)
-        if known is not None and known.answer is None:
-            known.waiters.append(waiter)
-            return SubmitStatus.JOINED, known
+        earlier = self.by_identity.get(name)
+        if earlier is not None and earlier.answer is None:
+            earlier.waiters.append(waiter)
+            return SubmitStatus.JOINED, earlier
         left = submission.time_left
-        if known is not None:
-            allowed = self.retry_window(known, now)
-            if allowed <= 0.0:
-                return SubmitStatus.ENDED, known
-            left = min(left, allowed)
+        if earlier is not None:
+            window = self.retry_window(earlier, now)
+            if window <= 0.0:
+                return SubmitStatus.ENDED, earlier
+            left = min(left, window)
         self.last_id += 1
-        fresh = Submission(
+        new_submission = Submission(
             submission.owner,
             submission.identity,
             submission.class_name,
             submission.destination,
             left,
             submission.key,
-            submission.resent or known is not None,
+            submission.resent or earlier is not None,
             submission.payload,
             submission.reply_to,
-            now - known.first_run_at if known is not None and known.first_run_at is not None else None,
+            now - earlier.first_run_at if earlier is not None and earlier.first_run_at is not None else None,
             submission.created_at,
         )
-        record = MessageRecord(self.last_id, fresh, now, now + left, waiters=[waiter])
-        record.first_run_at = known.first_run_at if known else None
-        if known is not None:
-            self._drop(known)
+        record = MessageRecord(self.last_id, new_submission, now, now + left, waiters=[waiter])
+        record.first_run_at = earlier.first_run_at if earlier else None
+        if earlier is not None:
+            self._remove(earlier)
         self.by_identity[name] = self.by_id[record.id] = record
         return SubmitStatus.NEW, record
 
     @property
     def open_count(self) -> int:
-        """How many messages have no answer yet."""
+        """The number of messages without a final answer."""
         return len(self.by_id) - len(self.ended)
 
     def retry_window(self, record: MessageRecord, now: float) -> float:
-        """For how long (ms) an ended message may be tried again; 0 if not.
+        """Return for how long (ms) an ended message may be submitted and attempted again; 0 means not at all.
 
-        Only a refusal promises that a later try is harmless, and only after the wait that came with it. If
-        an attempt may have run, a keyed message is sent again only within the window counted from it.
+        Only a refused message may be, and only after the wait requested with the refusal. If an attempt may
+        have taken effect, a keyed message may be attempted again only within the idempotency window that
+        began with it.
         """
         answer = record.answer
         if answer is None or answer.answer is not Answer.REFUSED:
@@ -144,27 +153,27 @@
             return 0.0
         cls = self.classes[record.submission.class_name]
         if record.in_flight:
-            return 0.0  # the old attempt may still end well: its outcome comes first
+            return 0.0  # the attempt in flight may still deliver the message
         if record.first_run_at is None or cls.effect is Effect.SAFE:
             return float("inf")
-        if cls.effect is Effect.KEYED and cls.group == "all":  # the module is not told of an earlier zone
+        if cls.effect is Effect.KEYED and cls.group == "all":  # the module does not know an earlier zone
             return max(0.0, self.repeat_deadline(record) - now)
         return 0.0
 
     def repeat_deadline(self, record: MessageRecord) -> float:
-        """Until when another attempt at a keyed message may begin at its endpoint: the end of the window."""
+        """Return when a keyed message's idempotency window ends: until then another attempt may begin."""
         cls = self.classes[record.submission.class_name]
         keyed = cls.effect is Effect.KEYED and record.first_run_at is not None
         return record.first_run_at + cls.window if keyed and record.first_run_at is not None else float("inf")
 
     def add_attempt(self, ident: int, endpoint: str, now: float) -> int:
-        """Note an attempt and return its number, from 0."""
+        """Record an attempt and return its number, counted from 0."""
         record = self.by_id[ident]
         record.attempts.append(AttemptRecord(endpoint, now))
         return len(record.attempts) - 1
 
     def record_outcome(self, ident: int, number: int, outcome: Outcome) -> bool:
-        """Note an outcome; false if that attempt already has one or is unknown (a second receipt, say)."""
+        """Record an outcome; return false if the attempt is unknown or has one (as with a second receipt)."""
         record = self.by_id.get(ident)
         if record is None or number >= len(record.attempts) or record.attempts[number].outcome is not None:
             return False
@@ -175,18 +184,18 @@
         return True
 
     def finish(self, ident: int, answer: FinalAnswer, now: float) -> list[Waiter] | None:
-        """Make an answer final and return who waits for it; None if the message already has one."""
+        """Make an answer final and return its waiters; None if the message is unknown or already has one."""
         record = self.by_id.get(ident)
         if record is None or record.answer is not None:
             return None
         record.answer, record.answered_at = answer, now
         waiters, record.waiters = record.waiters, []
         self.ended[ident] = record
-        self._forget(now)
+        self._evict_ended(now)
         return waiters
 
     def drop_content(self, record: MessageRecord) -> None:
-        """Let go of the content of an ended message with nothing out: only its answer is still asked for."""
+        """Free the payload of an ended message without attempts in flight, and keep its answer."""
         if record.answer is not None and not record.in_flight:
             old = record.submission
             record.submission = Submission(
@@ -202,37 +211,40 @@
             )
 
     def restore(self, record: MessageRecord) -> None:
-        """Put back a message that ended before a restart. Those restored go from the oldest answer on."""
+        """Add a message that ended before a restart; call it in the order of the answers, oldest first."""
         assert record.answer is not None
         self.put(record)
         self.ended[record.id] = record
 
     def put(self, record: MessageRecord) -> None:
-        """Put back a message from before a restart, under its old id."""
+        """Add a message from before a restart under its old id."""
         self.by_identity[record.submission.owner, record.submission.identity] = self.by_id[record.id] = record
         self.last_id = max(self.last_id, record.id)
 
     def closing_answer(self, record: MessageRecord) -> FinalAnswer:
-        """The answer for a message still open when its sender stops: as much as can honestly be promised."""
+        """Return the final answer for a message that is still open when its sender stops.
+
+        It is a refusal only if submitting the message again is harmless.
+        """
         effect = self.classes[record.submission.class_name].effect
         if effect is Effect.SAFE or (record.first_run_at is None and not record.in_flight):
             return FinalAnswer(Answer.REFUSED, "the sender is stopping")
         return FinalAnswer(Answer.FAILED, "the sender stopped while an attempt may have run")
 
     def open_messages(self) -> list[MessageRecord]:
-        """All messages without an answer, in the order taken."""
+        """Return all messages without a final answer, in the order of their submission."""
         return [record for record in self.by_id.values() if record.answer is None]
 
-    def _forget(self, now: float) -> None:
+    def _evict_ended(self, now: float) -> None:
         while self.ended:
             record = next(iter(self.ended.values()))
-            old = now - record.answered_at >= self.retention_ms
-            if not old and len(self.ended) <= self.max_ended:
+            expired = now - record.answered_at >= self.retention_ms
+            if not expired and len(self.ended) <= self.max_ended:
                 return
-            self.dropped_early += not old
-            self._drop(record)
+            self.dropped_early += not expired
+            self._remove(record)
 
-    def _drop(self, record: MessageRecord) -> None:
+    def _remove(self, record: MessageRecord) -> None:
         self.ended.pop(record.id, None)
         self.by_id.pop(record.id, None)
         name = (record.submission.owner, record.submission.identity)
--- a/brassweir/core/observer.py
+++ b/brassweir/core/observer.py
@@ -1,4 +1,4 @@
-"""Who sees what passes in an engine; for logs and metrics."""
+"""The interface through which logs and metrics observe an engine."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class EngineObserver:
-    """This one sees nothing. Must not raise."""
+    """Ignores everything; subclasses override the methods that they need, and must not raise."""
 
-    def submitted(self, record: MessageRecord, how: SubmitStatus) -> None:
-        """A message was handed in."""
+    def submitted(self, record: MessageRecord, status: SubmitStatus) -> None:
+        """A message was submitted."""
 
     def sent(self, attempt: Attempt) -> None:
-        """An attempt goes out."""
+        """An attempt is given to its carrier."""
 
     def began(self, record: MessageRecord, number: int) -> None:
-        """The first byte of an attempt at a message leaves now."""
+        """The first byte of an attempt is about to be written."""
 
     def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
-        """An attempt ended; ``late`` says that the message already had its answer."""
+        """An attempt ended; ``late`` means that its message already had its final answer."""
 
     def late_outcome(self, record: MessageRecord, number: int, outcome: Outcome) -> None:
-        """Something came for an attempt that had its outcome: a receipt after its time, or a second one."""
+        """An attempt that had its outcome got another: a receipt after the time-out, or a second one."""
 
     def final(self, record: MessageRecord) -> None:
-        """A message has its answer."""
+        """A message has its final answer."""
 
     def turn(self, events: int, actions: int, spent: float) -> None:
-        """One ``handle`` call was made; ``spent`` is its CPU time in seconds."""
+        """The decision module's ``handle`` was called once; ``spent`` is its CPU time in seconds."""
--- a/brassweir/core/ports.py
+++ b/brassweir/core/ports.py
@@ -1,6 +1,7 @@
-"""What the engine is given and what it gives: the only words that fronts, carriers and stores share with it.
+"""The engine's interfaces: the types and protocols that it shares with fronts, carriers and stores.
 
-All times are milliseconds. Nothing here knows a protocol; ``payload`` is for front and carrier alone.
+All times are milliseconds. Nothing here depends on a protocol: the engine passes ``Submission.payload`` on
+from the front to the carrier without reading it.
 """
 
 from __future__ import annotations
@@ -14,16 +15,20 @@
 
 
 class Answer(Enum):
-    """The three final answers."""
+    """The kinds of final answer."""
 
     DELIVERED = "delivered"
-    REFUSED = "refused"
-    FAILED = "failed"
+    REFUSED = "refused"  # not delivered; submitting the message again is harmless
+    FAILED = "failed"  # nothing is known or promised about its delivery
 
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
-    """What a message ended as. ``retry_after`` (ms) goes with a refusal: when coming back makes sense."""
+    """The one final answer to a message.
+
+    ``retry_after`` (ms) belongs to a refusal: the client should wait at least this long before it submits
+    again.
+    """
 
     answer: Answer
     reason: str = ""
@@ -32,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """The business document that a message carries: its type and bytes. ``subject`` travels where it can."""
+    """A message's business document. ``subject`` is sent where the protocol has a field for it."""
 
     content_type: str
     content: bytes = field(repr=False)
@@ -41,10 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """One message as a front hands it in.
+    """One message as a front submits it.
 
-    ``owner`` and ``identity`` together name it for ever: the same pair is the same message. ``left`` is the
-    time (ms) in which it may still be delivered; ``key`` orders messages of classes that keep order.
+    ``owner`` and ``identity`` together identify the message permanently: the same pair is the same message.
+    ``time_left`` (ms) is how long it may still be delivered. Messages of a class with ``in_order`` are
+    delivered in the order of their submission per ``key``. ``resent`` means that the client marked it as a
+    repetition.
     """
 
     owner: str
@@ -55,13 +62,13 @@
     key: str = ""
     resent: bool = False
     payload: object = field(default=None, repr=False)
-    reply_to: bytes = field(default=b"", repr=False)  # the front's note of how to bring a receipt owed
-    ran_ago: float | None = None  # ms since an attempt of an earlier hand-in may first have run
-    created_at: float | None = None  # when its client made it (wall ms), where its protocol tells
+    reply_to: bytes = field(default=b"", repr=False)  # where to send the receipt, as the front encodes it
+    ran_ago: float | None = None  # ms since an attempt of an earlier submission may first have run
+    created_at: float | None = None  # the client's wall-clock time (ms) of creation, if known
 
 
 class BlockReason(Enum):
-    """Why an attempt may not begin any more; its value is the reason told."""
+    """Why an attempt may no longer begin. The value is the reason in the attempt's outcome."""
 
     MESSAGE_OVER = "its message was over before it began"
     WINDOW_OVER = "the window of its key was over before it began"
@@ -70,10 +77,11 @@
 
 
 class StartGuard:
-    """Has an attempt's first byte gone out, or was it called back before? One of the two, never both.
+    """Decides between beginning an attempt and cancelling it, so that never both happen.
 
-    ``check`` is asked right before the first byte, and before the last where that is held back: what bars the
-    attempt, or None. ``bar`` is what barred it. ``began`` is called once, as it begins.
+    ``check`` returns what blocks the attempt, or None. It is called right before the first byte is written,
+    and again before the last byte where the carrier holds that back. ``block`` is the reason that it
+    returned. ``on_begin`` is called once, when the attempt begins.
     """
 
     __slots__ = ("block", "on_begin", "begun", "check", "cancelled")
@@ -88,28 +96,28 @@
         self.check, self.on_begin = check, on_begin
 
     def begin(self) -> bool:
-        """The carrier is about to write the first byte, or the last where that is held back; false if it must
-        not any more."""
+        """Return whether the carrier may write the first byte now, or the last if it held that back."""
         if self.block is None:
             self.block = self.check()
-        goes = not self.cancelled and self.block is None
-        if goes and not self.begun:
+        allowed = not self.cancelled and self.block is None
+        if allowed and not self.begun:
             self.on_begin()
-        self.begun = goes
-        return goes
+        self.begun = allowed
+        return allowed
 
     def cancel(self) -> bool:
-        """Call it back; false if it is under way."""
+        """Cancel the attempt; return false if it has begun and cannot be cancelled."""
         self.cancelled = not self.begun
         return self.cancelled
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One call that a carrier is to make; it must be over by ``abandon_at`` (engine clock, ms).
+    """One attempt that a carrier is to make; it must be over by ``abandon_at`` (engine clock, ms).
 
-    The carrier asks ``going.go()`` right before the first byte, and writes nothing where that is false: the
-    engine has then ended the attempt by itself.
+    The carrier calls ``start_guard.begin()`` right before it writes the first byte, and writes nothing if
+    that returns false. The engine then reports the attempt as never started, whatever outcome the carrier
+    gives.
     """
 
     id: int
@@ -125,9 +133,10 @@
 class Outcome:
     """How an attempt ended.
 
-    ``rejected`` says that the destination answered, at its usual pace, with a final no to this very message:
-    its content or its sender, not the destination's health, is at fault, and no later attempt can help.
-    ``wait`` is a told wait, ``limit`` (calls a second) and ``limit_left`` (share) a report of its limit.
+    ``rejected`` means that the destination works and refused this message for good, because of its content or
+    its sender: no later attempt can succeed, and the destination is not degraded. ``wait`` (ms) is a
+    requested wait, as in Retry-After. ``limit`` (calls per second) and ``limit_left`` (share from 0 to 1) are
+    a reported rate limit.
     """
 
     result: Result
@@ -139,62 +148,63 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Can the attempt have taken effect? The same reading as the decision module's."""
+        """Whether the attempt may have taken effect; the decision module uses the same rule."""
         return self.result not in NEVER_RAN
 
 
 class Handle(Protocol):
-    """A call put off that may be taken back."""
+    """A scheduled call that can be cancelled."""
 
     def cancel(self) -> None:
-        """Take it back; no error if it has run."""
+        """Cancel the call; does nothing if it has already run."""
 
 
 class Clock(Protocol):
     """The engine's only source of time: monotonic milliseconds."""
 
     def now(self) -> float:
-        """The time now."""
+        """Return the current time."""
 
-    def call_at(self, when: float, what: Callable[[], None]) -> Handle:
-        """Run ``what`` at ``when``, or soon if that has passed."""
+    def call_at(self, when: float, callback: Callable[[], None]) -> Handle:
+        """Run ``callback`` at ``when``, or soon if that has passed."""
 
-    def call_soon(self, what: Callable[[], None]) -> Handle:
-        """Run ``what`` after all that is ready in this turn of the loop."""
+    def call_soon(self, callback: Callable[[], None]) -> Handle:
+        """Run ``callback`` after everything that is already ready in this iteration of the event loop."""
 
 
 class Carrier(Protocol):
-    """Makes one attempt at one endpoint."""
+    """Makes attempts in one protocol."""
 
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
-        """Begin the attempt; ``done`` is called with its outcome, never from inside this call.
+        """Start the attempt; call ``done`` with its outcome, but never before this method has returned.
 
-        The engine ends the attempt at ``abandon_at`` by itself. What the carrier learns later it still says:
-        that is recorded, and is the answer if it proves delivery and none was given.
+        The engine itself ends the attempt at ``abandon_at``. The carrier still reports an outcome that comes
+        later: the engine records it, and answers with it if it proves delivery and the message has no final
+        answer yet.
         """
 
     def close_idle(self, endpoint: str) -> None:
-        """Close idle connections to the endpoint."""
+        """Close the idle connections to the endpoint."""
 
 
 class Urls(Protocol):
-    """Where endpoints are."""
+    """Looks up the URLs of endpoints."""
 
     def url(self, endpoint: str) -> str | None:
-        """The URL of a listed endpoint."""
+        """Return the URL of an endpoint, or None if the endpoint list does not have it."""
 
 
 class Fact(Enum):
-    """What a store is asked to keep, in the order of a message's life."""
+    """What a store persists about a message, in the order in which it happens, and before which step."""
 
-    TAKEN = "taken"  # before any client can rely on it
-    INTENT = "intent"  # before the first byte of an attempt
-    OUTCOME = "outcome"  # before the module hears of it
-    FINAL = "final"  # before the answer leaves
+    TAKEN = "taken"  # before the message counts as accepted
+    INTENT = "intent"  # before an attempt is started
+    OUTCOME = "outcome"  # before the decision module receives the outcome
+    FINAL = "final"  # before the final answer is given
 
 
 class Store(Protocol):
-    """Keeps facts; ``then`` runs once the fact is as durable as the store makes it."""
+    """Persists facts, so that no step is taken that a restart could forget."""
 
     def persist(
         self,
@@ -204,15 +214,17 @@
         on_durable: Callable[[], None],
         on_rejected: Callable[[str], None],
     ) -> None:
-        """Keep one fact of one message: its Submission, Attempt, (Attempt, Outcome) or FinalAnswer.
+        """Persist one fact of a message.
 
-        Either ``then`` runs, perhaps before this returns, or, for a fact that there is no room for,
-        ``unable`` with the reason.
+        ``detail`` is its Submission, Attempt, (Attempt, Outcome) or FinalAnswer, in the order of
+        :class:`Fact`. Calls ``on_durable`` once the fact is as durable as this store makes it, perhaps before
+        this method returns. If the store has no capacity for the fact, it calls ``on_rejected`` with the
+        reason instead.
         """
 
 
 class MemoryStore:
-    """Keeps nothing beyond the process: every fact counts as kept at once."""
+    """A store without persistence: every fact counts as durable at once."""
 
     def persist(
         self,
@@ -222,5 +234,5 @@
         on_durable: Callable[[], None],
         on_rejected: Callable[[str], None],
     ) -> None:
-        """Go on at once."""
+        """Call ``on_durable`` at once."""
         on_durable()
--- a/brassweir/core/unstarted.py
+++ b/brassweir/core/unstarted.py
@@ -1,4 +1,4 @@
-"""Attempts decided on that may not have begun: who they are, and how they are called back."""
+"""Tracks attempts from the decision to send until their outcome, and cancels those that have not begun."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class UnstartedAttempts:
-    """Attempts from their decision to their outcome, by destination, each with the call that ends it.
+    """Attempts without an outcome, by destination, each with the callback that takes its outcome.
 
-    ``apart`` names the kinds of destination whose routes have limits of their own.
+    ``apart`` names the kinds of destination where each endpoint has its own limits.
     """
 
     def __init__(self, apart: frozenset[str]) -> None:
@@ -22,19 +22,23 @@
         self.by_destination: dict[int, dict[tuple[int, int], tuple[Attempt, Done]]] = {}
 
     def add(self, attempt: Attempt, done: Done) -> None:
-        """An attempt was decided on."""
-        line = self.by_destination.setdefault(attempt.endpoint.destination, {})
-        line[attempt.id, attempt.number] = attempt, done
+        """Add an attempt that the module decided on."""
+        attempts = self.by_destination.setdefault(attempt.endpoint.destination, {})
+        attempts[attempt.id, attempt.number] = attempt, done
 
     def remove(self, attempt: Attempt) -> None:
-        """An attempt has its outcome."""
-        home = attempt.endpoint.destination
-        line = self.by_destination.get(home)
-        if line is not None and line.pop((attempt.id, attempt.number), None) is not None and not line:
-            del self.by_destination[home]
+        """Remove an attempt that has its outcome."""
+        destination = attempt.endpoint.destination
+        attempts = self.by_destination.get(destination)
+        if (
+            attempts is not None
+            and attempts.pop((attempt.id, attempt.number), None) is not None
+            and not attempts
+        ):
+            del self.by_destination[destination]
 
     def cancelled_by_wait(self, ended: Attempt, outcome: Outcome) -> list[Attempt]:
-        """Those that a wait told to another attempt calls back."""
+        """Return the attempts that a wait requested in the outcome of another attempt cancels."""
         if outcome.wait <= 0.0:
             return []
         return cancel.cancelled_by_wait(
@@ -42,15 +46,15 @@
         )
 
     def cancelled_by_list(self, entries: Iterable[EndpointInfo]) -> list[Attempt]:
-        """Those that news of the endpoint list calls back."""
+        """Return the attempts that an update of the endpoint list cancels."""
         return cancel.cancelled_by_list(entries, self._not_begun(*self.by_destination))
 
-    def cancel(self, attempts: Iterable[Attempt], why: str) -> None:
-        """End those of which no byte was written as moot."""
+    def cancel(self, attempts: Iterable[Attempt], reason: str) -> None:
+        """End those of the attempts of which no byte was written, as cancelled before start."""
         for attempt in attempts:
             if attempt.start_guard.cancel():
                 _, done = self.by_destination[attempt.endpoint.destination][attempt.id, attempt.number]
-                done(Outcome(Result.NOT_STARTED, why))
+                done(Outcome(Result.NOT_STARTED, reason))
 
     def _not_begun(self, *destinations: int) -> list[Attempt]:
         return [
