--- a/brassweir/destinations/__init__.py
+++ b/brassweir/destinations/__init__.py
@@ -1,4 +1,4 @@
-"""Many destinations, few of them busy: how lists are taken in, who holds connections, whose turn set-ups are.
+"""Updates of the endpoint list, and the sharing of connections among many destinations.
 
-Pure: state and facts in, steps out; sockets and files are elsewhere. Nothing here decides on sending.
+Pure: sockets and files are handled elsewhere. Nothing here decides on sending.
 """
--- a/brassweir/destinations/inspection.py
+++ b/brassweir/destinations/inspection.py
@@ -1,6 +1,6 @@
-"""What operators may ask of one destination, or of the most burdened ones. Reads the decisions' state; pure.
+"""Reports for operators on one destination, or on those that lead a ranking; reads the module's state. Pure.
 
-The answer's size hangs on what was asked, never on how many destinations there are.
+The size of a report depends on the request, never on the number of destinations.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 }
 
 
-def _plain(value: float) -> float | None:
+def _rounded(value: float) -> float | None:
     return round(value, 3) if math.isfinite(value) else None
 
 
@@ -31,40 +31,40 @@
     state = "shut" if gate.circuit_open else "waiting" if gate.wait_until > now else "open"
     return {
         "state": state,
-        "wait_ms": _plain(max(0.0, gate.wait_until - now)),
-        "pace_per_second": _plain(gate.pace),
+        "wait_ms": _rounded(max(0.0, gate.wait_until - now)),
+        "pace_per_second": _rounded(gate.pace),
         "failures_in_a_row": gate.failure_streak,
         "share_failed": round(gate.failure_share, 3),
-        "next_trial_ms": _plain(gate.next_trial - now) if gate.circuit_open else None,
-        "returned_ms_ago": _plain(now - gate.ramp_start),
+        "next_trial_ms": _rounded(gate.next_trial - now) if gate.circuit_open else None,
+        "returned_ms_ago": _rounded(now - gate.ramp_start),
     }
 
 
-def _endpoint(one: Endpoint, own: bool, now: float) -> dict[str, Any]:
-    shown: dict[str, Any] = {
-        "name": one.info.name,
-        "kind": one.info.kind,
-        "zone": one.info.zone,
-        "state": one.info.state.value,
-        "usable": one.usable,
-        "out": one.active_calls,
-        "failures_in_a_row": one.failure_streak,
-        "last_used_ms_ago": _plain(now - one.last_used),
+def _endpoint(endpoint: Endpoint, own_gate: bool, now: float) -> dict[str, Any]:
+    fields: dict[str, Any] = {
+        "name": endpoint.info.name,
+        "kind": endpoint.info.kind,
+        "zone": endpoint.info.zone,
+        "state": endpoint.info.state.value,
+        "usable": endpoint.usable,
+        "out": endpoint.active_calls,
+        "failures_in_a_row": endpoint.failure_streak,
+        "last_used_ms_ago": _rounded(now - endpoint.last_used),
     }
-    return shown | ({"gate": _gate(one.gate, now)} if own else {})
+    return fields | ({"gate": _gate(endpoint.gate, now)} if own_gate else {})
 
 
 def show(sender: Sender, number: int, now: float) -> dict[str, Any] | None:
-    """One destination's full state; None if there is none. One that is folded up stays asleep."""
+    """Return the state of one destination, or None if it is unknown; an evicted destination stays evicted."""
     dest = sender.destinations.get(number)
     if dest is None:
-        nap = sender.compacted.get(number)
-        if nap is None:
+        evicted = sender.compacted.get(number)
+        if evicted is None:
             return None
         return {
             "asleep": True,
-            "endpoints": [info.name for info in nap[2::2] if info.state is not EntryState.GONE],
-            "remembers": sum(len(part) // 2 for part in nap[1]),
+            "endpoints": [info.name for info in evicted[2::2] if info.state is not EntryState.GONE],
+            "remembers": sum(len(part) // 2 for part in evicted[1]),
         }
     return {
         "asleep": False,
@@ -75,14 +75,16 @@
         "mean_call_ms": round(dest.call_times.mean, 3),
         "usual_call_ms": round(dest.call_times.baseline, 3),
         "gate": _gate(dest.gate, now),
-        "endpoints": [_endpoint(one, one.gate is not dest.gate, now) for one in dest.endpoints.values()],
+        "endpoints": [
+            _endpoint(endpoint, endpoint.gate is not dest.gate, now) for endpoint in dest.endpoints.values()
+        ],
     }
 
 
 def top(sender: Sender, name_of: Callable[[int], str], by: str, count: int) -> dict[str, Any]:
-    """The ``count`` destinations that lead in one respect. Raises KeyError for an unknown one."""
-    order = ORDERS[by]
-    leading = nlargest(count, sender.destinations.values(), key=order)
+    """Return the first ``count`` destinations of a ranking. Raises KeyError if there is no such ranking."""
+    ranking = ORDERS[by]
+    leading = nlargest(count, sender.destinations.values(), key=ranking)
     return {
         "by": by,
         "awake": len(sender.destinations),
@@ -90,7 +92,7 @@
         "top": [
             {
                 "destination": name_of(dest.id),
-                by: round(order(dest), 3),
+                by: round(ranking(dest), 3),
                 "open": dest.load.open_messages,
                 "out": dest.load.used_slots,
                 "ill": dest.degraded,
--- a/brassweir/destinations/list_updates.py
+++ b/brassweir/destinations/list_updates.py
@@ -1,9 +1,9 @@
-"""Takes a list of endpoints in by bounded steps, what forbids first.
+"""Splits a new endpoint list into bounded updates, with endpoints that became unusable first.
 
-A whole list of ten thousand given to the decisions at once would hold up everything else for as long as that
-takes. Here a new list, or a difference to the last one, is compared with what is known and becomes a queue of
-small pieces of news: first the endpoints that are no longer to be used, then those that changed, then the new
-ones. What has not changed is not told again.
+Passing a list of ten thousand entries to the decision module at once would block the event loop. So a new
+list, or a delta to the last one, is compared with the entries that the module knows. The differences are
+queued: first endpoints that became unusable, then changed ones, then new ones. Unchanged entries are not
+passed on again.
 """
 
 from __future__ import annotations
@@ -14,52 +14,52 @@
 
 from brassweir.interface import EndpointInfo, EntryState, ListKind, ListUpdate
 
-MAX_ENTRIES_PER_UPDATE = 200  # entries told in one turn: some 4 to 6 ms of the decisions' time
+MAX_ENTRIES_PER_UPDATE = 200  # keeps one turn of the decision module within a few ms
 
 
 class ListUpdates:
-    """What is known of the list, and the news that is still to be told.
+    """The entries that the decision module knows, and the updates that it has yet to receive.
 
-    A later list or difference that comes while an earlier one is being told takes its place: entries not told
-    yet are compared anew, so nothing older is told after something newer.
+    A later list or delta supersedes the pending updates of an earlier one: pending entries are compared
+    again, so that an older state is never passed on after a newer one. ``step`` is the largest number of
+    entries in one update.
     """
 
     def __init__(self, step: int = MAX_ENTRIES_PER_UPDATE) -> None:
         self.step = step
-        self.known: dict[str, EndpointInfo] = {}  # as the decisions know it
+        self.known: dict[str, EndpointInfo] = {}  # as the module knows them
         self.unusable: deque[EndpointInfo] = deque()
         self.changed: deque[EndpointInfo] = deque()
         self.added: deque[EndpointInfo] = deque()
 
     def replace_all(self, entries: Iterable[EndpointInfo]) -> int:
-        """A whole new list; returns how many entries there are to tell.
+        """Take a complete new list; return the number of pending entries.
 
-        Raises ValueError if a name stands twice, and then changes nothing.
+        Raises ValueError, and changes nothing, if a name occurs twice.
         """
-        fresh: dict[str, EndpointInfo] = {}
-        named: set[str] = set()
+        entries_by_name: dict[str, EndpointInfo] = {}
+        names: set[str] = set()
         for info in entries:
-            _once(info.name, named)
-            fresh[info.name] = info
-        left = [name for name in self.known if name not in fresh]
-        return self._queue([*map(self._gone, left), *fresh.values()])
+            _require_unique(info.name, names)
+            entries_by_name[info.name] = info
+        removed = [name for name in self.known if name not in entries_by_name]
+        return self._queue([*map(self._gone, removed), *entries_by_name.values()])
 
     def apply(self, changed: Iterable[EndpointInfo], removed: Iterable[str]) -> int:
-        """A difference to what was taken last; returns how many entries there are to tell now.
+        """Take a delta to the last list or delta; return the number of pending entries.
 
-        What is not told yet of earlier ones stays to be told, but for what this one changes again. A name to
-        be removed that is not known is passed over. Raises ValueError if a name stands twice, and then
-        changes nothing.
+        Entries still pending from earlier calls stay so, unless this delta changes them. Removal of an
+        unknown name is ignored. Raises ValueError, and changes nothing, if a name occurs twice.
         """
         targets = {info.name: info for queue in (self.unusable, self.changed, self.added) for info in queue}
-        named: set[str] = set()
+        names: set[str] = set()
         for name in removed:
-            _once(name, named)
+            _require_unique(name, names)
             targets.pop(name, None)
             if name in self.known:
                 targets[name] = self._gone(name)
         for info in changed:
-            _once(info.name, named)
+            _require_unique(info.name, names)
             targets[info.name] = info
         return self._queue(targets.values())
 
@@ -67,43 +67,43 @@
         return replace(self.known[name], state=EntryState.GONE)
 
     def _queue(self, targets: Iterable[EndpointInfo]) -> int:
-        """Tell these from now on, and nothing else; what is known already is not told again."""
-        off, changed, added = deque[EndpointInfo](), deque[EndpointInfo](), deque[EndpointInfo]()
+        """Make these the only pending entries, except those that the module knows already."""
+        unusable, changed, added = deque[EndpointInfo](), deque[EndpointInfo](), deque[EndpointInfo]()
         for info in targets:
-            before = self.known.get(info.name)
-            if before == info:
+            previous = self.known.get(info.name)
+            if previous == info:
                 continue
-            if before is None:
-                added.append(info)  # never told of, so not in use: nothing is to be forbidden in haste
+            if previous is None:
+                added.append(info)  # unknown to the module, so not in use, whatever its state
             elif info.state is not EntryState.READY:
-                off.append(info)
+                unusable.append(info)
             else:
                 changed.append(info)
-        self.unusable, self.changed, self.added = off, changed, added
+        self.unusable, self.changed, self.added = unusable, changed, added
         return self.pending
 
     @property
     def pending(self) -> int:
-        """Entries still to be told."""
+        """The number of entries that the module has yet to receive."""
         return len(self.unusable) + len(self.changed) + len(self.added)
 
     def next_update(self) -> ListUpdate | None:
-        """The next piece of news, at most ``step`` entries; None when all is told."""
-        piece: list[EndpointInfo] = []
+        """Return the next update, of at most ``step`` entries, or None if nothing is pending."""
+        batch: list[EndpointInfo] = []
         for queue in (self.unusable, self.changed, self.added):
-            while queue and len(piece) < self.step:
-                piece.append(queue.popleft())
-        if not piece:
+            while queue and len(batch) < self.step:
+                batch.append(queue.popleft())
+        if not batch:
             return None
-        for info in piece:
+        for info in batch:
             if info.state is EntryState.GONE:
                 self.known.pop(info.name, None)
             else:
                 self.known[info.name] = info
-        return ListUpdate(ListKind.DELTA, tuple(piece))
+        return ListUpdate(ListKind.DELTA, tuple(batch))
 
 
-def _once(name: str, named: set[str]) -> None:
-    if name in named:
+def _require_unique(name: str, names: set[str]) -> None:
+    if name in names:
         raise ValueError(f"endpoint {name} stands more than once")
-    named.add(name)
+    names.add(name)
--- a/brassweir/observe/__init__.py
+++ b/brassweir/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see: structured logs, one event a line, and metrics."""
+"""Structured logs and metrics for operators."""
--- a/brassweir/observe/json_log.py
+++ b/brassweir/observe/json_log.py
@@ -1,4 +1,4 @@
-"""JSON log lines without a library, for senders that have no memory to spare for one."""
+"""A JSON line logger without a library, for processes with little memory."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from collections.abc import Callable, Set
 from typing import Any, TextIO
 
-SPAN_SECONDS = 5.0  # seconds
-MAX_LINES = 50  # lines of one event in such a span; the rest are counted and told in the next line of it
-MAX_FREQUENT_LINES = 1000  # the same of an event that comes with each message
+SPAN_SECONDS = 5.0
+MAX_LINES = 50  # of one event per span; further ones are counted, and the count is logged with its next line
+MAX_FREQUENT_LINES = 1000  # of one frequent event per span
 
-_ENCODE = json.JSONEncoder(default=str).encode  # made once: json.dumps makes an encoder for each line
+_ENCODE = json.JSONEncoder(default=str).encode  # json.dumps would build an encoder for each line
 
 
 class JsonLog:
-    """A log with the face of the service's other one. A storm of one event cannot fill disk or CPU.
+    """A logger with the interface of structlog's, which limits the rate of each event.
 
-    ``frequent`` names the events that come with each message.
+    So a flood of one event can exhaust neither the disk nor the CPU. ``frequent`` names the events that occur
+    with every message.
     """
 
     def __init__(
@@ -30,32 +31,32 @@
         **bound: Any,
     ) -> None:
         self.stream, self.now, self.bound, self.frequent = stream or sys.stderr, now, bound, frequent
-        self.monotonic = monotonic  # spans are of real time, whatever becomes of the wall clock
-        self.spans: dict[str, tuple[float, int, int]] = {}  # event: start, lines, held back
+        self.monotonic = monotonic  # spans do not depend on wall-clock changes
+        self.spans: dict[str, tuple[float, int, int]] = {}  # event: start, lines written, lines suppressed
 
     def info(self, event: str, **details: Any) -> None:
-        """Something an operator may want to see."""
+        """Log an event that an operator may want to see."""
         self._line("info", event, details)
 
     def warning(self, event: str, **details: Any) -> None:
-        """Something an operator should look at."""
+        """Log an event that an operator should look at."""
         self._line("warning", event, details)
 
     def error(self, event: str, **details: Any) -> None:
-        """Something an operator must look at."""
+        """Log an event that an operator must look at."""
         self._line("error", event, details)
 
     def _line(self, level: str, event: str, details: dict[str, Any]) -> None:
         now = self.monotonic()
-        start, count, held = self.spans.get(event, (now, 0, 0))
+        start, count, suppressed = self.spans.get(event, (now, 0, 0))
         if now - start >= SPAN_SECONDS:
             start, count = now, 0
         if count >= (MAX_FREQUENT_LINES if event in self.frequent else MAX_LINES):
-            self.spans[event] = (start, count, held + 1)
+            self.spans[event] = (start, count, suppressed + 1)
             return
         self.spans[event] = (start, count + 1, 0)
         line = {"event": event, "level": level, "at": round(self.now(), 3), **self.bound, **details}
-        if held:
-            line["held_back"] = held
+        if suppressed:
+            line["held_back"] = suppressed
         self.stream.write(_ENCODE(line) + "\n")
         self.stream.flush()
--- a/brassweir/observe/logs.py
+++ b/brassweir/observe/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line, JSON for machines or plain for a terminal."""
+"""Structured logs: one event per line, as JSON or as plain text for a terminal."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 def configure_logging(
     level: str = "info", plain: bool = False, stream: TextIO | None = None
 ) -> structlog.BoundLogger:
-    """Make the process's log. Raises ValueError for an unknown level."""
+    """Configure structlog for this process and return its logger. Raises ValueError for an unknown level."""
     number = logging.getLevelNamesMapping().get(level.upper())
     if number is None:
         raise ValueError(f"unknown log level {level!r}")
-    last = structlog.dev.ConsoleRenderer(colors=False) if plain else structlog.processors.JSONRenderer()
+    renderer = structlog.dev.ConsoleRenderer(colors=False) if plain else structlog.processors.JSONRenderer()
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(number),
         logger_factory=structlog.WriteLoggerFactory(file=stream or sys.stderr),
--- a/brassweir/observe/metrics.py
+++ b/brassweir/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one sender, in the text format of Prometheus. Labels: kinds and endings, never names."""
+"""Metrics of one sender in the Prometheus text format; labels are kinds and results, never names."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from prometheus_client.core import GaugeMetricFamily
 from prometheus_client.registry import Collector
 
-SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
+BUCKETS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
 
 
 class Metrics:
-    """The series of one sender."""
+    """The metrics of one sender and their registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -29,7 +29,7 @@
             "brassweir_answer_seconds",
             "From hand-in to final answer",
             ["class_name", "answer"],
-            buckets=SECONDS,
+            buckets=BUCKETS_SECONDS,
             registry=self.registry,
         )
         self.attempts = Counter(
@@ -83,22 +83,22 @@
             registry=self.registry,
         )
 
-    def add_gauges(self, name: str, words: str, read: Callable[[], Mapping[str, float]]) -> None:
-        """A family of gauges by ``what``, read where they are counted at each scrape."""
-        self.registry.register(_GaugeReader(name, words, read))
+    def add_gauges(self, name: str, help_text: str, read: Callable[[], Mapping[str, float]]) -> None:
+        """Register gauges with the label ``what``, whose values ``read`` returns at each scrape."""
+        self.registry.register(_GaugeReader(name, help_text, read))
 
     def text(self) -> bytes:
-        """All series."""
+        """Return all metrics as text."""
         return generate_latest(self.registry)
 
 
 class _GaugeReader(Collector):
-    def __init__(self, name: str, words: str, read: Callable[[], Mapping[str, float]]) -> None:
-        self.name, self.words, self.read = name, words, read
+    def __init__(self, name: str, help_text: str, read: Callable[[], Mapping[str, float]]) -> None:
+        self.name, self.help_text, self.read = name, help_text, read
 
     def collect(self) -> Iterator[GaugeMetricFamily]:
-        """What stands there now."""
-        family = GaugeMetricFamily(self.name, self.words, labels=["what"])
+        """Return the present values."""
+        family = GaugeMetricFamily(self.name, self.help_text, labels=["what"])
         for what, value in sorted(self.read().items()):
             family.add_metric([what], value)
         yield family
--- a/brassweir/undelivered/__init__.py
+++ b/brassweir/undelivered/__init__.py
@@ -1,1 +1,1 @@
-"""Messages that were given up on while their client has no word for it: kept on disk for the operator."""
+"""Messages that ended without delivery, for protocols without an answer for that: stored for the operator."""
--- a/brassweir/undelivered/item.py
+++ b/brassweir/undelivered/item.py
@@ -1,4 +1,4 @@
-"""One kept message as bytes, and what there is room for. No I/O."""
+"""The file format of an undelivered message, and the storage quota. No I/O."""
 
 from __future__ import annotations
 
@@ -13,10 +13,9 @@
 
 
 class UndeliveredItem(msgspec.Struct, frozen=True, array_like=True):
-    """One kept message: who handed it in under which name, where it was to go, why it did not, and its
-    content.
+    """One undelivered message, with its owner and identity, and the reason why it was not delivered.
 
-    ``at`` is when it was kept (ms since 1970); ``label`` its tag or subject.
+    ``at`` is when it was stored (ms since 1970), ``label`` its tag or subject.
     """
 
     owner: str
@@ -34,23 +33,23 @@
 
 
 def file_name(owner: str, identity: str) -> str:
-    """The file that a message is kept in: the same however often it is handed in."""
+    """Return the name of a message's file; it is the same however often the message is submitted."""
     return hashlib.sha256(f"{owner}\0{identity}".encode()).hexdigest()[:40] + SUFFIX
 
 
 def is_file_name(name: str) -> bool:
-    """Is it the name of a kept message's file?"""
+    """Whether ``name`` is one that :func:`file_name` could return."""
     return re.fullmatch(rf"[0-9a-f]{{40}}{re.escape(SUFFIX)}", name) is not None
 
 
 def encode(item: UndeliveredItem) -> bytes:
-    """A file's whole content: magic, CRC-32C of the rest, and the item."""
+    """Return a file's content: the magic bytes, the CRC-32C of the encoded item, and the encoded item."""
     body = msgspec.msgpack.encode(item)
     return MAGIC + int(google_crc32c.value(body)).to_bytes(4, "big") + body
 
 
 def decode(data: bytes) -> UndeliveredItem:
-    """Read a file's content. Raises ValueError with the reason."""
+    """Read a file's content. Raises ValueError if it is of another format or damaged."""
     if not data.startswith(MAGIC):
         raise ValueError("no kept message of a known version")
     body = data[len(MAGIC) + 4 :]
@@ -63,28 +62,31 @@
 
 
 class StorageQuota:
-    """How much is kept, and whether one more fits. Nothing is ever dropped to make room: that is the
-    operator's to do, and until then the source keeps what does not fit."""
+    """Counts the stored bytes against a limit of ``max_bytes``.
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    Stored messages are never dropped to make room: only the operator removes them, and until then the source
+    keeps what does not fit.
+    """
+
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.sizes: dict[str, int] = {}
         self.total = 0
 
     def has(self, name: str) -> bool:
-        """Is it kept already?"""
+        """Whether this file is counted already."""
         return name in self.sizes
 
     def fits(self, size: int) -> bool:
-        """Is there room for one of this size?"""
-        return self.total + size <= self.most
+        """Whether a file of ``size`` bytes fits."""
+        return self.total + size <= self.max_bytes
 
     def add(self, name: str, size: int) -> None:
-        """It is kept, or about to be."""
+        """Count a file that is stored, or about to be."""
         self.drop(name)
         self.sizes[name] = size
         self.total += size
 
     def drop(self, name: str) -> None:
-        """It is not kept any more, or could not be."""
+        """Uncount a file that was removed, or could not be stored."""
         self.total -= self.sizes.pop(name, 0)
--- a/brassweir/undelivered/store.py
+++ b/brassweir/undelivered/store.py
@@ -1,4 +1,4 @@
-"""Kept messages as files of a directory: one each, whole or not there, on disk before anybody is told."""
+"""Stores undelivered messages as files of a directory: one file each, complete or absent, and fsynced."""
 
 from __future__ import annotations
 
@@ -10,70 +10,76 @@
 
 
 class StoreFull(OSError):
-    """There is no room left for this one."""
+    """The message does not fit into the storage quota."""
 
 
 class UndeliveredStore:
-    """One directory. ``most`` bounds it in bytes. All of it blocks: run it on a thread."""
+    """A directory with at most ``max_bytes`` of messages. All methods block: call them on a thread."""
 
-    def __init__(self, folder: Path, most: int) -> None:
-        """Open it; raises OSError where it cannot be made or read."""
-        self.directory = folder
-        self.quota = StorageQuota(most)
-        folder.mkdir(parents=True, exist_ok=True)
-        self._look()
+    def __init__(self, directory: Path, max_bytes: int) -> None:
+        """Open the directory, and create it if it does not exist. Raises OSError if that fails."""
+        self.directory = directory
+        self.quota = StorageQuota(max_bytes)
+        directory.mkdir(parents=True, exist_ok=True)
+        self._rescan()
 
-    def _look(self) -> None:
-        found = {
+    def _rescan(self) -> None:
+        sizes = {
             path.name: path.stat().st_size for path in self.directory.iterdir() if is_file_name(path.name)
         }
-        for gone in self.quota.sizes.keys() - found.keys():
-            self.quota.drop(gone)
-        for name, size in found.items():
+        for removed in self.quota.sizes.keys() - sizes.keys():
+            self.quota.drop(removed)
+        for name, size in sizes.items():
             self.quota.add(name, size)
 
     def has(self, owner: str, identity: str) -> bool:
-        """Is this message kept? Looks at the directory: an operator may have taken it out."""
+        """Whether this message is stored; an operator may have removed its file since."""
         return (self.directory / file_name(owner, identity)).exists()
 
     def save(self, item: UndeliveredItem) -> None:
-        """Write it, to the disk itself; kept already is well. Raises Full, and OSError from the disk."""
+        """Write a message and fsync it; does nothing if it is stored already.
+
+        Raises StoreFull if it does not fit into the quota, and OSError if writing fails.
+        """
         name = file_name(item.owner, item.identity)
         path = self.directory / name
         if path.exists():
             return
         data = encode(item)
         if not self.quota.fits(len(data)):
-            self._look()
+            self._rescan()
             if not self.quota.fits(len(data)):
                 raise StoreFull(
-                    f"{self.directory} holds {self.quota.total} bytes of at most {self.quota.most}"
+                    f"{self.directory} holds {self.quota.total} bytes of at most {self.quota.max_bytes}"
                 )
-        fresh = path.with_suffix(".new")
-        with fresh.open("wb") as file:
+        temporary = path.with_suffix(".new")
+        with temporary.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        fresh.replace(path)
-        folder = os.open(self.directory, os.O_RDONLY)
+        temporary.replace(path)
+        descriptor = os.open(self.directory, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(descriptor)
         finally:
-            os.close(folder)
+            os.close(descriptor)
         self.quota.add(name, len(data))
 
 
-def read_all(folder: Path) -> Iterator[tuple[Path, UndeliveredItem | str]]:
-    """Every kept message of a directory, oldest first, or what is wrong with its file. Raises OSError."""
-    paths = [path for path in folder.iterdir() if is_file_name(path.name)]
-    found: list[tuple[float, Path, UndeliveredItem | str]] = []
+def read_all(directory: Path) -> Iterator[tuple[Path, UndeliveredItem | str]]:
+    """Yield each stored message with its path, oldest first.
+
+    In place of a message that cannot be read, it yields the reason; these come first. Raises OSError.
+    """
+    paths = [path for path in directory.iterdir() if is_file_name(path.name)]
+    rows: list[tuple[float, Path, UndeliveredItem | str]] = []
     for path in paths:
         try:
             item = decode(path.read_bytes())
-            found.append((item.at, path, item))
+            rows.append((item.at, path, item))
         except ValueError as error:
-            found.append((0.0, path, str(error)))
+            rows.append((0.0, path, str(error)))
         except FileNotFoundError:
-            continue  # taken out meanwhile
-    for _, path, one in sorted(found, key=lambda row: (row[0], row[1].name)):
-        yield path, one
+            continue  # removed in the meantime
+    for _, path, item_or_reason in sorted(rows, key=lambda row: (row[0], row[1].name)):
+        yield path, item_or_reason
--- a/tests/destinations/test_destinations.py
+++ b/tests/destinations/test_destinations.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassweir.destinations.budget import REGROW, ConnectionBudget
+from brassweir.destinations.budget import REGROW_INTERVAL_MS, ConnectionBudget
 from brassweir.destinations.setup_queue import FAILURE_MEMORY_MS, SetupQueue
 
 # ---- budget
@@ -78,10 +78,10 @@
     assert budget.request("x", 1000.0).evict is not None
     now = 1000.0
     while budget.max_connections < 100:
-        now += REGROW
+        now += REGROW_INTERVAL_MS
         budget.request("x", now)
         assert now < 1e8
-    assert now > 1000.0 + 5 * REGROW
+    assert now > 1000.0 + 5 * REGROW_INTERVAL_MS
 
 
 @settings(max_examples=100, deadline=None)
@@ -147,15 +147,15 @@
         if ticket is not None:
             setups.done(ticket, False, 0.0)
     for i in range(20):
-        setups.failed[f"d{i}"] = 0.0
+        setups.failed_at[f"d{i}"] = 0.0
         setups.enqueue(f"d{i}", False, 1.0)
     assert len(drain(setups)) == 2
-    good = [setups.enqueue(f"g{i}", False, 1.0) for i in range(10)]
-    assert set(drain(setups)) <= set(good) and len(setups.active) == 8
+    succeeded = [setups.enqueue(f"g{i}", False, 1.0) for i in range(10)]
+    assert set(drain(setups)) <= set(succeeded) and len(setups.active) == 8
     fresh = SetupQueue(8)
-    fresh.failed["d"] = 0.0
+    fresh.failed_at["d"] = 0.0
     fresh.enqueue("d", False, FAILURE_MEMORY_MS + 1.0)
-    assert not fresh.failed, "an old failure is forgotten"
+    assert not fresh.failed_at, "an old failure is forgotten"
 
 
 def test_a_destination_that_wakes_sets_up_one_connection_first() -> None:
