--- a/tests/core/engines.py
+++ b/tests/core/engines.py
@@ -1,4 +1,4 @@
-"""An engine under simulated time with a scripted carrier."""
+"""Engines under simulated time, with carriers whose outcomes a test controls."""
 
 from __future__ import annotations
 
@@ -26,21 +26,19 @@
 
 
 class ScriptedCarrier:
-    """A carrier on the simulated clock: outcomes by a seeded draw, some twice, some long after their time."""
+    """A carrier with random outcomes from a seed; some are reported twice, some after the time-out."""
 
-    def __init__(self, clock: SimClock, seed: int, good: float) -> None:
-        self.clock, self.rng, self.good = clock, Random(seed), good
+    def __init__(self, clock: SimClock, seed: int, success_rate: float) -> None:
+        self.clock, self.rng, self.success_rate = clock, Random(seed), success_rate
         self.sent: list[Attempt] = []
         self.closed: list[str] = []
 
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
-        if (
-            not attempt.start_guard.begin()
-        ):  # as every carrier does: nothing is written, and the engine knows why
+        if not attempt.start_guard.begin():  # nothing is written, as in every carrier
             self.clock.call_soon(lambda: done(Outcome(api.Result.NO_CONNECTION, "it may not begin any more")))
             return
         self.sent.append(attempt)
-        result = api.Result.OK if self.rng.random() < self.good else self.rng.choice(RESULTS)
+        result = api.Result.OK if self.rng.random() < self.success_rate else self.rng.choice(RESULTS)
         rejected = result is api.Result.OK and self.rng.random() < 0.05
         at = self.clock.now() + self.rng.expovariate(1 / 80.0)
         if result is api.Result.TIMEOUT or at >= attempt.abandon_at:
@@ -55,19 +53,23 @@
 
 
 def make_engine(
-    seed: int = 1, good: float = 0.7, slots: int = 6, **more: object
+    seed: int = 1, success_rate: float = 0.7, slots: int = 6, **more: object
 ) -> tuple[Engine, SimClock, ScriptedCarrier]:
     clock = SimClock(1000.0)
-    carrier = ScriptedCarrier(clock, seed, good)
-    sets = api.Settings(classes=CLASSES, slots=slots, max_open=80, max_retry_after=3000.0)
-    engine = Engine(sets, seed, clock, lambda _: carrier, **more)  # type: ignore[arg-type]
+    carrier = ScriptedCarrier(clock, seed, success_rate)
+    settings = api.Settings(classes=CLASSES, slots=slots, max_open=80, max_retry_after=3000.0)
+    engine = Engine(settings, seed, clock, lambda _: carrier, **more)  # type: ignore[arg-type]
     entries = tuple(api.EndpointInfo(f"d{i}-{j}", i, "") for i in (1, 2, 3) for j in (0, 1))
     engine.update_list(api.ListUpdate(api.ListKind.FULL, entries))
     return engine, clock, carrier
 
 
 class SlowCarrier:
-    """A carrier whose connections take a time that a test sets; told outcomes come ``takes`` after the first byte."""
+    """A carrier with slow connections.
+
+    ``connects`` holds the connect times (ms) of the next attempts, ``outcomes`` the outcomes by message
+    identity; an outcome comes ``takes`` ms after the first byte.
+    """
 
     def __init__(self, clock: SimClock) -> None:
         self.clock, self.connects, self.takes = clock, list[float](), 10.0
@@ -98,8 +100,8 @@
 ) -> tuple[Engine, SimClock, SlowCarrier]:
     clock = SimClock(at)
     carrier = SlowCarrier(clock)
-    sets = api.Settings(classes=classes, slots=6, max_open=80, max_retry_after=3000.0, kinds=kinds)
-    engine = Engine(sets, 1, clock, lambda _: carrier, **more)  # type: ignore[arg-type]
+    settings = api.Settings(classes=classes, slots=6, max_open=80, max_retry_after=3000.0, kinds=kinds)
+    engine = Engine(settings, 1, clock, lambda _: carrier, **more)  # type: ignore[arg-type]
     kind = kinds[0].name if kinds else ""
     engine.update_list(
         api.ListUpdate(api.ListKind.FULL, tuple(api.EndpointInfo(f"d1-{j}", 1, kind) for j in (0, 1)))
@@ -108,13 +110,13 @@
 
 
 def stall_loop(clock: SimClock, span: float) -> None:
-    """The loop stands still for so long: all that was due meanwhile is late."""
+    """Advance the clock by ``span`` ms without running the calls scheduled then, like a blocked loop."""
     clock.time += span
     clock.queue = [(max(at, clock.time), number, handle) for at, number, handle in clock.queue]
 
 
 class Store(MemoryStore):
-    """Keeps nothing, and knows the wall clock of a simulated start."""
+    """A store without persistence, with the wall clock and the callback that a simulated start needs."""
 
     def __init__(self, clock: SimClock) -> None:
         self.wall = clock.now
--- a/tests/core/test_recall.py
+++ b/tests/core/test_cancel.py
@@ -1,4 +1,4 @@
-"""Calls of which nothing is written yet are called back when their endpoint is told off."""
+"""Unwritten attempts are cancelled by a requested wait, or when their endpoint becomes unusable."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.core.engines import CLASSES, make_slow_engine
 
 
-def test_a_told_wait_calls_back_what_has_not_been_written() -> None:
-    """Found by a search for bad days: a call whose connection took long went out while its destination was waited for."""
+def test_requested_wait_cancels_attempts_not_yet_written() -> None:
+    """Guards against an attempt that is written during a requested wait because its connection took long."""
     engine, clock, carrier = make_slow_engine()
     carrier.connects = [200.0, 1.0]
     carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=500.0)
@@ -21,12 +21,12 @@
         clock.run(clock.now() + 5.0)
     clock.run(5000.0)
     early = [at for at, name in carrier.written if name == "early"]
-    told = next(at for at, name in carrier.written if name == "told")
-    assert len(early) == 1 and early[0] >= told + 10.0 + 500.0 and answers
+    requested_at = next(at for at, name in carrier.written if name == "told")
+    assert len(early) == 1 and early[0] >= requested_at + 10.0 + 500.0 and answers
     assert not engine.unstarted.by_destination
 
 
-def test_without_the_call_back_it_would_go_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_the_cancellation_the_attempt_would_be_written(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("brassweir.core.cancel.cancelled_by_wait", lambda *_: [])
     engine, clock, carrier = make_slow_engine()
     carrier.connects = [200.0, 1.0]
@@ -38,7 +38,7 @@
     assert [at for at, name in carrier.written if name == "early"][0] < 1300.0
 
 
-def test_news_of_a_drain_calls_back_and_what_is_written_stays() -> None:
+def test_draining_cancels_attempts_except_those_written() -> None:
     engine, clock, carrier = make_slow_engine()
     carrier.connects = [100.0]
     engine.submit(Submission("c", "late", CLASSES[0].name, 1, 4000.0), lambda _: None)
@@ -54,21 +54,21 @@
     assert attempt.start_guard.cancelled and not attempt.start_guard.begin()
     clock.run(1060.0)
     sent = [note.endpoint for note in engine.ledger.by_identity["c", "late"].attempts]
-    assert sent == [attempt.endpoint.name, other], "it goes elsewhere at once"
-    (again,) = [attempt for attempt, _ in engine.unstarted.by_destination[1].values()]
-    assert again.start_guard.begun
+    assert sent == [attempt.endpoint.name, other], "the message goes to the other endpoint at once"
+    (retry,) = [attempt for attempt, _ in engine.unstarted.by_destination[1].values()]
+    assert retry.start_guard.begun
     engine.update_list(
         api.ListUpdate(api.ListKind.DELTA, (api.EndpointInfo(other, 1, "", state=api.EntryState.GONE),))
     )
-    assert not again.start_guard.cancelled, "its first byte has gone out"
+    assert not retry.start_guard.cancelled, "its first byte is written"
 
 
-def test_separate_routes_wait_separately() -> None:
-    made = [
+def test_endpoints_with_their_own_limits_wait_separately() -> None:
+    attempts = [
         Attempt(i, 0, Submission("c", f"m{i}", "x", 1, 1.0), api.EndpointInfo(f"e{i}", 1, "k"), 5.0, False)
         for i in range(3)
     ]
-    told = Outcome(api.Result.BUSY, wait=5.0)
-    assert cancel.cancelled_by_wait(made[0], told, made, frozenset()) == made
-    assert cancel.cancelled_by_wait(made[0], told, made, frozenset({"k"})) == [made[0]]
-    assert cancel.cancelled_by_wait(made[0], Outcome(api.Result.BUSY), made, frozenset()) == []
+    outcome = Outcome(api.Result.BUSY, wait=5.0)
+    assert cancel.cancelled_by_wait(attempts[0], outcome, attempts, frozenset()) == attempts
+    assert cancel.cancelled_by_wait(attempts[0], outcome, attempts, frozenset({"k"})) == [attempts[0]]
+    assert cancel.cancelled_by_wait(attempts[0], Outcome(api.Result.BUSY), attempts, frozenset()) == []
--- a/tests/core/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -1,4 +1,4 @@
-"""News and told waits that come between the decision to send and the first byte, at each step of the way."""
+"""List updates and requested waits that arrive between the decision to send and the first byte."""
 
 from __future__ import annotations
 
@@ -12,45 +12,45 @@
 from brassweir.core.ports import Answer, Attempt, Fact, FinalAnswer, Outcome, Submission
 from tests.core.engines import CLASSES
 
-HOME, ELSEWHERE = 1, 2
+DESTINATION, OTHER_DESTINATION = 1, 2
 WAIT = 500.0
 
 
-class Holding:
-    """A store that keeps a kind of fact in hand until the test lets go, or says that there is no room."""
+class HoldingStore:
+    """A store that delays facts of some kinds until the test releases them, as durable or as rejected."""
 
     def __init__(self, *held: Fact) -> None:
         self.held = set(held)
-        self.hand: list[tuple[Callable[[], None], Callable[[str], None]]] = []
+        self.waiting: list[tuple[Callable[[], None], Callable[[str], None]]] = []
 
     def persist(
         self,
         fact: Fact,
         message: int,
         detail: object,
-        then: Callable[[], None],
-        unable: Callable[[str], None],
+        on_durable: Callable[[], None],
+        on_rejected: Callable[[str], None],
     ) -> None:
         if fact in self.held:
-            self.hand.append((then, unable))
+            self.waiting.append((on_durable, on_rejected))
         else:
-            then()
+            on_durable()
 
-    def let_go(self, room: bool = True) -> None:
+    def release(self, has_capacity: bool = True) -> None:
         self.held.clear()
-        hand, self.hand = self.hand, []
-        for then, unable in hand:
-            then() if room else unable("no room")
+        waiting, self.waiting = self.waiting, []
+        for on_durable, on_rejected in waiting:
+            on_durable() if has_capacity else on_rejected("no room")
 
 
-class Late:
-    """A carrier whose connections stand after 100 ms; what is written is delivered, or told to wait."""
+class DelayedCarrier:
+    """A carrier whose connections take 100 ms; a written attempt is delivered, or ends as in ``outcomes``."""
 
     def __init__(self, clock: SimClock) -> None:
         self.clock = clock
         self.started: list[Attempt] = []
         self.written: list[tuple[float, str, str]] = []
-        self.told: dict[str, Outcome] = {}
+        self.outcomes: dict[str, Outcome] = {}
 
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
         self.started.append(attempt)
@@ -60,7 +60,7 @@
             if not attempt.start_guard.begin():
                 return done(Outcome(api.Result.NO_CONNECTION, "called back"))
             self.written.append((self.clock.now(), name, attempt.endpoint.name))
-            outcome = self.told.get(name, Outcome(api.Result.OK))
+            outcome = self.outcomes.get(name, Outcome(api.Result.OK))
             self.clock.call_at(self.clock.now() + 10.0, lambda: done(outcome))
 
         self.clock.call_at(self.clock.now() + 100.0, write)
@@ -69,39 +69,42 @@
         pass
 
 
-class Play:
+class Scenario:
     """An engine with two endpoints at one destination."""
 
-    def __init__(self, store: Holding) -> None:
+    def __init__(self, store: HoldingStore) -> None:
         self.clock, self.store = SimClock(1000.0), store
-        self.carrier = Late(self.clock)
-        sets = api.Settings(classes=CLASSES, slots=6, max_open=80, max_retry_after=3000.0)
-        self.engine = Engine(sets, 1, self.clock, lambda _: self.carrier, store=store)
+        self.carrier = DelayedCarrier(self.clock)
+        settings = api.Settings(classes=CLASSES, slots=6, max_open=80, max_retry_after=3000.0)
+        self.engine = Engine(settings, 1, self.clock, lambda _: self.carrier, store=store)
         self.answers: dict[str, list[FinalAnswer]] = {}
-        self.tell("a", "b")
+        self.update_list("a", "b")
         self.run(1.0)
 
     def run(self, span: float) -> None:
         self.clock.run(self.clock.now() + span)
 
-    def tell(self, *names: str, state: api.EntryState = api.EntryState.READY, home: int = HOME) -> None:
+    def update_list(
+        self, *names: str, state: api.EntryState = api.EntryState.READY, destination: int = DESTINATION
+    ) -> None:
         self.engine.update_list(
             api.ListUpdate(
-                api.ListKind.DELTA, tuple(api.EndpointInfo(name, home, "", state=state) for name in names)
+                api.ListKind.DELTA,
+                tuple(api.EndpointInfo(name, destination, "", state=state) for name in names),
             )
         )
 
     def submit(self, name: str, left: float = 4000.0) -> None:
         self.engine.submit(
-            Submission("c", name, "safe", HOME, left), self.answers.setdefault(name, []).append
+            Submission("c", name, "safe", DESTINATION, left), self.answers.setdefault(name, []).append
         )
 
-    def sent(self, name: str) -> list[str]:
-        """The endpoints to which attempts were decided."""
+    def attempted(self, name: str) -> list[str]:
+        """Return the endpoints of the attempts that the module decided on."""
         return [note.endpoint for note in self.engine.ledger.by_identity["c", name].attempts]
 
-    def settled(self) -> None:
-        """All have one answer, delivered, by one written call; nothing is left behind."""
+    def assert_delivered_once(self) -> None:
+        """Check that each message was answered once, as delivered, and that nothing is left in the engine."""
         self.run(5000.0)
         assert {name: [one.answer for one in given] for name, given in self.answers.items()} == {
             name: [Answer.DELIVERED] for name in self.answers
@@ -109,87 +112,87 @@
         assert not self.engine.unstarted.by_destination and self.engine.sender.load.open_messages == 0
 
 
-OFF = pytest.mark.parametrize(
-    "off",
-    [{"state": api.EntryState.DRAINING}, {"state": api.EntryState.GONE}, {"home": ELSEWHERE}],
+UNUSABLE = pytest.mark.parametrize(
+    "unusable",
+    [{"state": api.EntryState.DRAINING}, {"state": api.EntryState.GONE}, {"destination": OTHER_DESTINATION}],
     ids=["draining", "gone", "of another destination"],
 )
 
 
-@OFF
-@pytest.mark.parametrize("room", [True, False], ids=["kept", "no room"])
-def test_news_while_the_intent_is_being_kept(off: dict[str, object], room: bool) -> None:
-    play = Play(Holding(Fact.INTENT))
-    play.submit("m")
-    play.run(5.0)
-    (first,) = play.sent("m")
-    play.tell(first, **off)  # type: ignore[arg-type]
-    play.run(5.0)
-    assert len(play.sent("m")) == 2, "it goes elsewhere at once"
-    play.store.let_go(room)
-    play.run(200.0)
-    if room:
-        play.settled()
-    assert first not in [to for _, _, to in play.carrier.written] and not [
-        one for one in play.carrier.started if one.endpoint.name == first
+@UNUSABLE
+@pytest.mark.parametrize("has_capacity", [True, False], ids=["kept", "no room"])
+def test_list_update_while_the_intent_is_persisted(unusable: dict[str, object], has_capacity: bool) -> None:
+    scenario = Scenario(HoldingStore(Fact.INTENT))
+    scenario.submit("m")
+    scenario.run(5.0)
+    (first,) = scenario.attempted("m")
+    scenario.update_list(first, **unusable)  # type: ignore[arg-type]
+    scenario.run(5.0)
+    assert len(scenario.attempted("m")) == 2, "it goes elsewhere at once"
+    scenario.store.release(has_capacity)
+    scenario.run(200.0)
+    if has_capacity:
+        scenario.assert_delivered_once()
+    assert first not in [to for _, _, to in scenario.carrier.written] and not [
+        one for one in scenario.carrier.started if one.endpoint.name == first
     ]
 
 
-@OFF
-@pytest.mark.parametrize("before", [1, 2, 3])
-def test_news_in_the_turn_of_a_send(before: int, off: dict[str, object]) -> None:
-    """At each message the module sends what came before it: so before it reads the news behind them all."""
-    play = Play(Holding())
-    for i in range(before):
-        play.submit(f"m{i}")
-    play.tell("a", **off)  # type: ignore[arg-type]
-    play.run(200.0)
-    assert {to for _, _, to in play.carrier.written} == {"b"}
-    play.settled()
-
-
-def test_a_told_wait_while_an_intent_is_being_kept() -> None:
-    play = Play(Holding())
-    play.carrier.told["told"] = Outcome(api.Result.BUSY, wait=WAIT)
-    play.submit("told")
-    play.run(105.0)  # it is written, and not answered yet
-    play.store.held.add(Fact.INTENT)
-    play.submit("m")
-    play.run(20.0)
-    assert len(play.sent("m")) == 1
-    play.store.let_go()
-    told = play.carrier.written[0][0] + 10.0
-    del play.carrier.told["told"]
-    play.settled()
-    assert all(at >= told + WAIT for at, _, _ in play.carrier.written[1:])
-
-
-def test_a_send_that_is_decided_while_a_told_wait_is_being_kept() -> None:
-    """The module hears of a wait once it is kept; what it decides until then waits for a connection."""
-    play = Play(Holding(Fact.OUTCOME))
-    play.carrier.told["told"] = Outcome(api.Result.BUSY, wait=WAIT)
-    play.submit("told")
-    play.run(115.0)  # it was told to wait
-    told = play.carrier.written[0][0] + 10.0
-    assert play.store.hand
-    play.submit("m")
-    play.run(5.0)
-    assert len(play.sent("m")) == 1
-    del play.carrier.told["told"]
-    play.store.let_go()
-    play.settled()
-    assert all(at >= told + WAIT for at, _, _ in play.carrier.written[1:])
-
-
-def test_a_told_wait_in_the_turn_of_a_send() -> None:
-    play = Play(Holding())
-    play.carrier.told["told"] = Outcome(api.Result.BUSY, wait=WAIT)
-    play.submit("told")
-    at = play.clock.now() + 110.0
+@UNUSABLE
+@pytest.mark.parametrize("submitted_before", [1, 2, 3])
+def test_list_update_in_the_turn_of_a_send(submitted_before: int, unusable: dict[str, object]) -> None:
+    """The module handles events in order: it sends the messages submitted before it reads the list update."""
+    scenario = Scenario(HoldingStore())
+    for i in range(submitted_before):
+        scenario.submit(f"m{i}")
+    scenario.update_list("a", **unusable)  # type: ignore[arg-type]
+    scenario.run(200.0)
+    assert {to for _, _, to in scenario.carrier.written} == {"b"}
+    scenario.assert_delivered_once()
+
+
+def test_requested_wait_while_an_intent_is_persisted() -> None:
+    scenario = Scenario(HoldingStore())
+    scenario.carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=WAIT)
+    scenario.submit("told")
+    scenario.run(105.0)  # written, and not answered yet
+    scenario.store.held.add(Fact.INTENT)
+    scenario.submit("m")
+    scenario.run(20.0)
+    assert len(scenario.attempted("m")) == 1
+    scenario.store.release()
+    requested_at = scenario.carrier.written[0][0] + 10.0
+    del scenario.carrier.outcomes["told"]
+    scenario.assert_delivered_once()
+    assert all(at >= requested_at + WAIT for at, _, _ in scenario.carrier.written[1:])
+
+
+def test_send_decided_while_a_requested_wait_is_persisted() -> None:
+    """An attempt decided while the wait is not yet durable must still not be written during the wait."""
+    scenario = Scenario(HoldingStore(Fact.OUTCOME))
+    scenario.carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=WAIT)
+    scenario.submit("told")
+    scenario.run(115.0)  # the destination requested a wait
+    requested_at = scenario.carrier.written[0][0] + 10.0
+    assert scenario.store.waiting
+    scenario.submit("m")
+    scenario.run(5.0)
+    assert len(scenario.attempted("m")) == 1
+    del scenario.carrier.outcomes["told"]
+    scenario.store.release()
+    scenario.assert_delivered_once()
+    assert all(at >= requested_at + WAIT for at, _, _ in scenario.carrier.written[1:])
+
+
+def test_requested_wait_in_the_turn_of_a_send() -> None:
+    scenario = Scenario(HoldingStore())
+    scenario.carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=WAIT)
+    scenario.submit("told")
+    at = scenario.clock.now() + 110.0
     for name in ("m0", "m1"):
-        play.clock.call_at(at, lambda name=name: play.submit(name))  # type: ignore[misc]
-    play.run(150.0)
-    assert play.carrier.written[0][0] + 10.0 == at
-    del play.carrier.told["told"]
-    play.settled()
-    assert all(when >= at + WAIT for when, _, _ in play.carrier.written[1:])
+        scenario.clock.call_at(at, lambda name=name: scenario.submit(name))  # type: ignore[misc]
+    scenario.run(150.0)
+    assert scenario.carrier.written[0][0] + 10.0 == at
+    del scenario.carrier.outcomes["told"]
+    scenario.assert_delivered_once()
+    assert all(when >= at + WAIT for when, _, _ in scenario.carrier.written[1:])
--- a/tests/core/test_garbage.py
+++ b/tests/core/test_garbage.py
@@ -1,4 +1,4 @@
-"""What an engine no longer uses goes without the collector: in service that comes by once in many thousand calls."""
+"""Guards against reference cycles in the engine, which would hold memory until the garbage collector runs."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.core.engines import make_engine
 
 
-class Forgetful:
-    """A carrier that serves, or lets every third attempt break, and keeps nothing of it."""
+class DroppingCarrier:
+    """A carrier that delivers, except every third attempt, and keeps no reference to any."""
 
     def __init__(self, clock: SimClock) -> None:
         self.clock, self.count = clock, 0
@@ -26,9 +26,9 @@
         pass
 
 
-def test_attempts_that_are_over_are_gone_without_the_collector() -> None:
+def test_ended_attempts_are_freed_without_the_garbage_collector() -> None:
     engine, clock, _ = make_engine()
-    carrier = Forgetful(clock)
+    carrier = DroppingCarrier(clock)
     engine.carrier_for = lambda _: carrier
     gc.collect()
     gc.disable()
@@ -36,7 +36,9 @@
         for i in range(30):
             engine.submit(Submission("o", f"m{i}", "safe", 1 + i % 3, 4000.0), lambda _: None)
         clock.run(12_000.0)
-        left = [type(one).__name__ for one in gc.get_objects() if isinstance(one, Attempt | StartGuard)]
+        remaining = [
+            type(item).__name__ for item in gc.get_objects() if isinstance(item, Attempt | StartGuard)
+        ]
     finally:
         gc.enable()
-    assert carrier.count > 12 and not engine.ledger.open_messages() and left == []
+    assert carrier.count > 12 and not engine.ledger.open_messages() and remaining == []
--- a/tests/destinations/test_destinations.py
+++ b/tests/destinations/test_destinations.py
@@ -1,4 +1,4 @@
-"""Who gives way under a budget, and whose turn a set-up is."""
+"""Eviction under a connection budget, and the order of connection set-ups."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 
 
 def connected(budget: ConnectionBudget, key: str, cost: float = 1.0, now: float = 0.0) -> str | None:
-    step = budget.request(key, now)
-    assert step.granted
-    if step.evict is not None:
-        budget.closed(step.evict)
+    permit = budget.request(key, now)
+    assert permit.granted
+    if permit.evict is not None:
+        budget.closed(permit.evict)
     budget.opened(key)
     budget.busy(key)
     budget.idle(key, cost)
-    return step.evict
+    return permit.evict
 
 
-def test_the_one_unused_for_longest_gives_way_and_the_dear_stay_longer() -> None:
+def test_least_recently_used_is_evicted_and_costly_connections_stay_longer() -> None:
     budget = ConnectionBudget(3)
     for key in "abc":
         connected(budget, key)
     budget.busy("a")
-    budget.idle("a", 1.0)  # used again: b is now the oldest
+    budget.idle("a", 1.0)  # used again: b is now the least recently used
     assert connected(budget, "d") == "b"
     budget = ConnectionBudget(3)
     connected(budget, "dear", cost=50.0)
     for key in "bc":
         connected(budget, key)
-    given_way = [connected(budget, str(i)) for i in range(4)]
-    assert "dear" not in given_way
+    evicted = [connected(budget, str(i)) for i in range(4)]
+    assert "dear" not in evicted
     assert "dear" in [connected(budget, str(i)) for i in range(10, 200)], "but not for ever"
 
 
-def test_a_connection_that_ends_before_its_call_has_noticed_leaves_no_count() -> None:
+def test_connection_that_closes_before_its_call_ends_is_uncounted() -> None:
     budget = ConnectionBudget(2)
-    for told in (budget.opened, budget.busy, budget.closed, budget.opened):  # another is made at once
-        told("a")
+    for record in (budget.opened, budget.busy, budget.closed, budget.opened):  # its replacement opens at once
+        record("a")
     budget.idle("a", 1.0)
     assert budget.holders["a"].busy == 0
     budget.closed("a")
     assert not budget.holders and not budget.open
 
 
-def test_a_call_out_or_a_trial_due_never_gives_way() -> None:
+def test_calls_in_flight_and_imminent_trials_are_not_evicted() -> None:
     budget = ConnectionBudget(2)
     for key in "ab":
         connected(budget, key)
@@ -60,13 +60,13 @@
     assert not budget.holders["a"].pinned and budget.holders["a"].busy == 1
 
 
-def test_the_busy_leave_room_for_waking_ones() -> None:
+def test_further_connections_leave_capacity_for_first_ones() -> None:
     budget = ConnectionBudget(20)
     for _ in range(18):
         assert budget.request("busy", 0.0).granted
         budget.opened("busy")
         budget.busy("busy")
-    assert not budget.request("busy", 0.0).granted, "what is left is for those that wake"
+    assert not budget.request("busy", 0.0).granted, "the rest is reserved for first connections"
     assert budget.request("waking", 0.0).granted
 
 
@@ -86,17 +86,19 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(1, 12), st.lists(st.tuples(st.integers(0, 30), st.sampled_from("cubip")), max_size=200))
-def test_counts_hold_and_nothing_in_use_is_ever_chosen(most: int, moves: list[tuple[int, str]]) -> None:
-    budget, idle, busy = ConnectionBudget(most), dict[str, int](), dict[str, int]()
+def test_counts_are_exact_and_nothing_in_use_is_evicted(
+    max_connections: int, moves: list[tuple[int, str]]
+) -> None:
+    budget, idle, busy = ConnectionBudget(max_connections), dict[str, int](), dict[str, int]()
     for number, move in moves:
         key = str(number)
         if move in "cu" and not idle.get(key):
-            step = budget.request(key, 0.0)
-            if step.evict is not None:
-                assert idle.get(step.evict, 0) > 0 and not budget.holders[step.evict].pinned
-                idle[step.evict] -= 1
-                budget.closed(step.evict)
-            if step.granted:
+            permit = budget.request(key, 0.0)
+            if permit.evict is not None:
+                assert idle.get(permit.evict, 0) > 0 and not budget.holders[permit.evict].pinned
+                idle[permit.evict] -= 1
+                budget.closed(permit.evict)
+            if permit.granted:
                 budget.opened(key)
                 budget.busy(key)
                 busy[key] = busy.get(key, 0) + 1
@@ -113,33 +115,33 @@
             budget.closed(key)
         elif move == "p":
             budget.pin(key, number % 2 == 0)
-        assert budget.open == sum(idle.values()) + sum(busy.values()) <= most
+        assert budget.open == sum(idle.values()) + sum(busy.values()) <= max_connections
     assert len(budget.heap) <= 64 + 4 * max(1, len(budget.holders)) + 1
 
 
 # ---- set-ups
 
 
-def drain(setups: SetupQueue) -> list[int]:
-    out = []
+def start_all(setups: SetupQueue) -> list[int]:
+    started = []
     while (ticket := setups.next_ticket()) is not None:
-        out.append(ticket)
-    return out
+        started.append(ticket)
+    return started
 
 
-def test_waking_and_growing_take_turns() -> None:
+def test_first_and_further_connections_take_turns() -> None:
     setups = SetupQueue(4)
-    growing = [setups.enqueue("busy", True, 0.0) for _ in range(20)]
-    waking = [setups.enqueue(f"w{i}", False, 0.0) for i in range(20)]
-    out = drain(setups)
+    further = [setups.enqueue("busy", True, 0.0) for _ in range(20)]
+    first = [setups.enqueue(f"w{i}", False, 0.0) for i in range(20)]
+    started = start_all(setups)
     assert (
-        len(out) == 4
-        and sum(ticket in waking for ticket in out) == 2
-        and sum(ticket in growing for ticket in out) == 2
+        len(started) == 4
+        and sum(ticket in first for ticket in started) == 2
+        and sum(ticket in further for ticket in started) == 2
     )
 
 
-def test_suspects_never_hold_more_than_their_share() -> None:
+def test_suspects_never_occupy_more_than_their_share() -> None:
     setups = SetupQueue(8)
     for i in range(20):
         setups.done(setups.enqueue(f"d{i}", False, 0.0), False, 0.0)
@@ -149,21 +151,21 @@
     for i in range(20):
         setups.failed_at[f"d{i}"] = 0.0
         setups.enqueue(f"d{i}", False, 1.0)
-    assert len(drain(setups)) == 2
+    assert len(start_all(setups)) == 2
     succeeded = [setups.enqueue(f"g{i}", False, 1.0) for i in range(10)]
-    assert set(drain(setups)) <= set(succeeded) and len(setups.active) == 8
+    assert set(start_all(setups)) <= set(succeeded) and len(setups.active) == 8
     fresh = SetupQueue(8)
     fresh.failed_at["d"] = 0.0
     fresh.enqueue("d", False, FAILURE_MEMORY_MS + 1.0)
     assert not fresh.failed_at, "an old failure is forgotten"
 
 
-def test_a_destination_that_wakes_sets_up_one_connection_first() -> None:
+def test_a_destination_without_connection_sets_up_one_at_a_time() -> None:
     setups = SetupQueue(8)
     tickets = [setups.enqueue("w", False, 0.0) for _ in range(5)]
-    assert drain(setups) == tickets[:1]
+    assert start_all(setups) == tickets[:1]
     setups.done(tickets[0], True, 1.0)
-    assert drain(setups) == tickets[1:2]
-    setups.done(tickets[3], True, 1.0)  # one that gives up leaves the line
+    assert start_all(setups) == tickets[1:2]
+    setups.done(tickets[3], True, 1.0)  # a caller that stops waiting leaves the queue
     setups.done(tickets[1], True, 1.0)
-    assert drain(setups) == tickets[2:3]
+    assert start_all(setups) == tickets[2:3]
--- a/tests/observe/test_lines.py
+++ b/tests/observe/test_json_log.py
@@ -1,4 +1,4 @@
-"""The lean log: storms are bounded by real time, and what comes with each message has a larger bound."""
+"""Each event of the JSON log is rate-limited in monotonic time; frequent events have a larger limit."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from brassweir.observe.json_log import MAX_FREQUENT_LINES, MAX_LINES, SPAN_SECONDS, JsonLog
 
 
-def log(at: list[float], wall: list[float]) -> tuple[JsonLog, io.StringIO]:
+def make_log(monotonic: list[float], wall: list[float]) -> tuple[JsonLog, io.StringIO]:
     stream = io.StringIO()
-    return JsonLog(stream, lambda: wall[0], frozenset({"often"}), lambda: at[0], name="n1"), stream
+    return JsonLog(stream, lambda: wall[0], frozenset({"often"}), lambda: monotonic[0], name="n1"), stream
 
 
 def events(stream: io.StringIO) -> list[dict[str, object]]:
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_a_storm_is_bounded_and_what_was_held_back_is_counted() -> None:
-    at, wall = [0.0], [1e9]
-    lines, stream = log(at, wall)
+def test_a_flood_is_limited_and_suppressed_lines_are_counted() -> None:
+    monotonic, wall = [0.0], [1e9]
+    logger, stream = make_log(monotonic, wall)
     for _ in range(MAX_LINES + 7):
-        lines.warning("storm")
+        logger.warning("storm")
     for _ in range(MAX_FREQUENT_LINES + 3):
-        lines.info("often")
+        logger.info("often")
     assert len(events(stream)) == MAX_LINES + MAX_FREQUENT_LINES
-    at[0] = SPAN_SECONDS
-    lines.warning("storm")
+    monotonic[0] = SPAN_SECONDS
+    logger.warning("storm")
     assert events(stream)[-1] == {
         "event": "storm",
         "level": "warning",
@@ -36,11 +36,11 @@
     }
 
 
-def test_a_wall_clock_stepped_back_silences_nothing() -> None:
-    at, wall = [0.0], [1e9]
-    lines, stream = log(at, wall)
+def test_a_wall_clock_step_back_suppresses_nothing() -> None:
+    monotonic, wall = [0.0], [1e9]
+    logger, stream = make_log(monotonic, wall)
     for _ in range(MAX_LINES + 1):
-        lines.warning("storm")
-    at[0], wall[0] = SPAN_SECONDS, 1e9 - 3600.0
-    lines.warning("storm")
+        logger.warning("storm")
+    monotonic[0], wall[0] = SPAN_SECONDS, 1e9 - 3600.0
+    logger.warning("storm")
     assert len(events(stream)) == MAX_LINES + 1 and events(stream)[-1]["at"] == 1e9 - 3600.0
