--- a/brassweir/core/engine.py
+++ b/brassweir/core/engine.py
@@ -213,7 +213,7 @@
     def _send(self, action: api.Send) -> None:
         record = self.ledger.by_id[action.id]
         info = self.endpoints[action.endpoint]
-        repeat_deadline, is_repeat = self.ledger.repeat_deadline(record), record.first_run_at is not None
+        repeat_until, is_repeat = self.ledger.repeat_deadline(record), record.first_run_at is not None
         number = self.ledger.add_attempt(action.id, action.endpoint, self.clock.now())
         attempt = Attempt(
             action.id,
@@ -223,7 +223,7 @@
             action.abandon_at,
             is_repeat,
             StartGuard(
-                lambda: self.first_byte.block(record, action.endpoint, self.clock.now(), repeat_deadline),
+                lambda: self.first_byte.block(record, action.endpoint, self.clock.now(), repeat_until),
                 lambda: self.observer.began(record, number),  # the number: the attempt would be a cycle
             ),
         )
@@ -254,7 +254,7 @@
             else:
                 done(Outcome(api.Result.TIMEOUT, "no whole answer in time"))
 
-        def start() -> None:
+        def start_attempt() -> None:
             nonlocal timer
             if attempt.start_guard.cancelled:
                 return  # cancelled while its intent was persisted
@@ -267,7 +267,7 @@
             done(Outcome(api.Result.NO_CONNECTION, reason))
 
         self.unstarted.add(attempt, done)
-        self.store.persist(Fact.INTENT, action.id, attempt, start, on_rejected)
+        self.store.persist(Fact.INTENT, action.id, attempt, start_attempt, on_rejected)
 
     def _notify(self, event: api.Event, affected: Callable[[], list[Attempt]], reason: str) -> None:
         """Pass on an event; cancel unstarted attempts that it affects now, and again after the next turn."""
--- a/tests/core/test_first_byte.py
+++ b/tests/core/test_first_byte.py
@@ -63,7 +63,7 @@
                 done(Outcome(api.Result.OK))  # type: ignore[operator]
             elif not attempt.start_guard.cancelled:
                 self.blocked.append(attempt.start_guard.block)
-                done(Outcome(api.Result.NO_CONNECTION, "blocked"))  # type: ignore[operator]
+                done(Outcome(api.Result.NO_CONNECTION, "barred"))  # type: ignore[operator]
 
         self.clock.call_at(self.clock.now() + 50.0, connected)  # type: ignore[attr-defined]
 
