--- a/brassweir/core/ledger.py
+++ b/brassweir/core/ledger.py
@@ -51,13 +51,12 @@
     @property
     def in_flight(self) -> bool:
         """Whether an attempt has no outcome yet."""
-        return any(note.outcome is None for note in self.attempts)
+        return any(attempt.outcome is None for attempt in self.attempts)
 
     def new_message(self, now: float) -> NewMessage:
         """Return the decision module's event for this message.
 
-        Its time left counts from the deadline, since time has passed while the message was persisted or
-        restored.
+        Its time left is what remains until the deadline now, after the message was persisted or restored.
         """
         submission = self.submission
         return NewMessage(
@@ -82,8 +81,8 @@
 class Ledger:
     """All messages of one sender that are open or ended recently.
 
-    ``retention_ms`` is how long a repeated submission of an ended message receives its answer; it must be
-    longer than clients repeat a submission. ``max_ended`` bounds how many ended messages are remembered.
+    ``retention_ms`` is how long a repeated submission of an ended message still receives its answer; clients
+    must stop repeating a submission before. ``max_ended`` bounds how many ended messages are remembered.
     """
 
     def __init__(self, classes: Mapping[str, MessageClass], retention_ms: float, max_ended: int) -> None:
@@ -156,7 +155,7 @@
             return 0.0  # the attempt in flight may still deliver the message
         if record.first_run_at is None or cls.effect is Effect.SAFE:
             return float("inf")
-        if cls.effect is Effect.KEYED and cls.group == "all":  # the module does not know an earlier zone
+        if cls.effect is Effect.KEYED and cls.group == "all":  # the module forgets the zone tried
             return max(0.0, self.repeat_deadline(record) - now)
         return 0.0
 
--- a/brassweir/core/ports.py
+++ b/brassweir/core/ports.py
@@ -19,7 +19,7 @@
 
     DELIVERED = "delivered"
     REFUSED = "refused"  # not delivered; submitting the message again is harmless
-    FAILED = "failed"  # nothing is known or promised about its delivery
+    FAILED = "failed"  # rejected by the destination, or possibly delivered: a later try may do harm
 
 
 @dataclass(frozen=True, slots=True)
