--- a/brassweir/core/engine.py
+++ b/brassweir/core/engine.py
@@ -141,10 +141,10 @@
         self.observer.submitted(record, SubmitStatus.NEW)
         self._add_event(record)
 
-    def update_list(self, news: api.ListUpdate) -> None:
+    def update_list(self, update: api.ListUpdate) -> None:
         """Pass on an update of the endpoint list, and cancel unstarted attempts that it rules out."""
-        self.first_byte.update(news)
-        self._notify(news, lambda: self.unstarted.cancelled_by_list(news.entries), cancel.NOT_READY)
+        self.first_byte.update(update)
+        self._notify(update, lambda: self.unstarted.cancelled_by_list(update.entries), cancel.NOT_READY)
 
     def _add_event(self, event: api.Event | MessageRecord) -> None:
         self.inbox.append(event)
@@ -178,9 +178,9 @@
             if isinstance(event, api.ListUpdate):
                 self._forget_gone(event)
 
-    def _forget_gone(self, news: api.ListUpdate) -> None:
+    def _forget_gone(self, update: api.ListUpdate) -> None:
         """Drop removed endpoints; the module has processed their removal and no longer refers to them."""
-        for info in news.entries:
+        for info in update.entries:
             known = self.endpoints.get(info.name)
             if info.state is api.EntryState.GONE and known is not None and known.state is api.EntryState.GONE:
                 del self.endpoints[info.name]
@@ -370,7 +370,7 @@
             self.admission_callbacks[record.id] = callback
 
     def withdraw(self, record: MessageRecord) -> None:
-        """End a message that nobody waits for and whose acceptance was reported to nobody."""
+        """End a message without waiters, whose acceptance was not reported to its client."""
         if record.answer is None:
             self._add_event(api.Withdrawn(record.id))
             self._finish(record, self.ledger.closing_answer(record))
--- a/brassweir/core/first_byte.py
+++ b/brassweir/core/first_byte.py
@@ -20,13 +20,13 @@
         self.endpoints: dict[str, EndpointInfo] = {}
         self.list_usable = True
 
-    def update(self, news: ListUpdate) -> None:
+    def update(self, update: ListUpdate) -> None:
         """Apply an update of the list; it holds at once, also for attempts already decided on."""
-        if news.kind is ListKind.UNCONFIRMED:
+        if update.kind is ListKind.UNCONFIRMED:
             self.list_usable = False
-        elif news.kind is ListKind.USABLE:
+        elif update.kind is ListKind.USABLE:
             self.list_usable = True
-        for info in news.entries:
+        for info in update.entries:
             self.endpoints[info.name] = info
 
     def block(
--- a/brassweir/core/ledger.py
+++ b/brassweir/core/ledger.py
@@ -1,8 +1,7 @@
 """The ledger of messages: each submission, its attempts, and its one final answer.
 
 Pure: no clock, no I/O. Only the ledger makes an answer final. In whatever order outcomes, time-outs and
-repeated submissions arrive, a message has one final answer, and every repeated submission receives that
-answer.
+repeated submissions arrive, a message has one final answer, which each repeated submission receives.
 """
 
 from __future__ import annotations
--- a/brassweir/destinations/inspection.py
+++ b/brassweir/destinations/inspection.py
@@ -55,16 +55,16 @@
 
 
 def show(sender: Sender, number: int, now: float) -> dict[str, Any] | None:
-    """Return the state of one destination, or None if it is unknown; an evicted destination stays evicted."""
+    """Return the state of one destination, or None if it is unknown; does not reactivate a compacted one."""
     dest = sender.destinations.get(number)
     if dest is None:
-        evicted = sender.compacted.get(number)
-        if evicted is None:
+        compacted = sender.compacted.get(number)
+        if compacted is None:
             return None
         return {
             "asleep": True,
-            "endpoints": [info.name for info in evicted[2::2] if info.state is not EntryState.GONE],
-            "remembers": sum(len(part) // 2 for part in evicted[1]),
+            "endpoints": [info.name for info in compacted[2::2] if info.state is not EntryState.GONE],
+            "remembers": sum(len(part) // 2 for part in compacted[1]),
         }
     return {
         "asleep": False,
--- a/brassweir/undelivered/item.py
+++ b/brassweir/undelivered/item.py
@@ -64,7 +64,7 @@
 class StorageQuota:
     """Counts the stored bytes against a limit of ``max_bytes``.
 
-    Stored messages are never dropped to make room: only the operator removes them, and until then the source
+    Stored messages are never dropped to make space: only the operator removes them, and until then the source
     keeps what does not fit.
     """
 
--- a/tests/core/engines.py
+++ b/tests/core/engines.py
@@ -79,7 +79,7 @@
     def start(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
         def write() -> None:
             if not attempt.start_guard.begin():
-                done(Outcome(api.Result.NO_CONNECTION, "called back"))
+                done(Outcome(api.Result.NO_CONNECTION, "cancelled"))
                 return
             name = attempt.submission.identity
             self.written.append((self.clock.now(), name))
--- a/tests/core/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -40,7 +40,7 @@
         self.held.clear()
         waiting, self.waiting = self.waiting, []
         for on_durable, on_rejected in waiting:
-            on_durable() if has_capacity else on_rejected("no room")
+            on_durable() if has_capacity else on_rejected("no capacity")
 
 
 class DelayedCarrier:
@@ -58,7 +58,7 @@
         def write() -> None:
             name = attempt.submission.identity
             if not attempt.start_guard.begin():
-                return done(Outcome(api.Result.NO_CONNECTION, "called back"))
+                return done(Outcome(api.Result.NO_CONNECTION, "cancelled"))
             self.written.append((self.clock.now(), name, attempt.endpoint.name))
             outcome = self.outcomes.get(name, Outcome(api.Result.OK))
             self.clock.call_at(self.clock.now() + 10.0, lambda: done(outcome))
@@ -120,7 +120,7 @@
 
 
 @UNUSABLE
-@pytest.mark.parametrize("has_capacity", [True, False], ids=["kept", "no room"])
+@pytest.mark.parametrize("has_capacity", [True, False], ids=["durable", "no capacity"])
 def test_list_update_while_the_intent_is_persisted(unusable: dict[str, object], has_capacity: bool) -> None:
     scenario = Scenario(HoldingStore(Fact.INTENT))
     scenario.submit("m")
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -208,7 +208,7 @@
         on_durable: Callable[[], None],
         on_rejected: Callable[[str], None],
     ) -> None:
-        (lambda: on_rejected("no room"))() if fact is Fact.TAKEN else on_durable()
+        (lambda: on_rejected("no capacity"))() if fact is Fact.TAKEN else on_durable()
 
 
 def test_admission_callback_of_a_message_that_the_store_rejects_is_dropped() -> None:
