--- a/brassweir/core/ledger.py
+++ b/brassweir/core/ledger.py
@@ -159,7 +159,7 @@
         return 0.0
 
     def repeat_deadline(self, record: MessageRecord) -> float:
-        """Return when a keyed message's idempotency window ends: until then another attempt may begin."""
+        """Return until when another attempt may begin: a keyed message's window, else infinity."""
         cls = self.classes[record.submission.class_name]
         keyed = cls.effect is Effect.KEYED and record.first_run_at is not None
         return record.first_run_at + cls.window if keyed and record.first_run_at is not None else float("inf")
--- a/brassweir/destinations/budget.py
+++ b/brassweir/destinations/budget.py
@@ -79,7 +79,7 @@
         self.open += 1
 
     def closed(self, key: str) -> None:
-        """Uncount a connection that closed or failed to open; :meth:`idle` still ends a call on it."""
+        """Uncount a connection that closed or failed to open; a call on it still ends with :meth:`idle`."""
         holder = self.holders[key]
         holder.open -= 1
         self.open -= 1
