--- a/brassweir/core/ports.py
+++ b/brassweir/core/ports.py
@@ -80,8 +80,9 @@
     """Decides between beginning an attempt and cancelling it, so that never both happen.
 
     ``check`` returns what blocks the attempt, or None. It is called right before the first byte is written,
-    and again before the last byte where the carrier holds that back. ``block`` is the reason that it
-    returned. ``on_begin`` is called once, when the attempt begins.
+    and again before the last byte where the carrier holds that back. An attempt blocked before its last byte
+    counts as not begun, since its request is incomplete. ``block`` is the reason that ``check`` returned.
+    ``on_begin`` is called once, when the attempt begins.
     """
 
     __slots__ = ("block", "on_begin", "begun", "check", "cancelled")
