--- a/benchmarks/capacity/probes/decisions.py
+++ b/benchmarks/capacity/probes/decisions.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.target import CONSTANTS, CPU, MEMORY
 from brassweir import interface as api
 from brassweir.control import Sender
-from brassweir.destinations.list_updates import MAX_ENTRIES_PER_UPDATE, ListUpdates
+from brassweir.destinations.list_updates import MAX_ENTRIES_PER_UPDATE, ListUpdateQueue
 
 PAIR_RATE = (
     CONSTANTS["events_per_second"] / TARGET.senders / TARGET.destinations
@@ -145,7 +145,7 @@
 
 
 def _longest_step(infos: tuple[api.EndpointInfo, ...]) -> float:
-    intake, sender = ListUpdates(), Sender(settings(TARGET.senders), 1, 0.0)
+    intake, sender = ListUpdateQueue(), Sender(settings(TARGET.senders), 1, 0.0)
     intake.replace_all(infos)
     longest = 0.0
     while (news := intake.next_update()) is not None:
--- a/benchmarks/capacity/probes/lists.py
+++ b/benchmarks/capacity/probes/lists.py
@@ -17,7 +17,7 @@
 from brassweir.config import lines
 from brassweir.config.load import load
 from brassweir.config.model import EndpointList
-from brassweir.destinations.list_updates import ListUpdates
+from brassweir.destinations.list_updates import ListUpdateQueue
 from brassweir.interface import EndpointInfo, EntryState
 
 AXES = (Axis.DESTINATIONS,)
@@ -135,10 +135,10 @@
     ]
 
 
-def _known(path: Path) -> tuple[ListUpdates, dict[str, str]]:
+def _known(path: Path) -> tuple[ListUpdateQueue, dict[str, str]]:
     """A list that was told in full, but for its last entry."""
     listed = lines.read(path)
-    intake = ListUpdates()
+    intake = ListUpdateQueue()
     intake.replace_all(infos(listed[:-1]))
     while intake.next_update() is not None:
         pass
--- a/brassweir/destinations/list_updates.py
+++ b/brassweir/destinations/list_updates.py
@@ -17,7 +17,7 @@
 MAX_ENTRIES_PER_UPDATE = 200  # keeps one turn of the decision module within a few ms
 
 
-class ListUpdates:
+class ListUpdateQueue:
     """The entries that the decision module knows, and the updates that it has yet to receive.
 
     A later list or delta supersedes the pending updates of an earlier one: pending entries are compared
--- a/brassweir/destinations/setup_queue.py
+++ b/brassweir/destinations/setup_queue.py
@@ -31,7 +31,7 @@
         self.max_active = max_active
         self.queues: dict[SetupReason, deque[tuple[str, int]]] = {reason: deque() for reason in SetupReason}
         self.active: dict[int, tuple[str, SetupReason]] = {}
-        self.waking: set[str] = set()  # destinations whose first set-up is active
+        self.first_setups: set[str] = set()  # destinations whose first set-up is active
         self.failed_at: dict[str, float] = {}
         self.last_ticket = 0  # ticket numbers
         self.next_reason = 0
@@ -70,7 +70,7 @@
                 self.next_reason = (reasons.index(reason) + 1) % len(reasons)
                 self.active[ticket] = (key, reason)
                 if reason is not SetupReason.FURTHER:
-                    self.waking.add(key)
+                    self.first_setups.add(key)
                 return ticket
         return None
 
@@ -89,7 +89,7 @@
             return
         key, reason = setup
         if reason is not SetupReason.FURTHER:
-            self.waking.discard(key)
+            self.first_setups.discard(key)
         if succeeded is None:
             return
         self.failed_at.pop(key, None)
@@ -106,7 +106,7 @@
         queue = self.queues[reason]
         for _ in range(len(queue)):
             entry = queue.popleft()
-            if reason is SetupReason.FURTHER or entry[0] not in self.waking:
+            if reason is SetupReason.FURTHER or entry[0] not in self.first_setups:
                 return entry
             queue.append(entry)
         return None
--- a/brassweir/service/listfile.py
+++ b/brassweir/service/listfile.py
@@ -15,7 +15,7 @@
 from brassweir.config import lines
 from brassweir.config.load import ConfigError, load
 from brassweir.config.model import Config, EndpointList
-from brassweir.destinations.list_updates import ListUpdates
+from brassweir.destinations.list_updates import ListUpdateQueue
 from brassweir.service.listed import Home, Listed, Numbers, listed, scaled
 
 LOOK = 0.1  # seconds between two looks: drains are to be known well within any grace
@@ -44,7 +44,7 @@
         self.path, self.config, self.tell, self.note = path, config, tell, note
         self.numbers = Numbers(config)
         self.urls: dict[str, str] = {}
-        self.intake = ListUpdates()
+        self.intake = ListUpdateQueue()
         self.seen: object = None
         self.scale: Callable[[], float] = lambda: 1.0  # the part of each listed rate that is ours
 
--- a/brassweir/service/versionedlist.py
+++ b/brassweir/service/versionedlist.py
@@ -18,7 +18,7 @@
 from brassweir.configstream.catalog import EMPTY, Catalog
 from brassweir.configstream.delta import Delta, between
 from brassweir.configstream.entries import Entry
-from brassweir.destinations.list_updates import ListUpdates
+from brassweir.destinations.list_updates import ListUpdateQueue
 from brassweir.service.listed import Numbers, listed, scaled
 
 KEEP_URL = 60.0  # seconds that a removed endpoint keeps its address, for attempts that are out
@@ -32,7 +32,7 @@
         self.config, self.tell, self.note = config, tell, note
         self.numbers = Numbers(config)
         self.scale: Callable[[], float] = lambda: 1.0
-        self.intake = ListUpdates()
+        self.intake = ListUpdateQueue()
         self.told = 0
         self.refused = ""
         self.on_told: Callable[[int], None] = lambda _: None
--- a/tests/core/engines.py
+++ b/tests/core/engines.py
@@ -67,12 +67,12 @@
 class SlowCarrier:
     """A carrier with slow connections.
 
-    ``connects`` holds the connect times (ms) of the next attempts, ``outcomes`` the outcomes by message
-    identity; an outcome comes ``takes`` ms after the first byte.
+    ``connect_times`` holds the connect times (ms) of the next attempts, ``outcomes`` the outcomes by message
+    identity; an outcome comes ``response_time`` ms after the first byte.
     """
 
     def __init__(self, clock: SimClock) -> None:
-        self.clock, self.connects, self.takes = clock, list[float](), 10.0
+        self.clock, self.connect_times, self.response_time = clock, list[float](), 10.0
         self.written: list[tuple[float, str]] = []
         self.outcomes: dict[str, Outcome] = {}
 
@@ -84,9 +84,11 @@
             name = attempt.submission.identity
             self.written.append((self.clock.now(), name))
             outcome = self.outcomes.get(name, Outcome(api.Result.OK))
-            self.clock.call_at(self.clock.now() + self.takes, lambda: done(outcome))
+            self.clock.call_at(self.clock.now() + self.response_time, lambda: done(outcome))
 
-        self.clock.call_at(self.clock.now() + (self.connects.pop(0) if self.connects else 1.0), write)
+        self.clock.call_at(
+            self.clock.now() + (self.connect_times.pop(0) if self.connect_times else 1.0), write
+        )
 
     def close_idle(self, endpoint: str) -> None:
         pass
--- a/tests/core/test_cancel.py
+++ b/tests/core/test_cancel.py
@@ -13,7 +13,7 @@
 def test_requested_wait_cancels_attempts_not_yet_written() -> None:
     """Guards against an attempt that is written during a requested wait because its connection took long."""
     engine, clock, carrier = make_slow_engine()
-    carrier.connects = [200.0, 1.0]
+    carrier.connect_times = [200.0, 1.0]
     carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=500.0)
     answers: list[FinalAnswer] = []
     for name in ("early", "told"):
@@ -29,7 +29,7 @@
 def test_without_the_cancellation_the_attempt_would_be_written(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("brassweir.core.cancel.cancelled_by_wait", lambda *_: [])
     engine, clock, carrier = make_slow_engine()
-    carrier.connects = [200.0, 1.0]
+    carrier.connect_times = [200.0, 1.0]
     carrier.outcomes["told"] = Outcome(api.Result.BUSY, wait=500.0)
     for name in ("early", "told"):
         engine.submit(Submission("c", name, CLASSES[0].name, 1, 4000.0), lambda _: None)
@@ -40,7 +40,7 @@
 
 def test_draining_cancels_attempts_except_those_written() -> None:
     engine, clock, carrier = make_slow_engine()
-    carrier.connects = [100.0]
+    carrier.connect_times = [100.0]
     engine.submit(Submission("c", "late", CLASSES[0].name, 1, 4000.0), lambda _: None)
     clock.run(1050.0)
     (attempt,) = [attempt for attempt, _ in engine.unstarted.by_destination[1].values()]
--- a/tests/core/test_repeat_window.py
+++ b/tests/core/test_repeat_window.py
@@ -26,7 +26,7 @@
     ends_after: float, connect_time: float, calls: int
 ) -> None:
     engine, clock, carrier = make_slow_engine(classes=(KEYED,))
-    carrier.connects, carrier.takes = [1.0, connect_time], ends_after
+    carrier.connect_times, carrier.response_time = [1.0, connect_time], ends_after
     carrier.outcomes["m"] = Outcome(api.Result.RESET)
     answers: list[tuple[float, FinalAnswer]] = []
     engine.submit(
--- a/tests/core/test_withdrawals.py
+++ b/tests/core/test_withdrawals.py
@@ -100,7 +100,7 @@
     cls: str, delayed_fact: Fact | None, advance: Callable[[Scenario], None], admissions: int
 ) -> None:
     scenario = Scenario(cls, delayed_fact)
-    scenario.carrier.connects = [100.0, 100.0]
+    scenario.carrier.connect_times = [100.0, 100.0]
     advance(scenario)
     scenario.engine.withdraw(scenario.record)
     scenario.store.release()
@@ -135,7 +135,7 @@
     scenario = Scenario("safe", None)
     engine, carrier, clock = scenario.engine, scenario.carrier, scenario.clock
     assert isinstance(carrier, SlowCarrier) and isinstance(clock, SimClock)
-    carrier.connects = [100.0] * 3
+    carrier.connect_times = [100.0] * 3
     for record in (scenario.record, scenario.submit("n", "safe"), scenario.submit("o", "safe")):
         clock.run(clock.now() + 5.0)
         engine.withdraw(record)
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("delayed", [0.0, 700.0])
 def test_time_left_decreases_while_the_message_is_persisted(delayed: float) -> None:
     scenario = Scenario("safe", Fact.TAKEN)
-    scenario.carrier.connects = [1e9] * 20
+    scenario.carrier.connect_times = [1e9] * 20
     ended: list[float] = []
     scenario.record.waiters.append(lambda _: ended.append(scenario.clock.now()))
     scenario.clock.run(1000.0 + delayed)
--- a/tests/destinations/test_list_updates.py
+++ b/tests/destinations/test_list_updates.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassweir.destinations.list_updates import ListUpdates
+from brassweir.destinations.list_updates import ListUpdateQueue
 from brassweir.interface import EndpointInfo, EntryState, ListKind
 
 
@@ -16,7 +16,7 @@
     return EndpointInfo(f"e{name}", name, "k", state=state, rate=rate)
 
 
-def drain(updates: ListUpdates) -> list[list[EndpointInfo]]:
+def drain(updates: ListUpdateQueue) -> list[list[EndpointInfo]]:
     batches = []
     while (update := updates.next_update()) is not None:
         assert update.kind is ListKind.DELTA
@@ -25,7 +25,7 @@
 
 
 def test_updates_are_bounded_and_unusable_endpoints_come_first() -> None:
-    updates = ListUpdates(step=10)
+    updates = ListUpdateQueue(step=10)
     assert updates.replace_all([info(i) for i in range(35)]) == 35
     assert [len(batch) for batch in drain(updates)] == [10, 10, 10, 5]
     changed = [
@@ -44,7 +44,7 @@
 
 
 def test_a_later_list_supersedes_pending_updates() -> None:
-    updates = ListUpdates(step=10)
+    updates = ListUpdateQueue(step=10)
     updates.replace_all([info(i) for i in range(30)])
     first = updates.next_update()
     assert first is not None
@@ -56,7 +56,7 @@
 
 
 def test_a_list_with_a_duplicate_name_changes_nothing() -> None:
-    updates = ListUpdates()
+    updates = ListUpdateQueue()
     updates.replace_all([info(1)])
     drain(updates)
     with pytest.raises(ValueError, match="e2"):
@@ -76,7 +76,7 @@
 def test_after_any_lists_the_receiver_has_the_last_one(
     lists: list[list[tuple[int, EntryState]]], step: int, seed: int
 ) -> None:
-    updates, rng, received = ListUpdates(step=step + 1), Random(seed), dict[str, EntryState]()
+    updates, rng, received = ListUpdateQueue(step=step + 1), Random(seed), dict[str, EntryState]()
     for entries in lists:
         updates.replace_all([info(name, state) for name, state in entries])
         for _ in range(rng.randint(0, 5)):
@@ -91,7 +91,7 @@
 
 
 def test_a_delta_passes_on_unusable_endpoints_first_and_only_differences() -> None:
-    updates = ListUpdates(step=3)
+    updates = ListUpdateQueue(step=3)
     updates.replace_all([info(i) for i in range(10)])
     drain(updates)
     changed = [info(20), info(1, rate=5.0), info(2), info(3, EntryState.DRAINING)]
@@ -105,7 +105,7 @@
 
 
 def test_a_later_delta_keeps_pending_entries_that_it_does_not_change() -> None:
-    updates = ListUpdates(step=1)
+    updates = ListUpdateQueue(step=1)
     updates.replace_all([info(i) for i in range(4)])
     drain(updates)
     updates.apply([info(0, rate=1.0), info(1, rate=1.0), info(7), info(8)], ["e2", "e3"])
@@ -119,7 +119,7 @@
 
 
 def test_a_delta_with_a_duplicate_name_changes_nothing() -> None:
-    updates = ListUpdates()
+    updates = ListUpdateQueue()
     updates.replace_all([info(1)])
     for changed, removed in (([info(1), info(1)], []), ([info(1)], ["e1"]), ([], ["e1", "e1"])):
         with pytest.raises(ValueError, match="e1"):
@@ -139,7 +139,7 @@
 def test_after_any_deltas_the_receiver_has_the_last_version(
     versions: list[dict[int, tuple[EntryState, int]]], step: int, seed: int
 ) -> None:
-    updates, rng, received = ListUpdates(step=step + 1), Random(seed), dict[str, EndpointInfo]()
+    updates, rng, received = ListUpdateQueue(step=step + 1), Random(seed), dict[str, EndpointInfo]()
     previous: dict[str, EndpointInfo] = {}
     for version in versions:
         current = {f"e{name}": info(name, state, float(rate)) for name, (state, rate) in version.items()}
--- a/tests/journal/test_windows.py
+++ b/tests/journal/test_windows.py
@@ -96,7 +96,12 @@
     records = STEPS[step]
     died = FIRST_INTENT_MS + (200.0 if len(records) > 3 else 100.0)
     carrier, answers = started(
-        (keyed(window),), records, died + down, pause, turn, lambda carrier: carrier.connects.append(connect)
+        (keyed(window),),
+        records,
+        died + down,
+        pause,
+        turn,
+        lambda carrier: carrier.connect_times.append(connect),
     )
     first = FIRST_INTENT_MS + (200.0 if step == "unconnected first" else 0.0)
     at = died + down + pause + turn
@@ -110,7 +115,7 @@
 @pytest.mark.parametrize(("pause", "turn"), [(0.0, 0.0), (400.0, 0.0), (0.0, 400.0)])
 def test_a_resumed_message_ends_by_its_deadline(pause: float, turn: float) -> None:
     def never_connect(carrier: SlowCarrier) -> None:
-        carrier.connects = [1e9] * 20
+        carrier.connect_times = [1e9] * 20
 
     safe = api.MessageClass("safe", 1000.0, 2000.0, api.Effect.SAFE)
     _, answers = started(
--- a/tests/net/peers.py
+++ b/tests/net/peers.py
@@ -151,7 +151,7 @@
             "budget_waiters": pools.budget_waiters,
             "setup_waiters": pools.setup_waiters,
             "active": setups.active,
-            "waking": setups.waking,
+            "waking": setups.first_setups,
             "queues": [queue for queue in setups.queues.values() if queue],
             "pools": [
                 vars(pool)
