--- a/brassweir/control/__init__.py
+++ b/brassweir/control/__init__.py
@@ -1,6 +1,6 @@
-"""All decisions of a sender: clock, settings, seed and events in, actions out; no I/O, no global state.
+"""The decision module of a sender: settings, seed and events in, actions out; no I/O and no global state.
 
-Times are milliseconds. docs/design.md tells which part follows the paper and where, and why, it departs.
+Times are milliseconds. docs/design.md says where it follows the paper, and where and why it departs from it.
 """
 
 from brassweir.control.sender import Sender
--- a/brassweir/control/aggregates.py
+++ b/brassweir/control/aggregates.py
@@ -1,28 +1,30 @@
-"""Call times and their means, sums of what is open, and what of a thing is worth keeping while it sleeps."""
+"""Moving averages of call times, sums of load, and the compact form of idle objects."""
 
 import math
 from typing import Any
 
 INF = math.inf
-MEAN_GAIN = 0.1  # weight of a new call time in its mean: some ten calls are remembered
-BASELINE_GAIN = 0.01  # weight of a slower call in the usual call time, which is to outlast an illness
+MEAN_GAIN = 0.1  # weight of a new call time in the mean
+BASELINE_GAIN = 0.01  # weight of a slower call in the baseline, which must outlast a slow phase
 
 
-def compact(thing: Any, fresh: Any) -> tuple[Any, ...]:
-    """The plain values of a thing that a fresh one of its kind has not: slot, value, slot, value."""
-    pairs = [(name, getattr(thing, name)) for name in thing.__slots__]
-    moved = [one for one in pairs if isinstance(one[1], int | float) and one[1] != getattr(fresh, one[0])]
-    return tuple(part for one in moved for part in one)
+def compact(target: Any, fresh: Any) -> tuple[Any, ...]:
+    """Return the numeric slots in which an object differs from a fresh one: slot, value, slot, value, ..."""
+    pairs = [(name, getattr(target, name)) for name in target.__slots__]
+    changed = [
+        pair for pair in pairs if isinstance(pair[1], int | float) and pair[1] != getattr(fresh, pair[0])
+    ]
+    return tuple(part for pair in changed for part in pair)
 
 
-def restore(fresh: Any, folded: tuple[Any, ...]) -> None:
-    """Make a fresh thing what the folded one was."""
-    for name, value in zip(folded[::2], folded[1::2], strict=True):
+def restore(fresh: Any, changes: tuple[Any, ...]) -> None:
+    """Set the slots of a fresh object to the values that :func:`compact` returned."""
+    for name, value in zip(changes[::2], changes[1::2], strict=True):
         setattr(fresh, name, value)
 
 
 class CallTimes:
-    """A running mean of call times, which starts at the first one seen."""
+    """Moving averages of call times in ms: the mean, and the baseline of a healthy destination."""
 
     __slots__ = ("baseline", "mean")
 
@@ -30,14 +32,14 @@
         self.mean = self.baseline = 0.0
 
     def add(self, sample: float) -> None:
-        """Take one call time."""
+        """Add one call time in ms; the first one sets both averages."""
         self.mean += (sample - self.mean) * (MEAN_GAIN if self.mean else 1.0)
         gain = 1.0 if not self.baseline else BASELINE_GAIN if sample > self.baseline else MEAN_GAIN
         self.baseline += (min(sample, self.mean) - self.baseline) * gain
 
 
 class Load:
-    """What is open somewhere: summed cost, messages, slots in use."""
+    """The load of a destination or of several: summed cost, open messages, slots in use."""
 
     __slots__ = ("cost", "open_messages", "used_slots")
 
@@ -45,7 +47,7 @@
         self.cost, self.open_messages, self.used_slots = 0.0, 0, 0
 
     def add(self, cost: float, messages: int, slots: int) -> None:
-        """Count some in, or out if negative."""
+        """Add to the load; negative values take away."""
         self.cost, self.open_messages, self.used_slots = (
             self.cost + cost,
             self.open_messages + messages,
--- a/brassweir/control/backlog.py
+++ b/brassweir/control/backlog.py
@@ -1,16 +1,19 @@
-"""How much may be held: the bound on the backlog and the loop that moves it (paper, section 4)."""
+"""The bound on the backlog of open messages and the PI controller that moves it (paper, section 4)."""
 
 import math
 
-PROPORTIONAL_GAIN = 2.36  # slots per unit of error: the paper's proportional gain
-INTEGRAL_GAIN = 3.62  # per second: the paper's integral gain
-SET_POINT = 0.9  # share of the aim that an answered message should have used
-PERIOD_MS = 1000.0  # ms between two steps of the loop
-INITIAL_BOUND_FACTOR = 2.0  # x slots: the bound before anything was seen
+PROPORTIONAL_GAIN = 2.36  # slots per unit of error, from the paper
+INTEGRAL_GAIN = 3.62  # per second, from the paper
+SET_POINT = 0.9  # share of its target latency that an answered message should have used
+PERIOD_MS = 1000.0  # between two steps
+INITIAL_BOUND_FACTOR = 2.0  # x slots
 
 
 class BacklogBound:
-    """The backlog bound and its PI loop (paper, section 4)."""
+    """Bounds the summed cost of open messages between ``slots`` and ``max_open``, by their latency.
+
+    ``value`` is the bound. Latencies under the set point raise it, those over it lower it.
+    """
 
     def __init__(self, slots: int, max_open: int) -> None:
         self.minimum, self.maximum = float(slots), float(max(slots, max_open))
@@ -18,12 +21,12 @@
         self.delta = self.last_error = self.ratio_sum = 0.0
 
     def record_answer(self, ratio: float) -> None:
-        """Note a sent message's answer by the share of its aim that it used."""
+        """Count a sent message that ended, by its latency divided by its target latency."""
         self.ratio_sum += ratio
         self.answer_count += 1
 
     def step(self) -> None:
-        """Move the bound; a second without answers changes nothing."""
+        """Move the bound, once a period; without answers since the last step it stays."""
         if not self.answer_count:
             return
         error = SET_POINT - self.ratio_sum / self.answer_count
@@ -32,4 +35,5 @@
         self.last_error = error
         self.value = math.floor(self.value + self.delta)
         if not self.minimum < self.value < self.maximum:
+            # At a limit the integral part is reset, against windup.
             self.value, self.delta = min(max(self.value, self.minimum), self.maximum), 0.0
--- a/brassweir/control/gate.py
+++ b/brassweir/control/gate.py
@@ -1,4 +1,4 @@
-"""May calls go to one destination now: waits, the pace under a limit, outages, trials and the return."""
+"""Decides when calls may go to a destination: circuit breaker, requested waits, token bucket, slow start."""
 
 import math
 from random import Random
@@ -15,11 +15,9 @@
 OUTAGE_FAILURE_SHARE = 0.55  # failure share that opens the circuit although some calls succeed
 FAILURE_GAIN = 0.1  # weight of a new result in the failure share
 UNREPORTED_RATE = 1.0  # calls a second from all senders, assumed until a limit is known
-REJECTION_STEPS = (
-    1.0  # rejections in a row before the safe gap; one more for each own message in the cold time
-)
+REJECTION_STEPS = 1.0  # rejections in a row before safe_gap() applies, plus own messages per cold period
 TRIAL_SHARE = 1.0  # share of the tipping rate that the trials of all senders may use together
-UNAFFECTED_SHARE = 0.3  # share of the load of senders that saw no failure which the others may add after it
+UNAFFECTED_SHARE = 0.3  # share of the unaffected senders' load that the affected ones may add on recovery
 MIN_OUTAGE_FACTOR = 3.0  # x connect timeout: shortest assumed outage, as a burst may see only its end
 RAMP_SHARE = 0.6  # share of the tipping rate used during slow start, since other senders ramp up too
 
@@ -35,98 +33,93 @@
 
 
 class Gate:
-    """May calls go to one destination, or one separate route, now: waits, pace, outage and return."""
+    """Circuit breaker and token bucket of one destination, or of one endpoint whose route is separate.
+
+    Times are milliseconds. The tipping rate is the call rate that overloads a destination which has just
+    recovered and has only part of its capacity: limit x share of capacity x ``tip_multiple``.
+    """
 
     __slots__ = (
-        "arrivals",
-        "failure_share",
-        "pace_cut_at",
-        "failure_streak",
-        "last_busy",
-        "last_failure",
-        "allowance_left",
-        "failing_for",
-        "pace",
-        "ramp_start",
-        "limit_rate",
-        "rejection_streak",
-        "rng",
-        "succeeded",
-        "settings",
-        "circuit_open",
-        "failing_since",
-        "refilled_at",
-        "created_at",
-        "limit_reported",
-        "tokens",
-        "next_trial",
-        "trial_in_flight",
-        "wait_until",
-    )
-
-    def __init__(self, sets: api.Settings, rng: Random, now: float) -> None:
-        self.settings, self.rng = sets, rng
-        self.limit_reported = False  # a report named the limit
-        self.limit_rate = UNREPORTED_RATE  # believed limit in calls a second from all senders
-        self.pace, self.tokens, self.refilled_at = INF, 1.0, now
-        self.wait_until = -INF  # nothing may go before this: told, or ours after a refusal without a word
+        "arrivals", "failure_share", "pace_cut_at", "failure_streak", "last_busy", "last_failure",
+        "allowance_left", "failing_for", "pace", "ramp_start", "limit_rate", "rejection_streak",
+        "rng", "succeeded", "settings", "circuit_open", "failing_since", "refilled_at",
+        "created_at", "limit_reported", "tokens", "next_trial", "trial_in_flight", "wait_until",
+    )  # fmt: skip
+
+    def __init__(self, settings: api.Settings, rng: Random, now: float) -> None:
+        self.settings, self.rng = settings, rng
+        self.limit_reported = False  # else limit_rate is the endpoint list's weight, or a default
+        self.limit_rate = UNREPORTED_RATE  # limit in calls a second from all senders
+        self.pace, self.tokens, self.refilled_at = INF, 1.0, now  # pace: calls a second of this sender
+        self.wait_until = -INF  # no call before this: a requested wait, or a backoff after a rejection
         self.circuit_open, self.next_trial, self.trial_in_flight = False, INF, False
-        self.ramp_start = -INF  # when the return was seen
-        self.failure_streak = self.rejection_streak = 0  # in a row
-        self.failing_since, self.failing_for = INF, 0.0  # start and length of the streak
-        self.failure_share = 0.0  # running share of failures
+        self.ramp_start = -INF  # start of slow start
+        self.failure_streak = self.rejection_streak = 0
+        self.failing_since, self.failing_for = INF, 0.0  # start and last known length of the streak
+        self.failure_share = 0.0  # exponential moving average
         self.last_failure = self.last_busy = self.pace_cut_at = -INF
-        self.succeeded = False  # something passed since the pace was last looked at
-        self.allowance_left = 1.0  # share of the limit left, by the last report
-        self.created_at, self.arrivals = now, 0.0  # messages handed in for it
+        self.succeeded = False  # a call succeeded since the last on_second()
+        self.allowance_left = 1.0  # share of the limit, by the last report
+        self.created_at, self.arrivals = now, 0.0  # arrivals: messages submitted for it
 
-    def set_limit(self, rate: float, told: bool) -> None:
-        """Learn the limit from a report, which is heeded at once, or the list's weight until one came."""
-        if rate <= 0 or (self.limit_reported and not told):
+    def set_limit(self, rate: float, reported: bool) -> None:
+        """Set the limit in calls a second; the endpoint list's rate is ignored once a limit was reported."""
+        if rate <= 0 or (self.limit_reported and not reported):
             return
-        if told and self.pace == INF:
+        if reported and self.pace == INF:
             self.pace = max(MIN_FIRST_PACE, MAX_PACE_FACTOR * rate / self.settings.senders)
-        self.limit_reported, self.limit_rate = told, rate
+        self.limit_reported, self.limit_rate = reported, rate
 
     def own_rate(self, now: float) -> float:
-        """This sender's part of the destination's rate: an even one, or its own part of the traffic."""
+        """Return this sender's part of the limit: an even share, or its own message rate if higher."""
         own = self.arrivals * 1000.0 / max(now - self.created_at, self.settings.cold, 1.0)
         return max(self.limit_rate / self.settings.senders, own)
 
-    def safe_gap(self, now: float, low: float = 0.5) -> float:
-        """Calls about so far apart cannot push a returning destination over, though all senders make them."""
+    def safe_gap(self, now: float, offset: float = 0.5) -> float:
+        """Return a gap in ms at which all senders may call a recovering destination without overloading it.
+
+        The gap is random: the safe gap times a factor between ``offset`` and ``offset`` + 1.
+        """
         return (
             1000.0
             / self.safe_rate(now, TRIAL_SHARE * self.settings.start_capacity)
-            * (low + self.rng.random())
+            * (offset + self.rng.random())
         )
 
     def safe_rate(self, now: float, share: float) -> float:
-        """This sender's part of the tipping rate at a share of the capacity. Where senders call so rarely
-        that few met the outage, the others make the load, and those few may add a fraction of it."""
-        part = self.own_rate(now)
-        met = -math.expm1(
-            -part * max(self.failing_for, MIN_OUTAGE_FACTOR * self.settings.connect_timeout) / 1000.0
+        """Return this sender's part of the tipping rate in calls a second, at a share of the full capacity.
+
+        Where senders call so rarely that few of them saw the outage, the unaffected ones make the load, and
+        the affected ones may add a fraction of it.
+        """
+        own_rate = self.own_rate(now)
+        affected = -math.expm1(
+            -own_rate * max(self.failing_for, MIN_OUTAGE_FACTOR * self.settings.connect_timeout) / 1000.0
+        )
+        return own_rate * max(
+            share * self.settings.tip_multiple, UNAFFECTED_SHARE * (1.0 - affected) / affected
         )
-        return part * max(share * self.settings.tip_multiple, UNAFFECTED_SHARE * (1.0 - met) / met)
 
     def allowed_rate(self, now: float) -> float:
-        """Calls a second that may go now: the pace, and after an outage the ramp."""
+        """Return the calls a second allowed now: the pace, during slow start also bounded by the ramp."""
         if self.ramp_start == -INF or not self.settings.cold:
             return self.pace
-        into, first = (now - self.ramp_start) / self.settings.cold, self.settings.start_capacity
-        return min(self.pace, self.safe_rate(now, RAMP_SHARE * (first + (1.0 - first) * into)))
+        progress, start = (now - self.ramp_start) / self.settings.cold, self.settings.start_capacity
+        return min(self.pace, self.safe_rate(now, RAMP_SHARE * (start + (1.0 - start) * progress)))
 
     def refill(self, now: float) -> float:
-        """Bring the bucket up to date and return the rate in force."""
+        """Refill the token bucket, which holds one call, and return the rate in calls a second."""
         rate = self.allowed_rate(now)
         self.tokens = 1.0 if rate == INF else min(1.0, self.tokens + (now - self.refilled_at) * rate / 1000.0)
         self.refilled_at = now
         return rate
 
     def next_call_at(self, now: float, last: bool = False) -> float:
-        """The earliest time for the next call, perhaps the last one held; infinite while a trial is out. The
-        ramp lasts until then: guards against a fleet sending at once what it held through the cold time."""
+        """Return the earliest time of the next call, infinite while a trial is in flight.
+
+        ``last`` says that no other message is queued. Slow start ends only then: if it ended with the cold
+        period, all senders would at once send what they queued during it.
+        """
         if last and now - self.ramp_start >= self.settings.cold:
             self.ramp_start = -INF
         at = max(now, self.wait_until)
@@ -138,19 +131,22 @@
         return at
 
     def on_sent(self, now: float) -> bool:
-        """A call goes out; true if it is the trial."""
+        """Take a token for a call; return whether the call is the trial of a half-open circuit."""
         self.trial_in_flight |= self.circuit_open
         if not self.circuit_open and self.refill(now) != INF:
             self.tokens -= 1.0
         return self.circuit_open
 
     def open_circuit(self, now: float, wait: float = 0.0) -> None:
-        """Take the destination for out: single trials, spread from a told wait's end on, one of all then."""
+        """Open the circuit and schedule the next trial at a random time after ``wait``.
+
+        After a requested wait about one of all senders tries at its end, and the others follow spread out.
+        """
         gap = self.safe_gap(now, -1.0 / self.settings.senders if wait else 0.5)
         self.circuit_open, self.last_failure, self.next_trial = True, now, now + wait + max(0.0, gap)
 
     def on_success(self, now: float) -> None:
-        """A call was served."""
+        """Record a success; close the circuit and begin slow start, unless a requested wait is running."""
         self.failure_streak = self.rejection_streak = 0
         self.failing_since = INF
         self.succeeded = True
@@ -164,8 +160,11 @@
             )
 
     def on_failure(self, now: float, trial: bool, newer: bool = True) -> None:
-        """A call failed for good, timed out or found no connection. In a row count only calls newer than the
-        last that passed: guards against taking a busy destination whose losses stand side by side for out."""
+        """Record a failed call; open the circuit if it was the trial or failures are too many.
+
+        ``newer`` says that the call was sent after the last success. Only such calls count as consecutive:
+        several losses among many parallel calls are not an outage.
+        """
         if newer:
             self.failure_streak += 1
             self.failing_since = min(self.failing_since, now)
@@ -179,8 +178,11 @@
             self.open_circuit(now)
 
     def on_connection_limit(self, now: float, trial: bool) -> None:
-        """Turned away for want of a connection. Where nothing has passed lately it may be out and say it so:
-        guards against a fleet pushing it over when it is back, and cold."""
+        """Record a connection that was rejected for the endpoint's connection limit.
+
+        If this lasts without a success, the circuit opens as in an outage: a destination that is down may
+        answer so, and without slow start the senders would overload it when it recovers.
+        """
         self.failing_since, self.rejection_streak = min(self.failing_since, now), self.rejection_streak + 1
         self.failing_for = now - self.failing_since
         lasting = (
@@ -191,53 +193,57 @@
             self.open_circuit(now)
 
     def on_requested_wait(self, now: float, wait: float) -> None:
-        """Heed a wait, whichever message of a shared call brought it."""
+        """Send nothing for ``wait`` ms; called for each message of a shared call."""
         if wait > 0:
             self.wait_until = max(self.wait_until, now + wait + self.settings.tick)
 
     def on_busy(self, now: float, wait: float, trial: bool, sent: float) -> None:
-        """The destination refused a call unseen: over a limit, or shut. Calls sent before the last refusal
-        was known are the same evidence (guards against taking a clump over the limit for an outage)."""
-        long = LONG_WAIT_FACTOR * self.settings.connect_timeout
-        if sent < self.last_busy and not trial and wait <= long:
+        """Record a call that was rejected without running, because of a rate limit or an outage.
+
+        A call sent before the last rejection adds no evidence and is ignored, unless it asks for a long wait:
+        a burst over the limit is not an outage.
+        """
+        long_wait = LONG_WAIT_FACTOR * self.settings.connect_timeout
+        if sent < self.last_busy and not trial and wait <= long_wait:
             return
         self.last_busy, lasting = now, False
         self.failing_since = min(self.failing_since, now)
         self.failing_for = now + wait - self.failing_since
         if wait <= 0 and not self.circuit_open:
-            # Longer with each refusal in a row while there should be room: guards against a fleet hammering
-            # a full queue, which burns its messages' attempts and pushes the destination over at its return.
+            # Back off further with each rejection in a row: repeated calls to an overloaded destination would
+            # use up the messages' attempts and overload it again when it recovers.
             steps = REJECTION_STEPS + self.own_rate(now) * self.settings.cold / 1000.0
             wait = 1000.0 / max(self.limit_rate, 1.0) * (0.5 + self.rng.random())
             lasting = self.rejection_streak > steps
             self.wait_until = max(
-                self.wait_until, now + (wait if self.rejection_streak < steps else self.safe_gap(now))
+                self.wait_until,
+                now + (wait if self.rejection_streak < steps else self.safe_gap(now)),
             )
-            self.rejection_streak += not self.limit_reported  # else reports tell when there is room
-        # A wait far over any span of a limit means shut: guards against a burst of all at its end.
-        if trial or ((wait > long or lasting) and not self.circuit_open):
+            self.rejection_streak += not self.limit_reported  # reports show when capacity is back
+        # After a long wait, trials instead of paced calls keep all senders from calling at its end.
+        if trial or ((wait > long_wait or lasting) and not self.circuit_open):
             self.open_circuit(now, wait)
         if not self.circuit_open:
-            # Drawn: guards against a burst refused as one coming back as one.
+            # A random debt spreads the retries of calls that were rejected together.
             self.tokens = min(self.tokens, -MAX_TOKEN_DEBT * self.rng.random())
             if now - self.pace_cut_at >= PERIOD_MS:
-                # Reports tell when there is room again; without them only calls can find it.
-                first = MAX_PACE_FACTOR * self.own_rate(now)
+                # At most once a period: a limit that counts over an interval rejects all calls until its end.
+                highest = MAX_PACE_FACTOR * self.own_rate(now)
                 self.pace, self.pace_cut_at = (
-                    max(MIN_PACE_SHARE * self.own_rate(now), min(self.pace * PACE_CUT_FACTOR, first)),
+                    max(MIN_PACE_SHARE * self.own_rate(now), min(self.pace * PACE_CUT_FACTOR, highest)),
                     now,
                 )
 
     def on_second(self, now: float) -> bool:
-        """Let the pace recover; false once nothing more comes back by itself."""
+        """Adjust the pace, once a second; return False when it will not change without new results."""
         before = self.pace
         if self.pace < INF:
-            room = self.allowance_left > LOW_ALLOWANCE if self.limit_reported else self.succeeded
+            grow = self.allowance_left > LOW_ALLOWANCE if self.limit_reported else self.succeeded
             self.succeeded = False
-            grown = self.pace * (1.0 + (PACE_GROWTH if room else -PACE_DECAY if self.limit_reported else 0.0))
+            pace = self.pace * (1.0 + (PACE_GROWTH if grow else -PACE_DECAY if self.limit_reported else 0.0))
             self.pace = max(
-                min(grown, self.limit_rate) if self.limit_reported else grown,
+                min(pace, self.limit_rate) if self.limit_reported else pace,
                 MIN_PACE_SHARE * self.own_rate(now),
             )
-        # A told limit's floor may fall once the cold time is over; all else that stands still stays so.
+        # The minimum pace under a reported limit may still fall until the cold period is over.
         return self.pace != before or (self.limit_reported and now - self.created_at < self.settings.cold)
--- a/brassweir/control/outcomes.py
+++ b/brassweir/control/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means: for its message, and as evidence on its destination."""
+"""Handles the end of attempts: what it means for the message, the destination and the endpoint."""
 
 from brassweir import interface as api
 from brassweir.control.aggregates import INF
@@ -7,15 +7,16 @@
 from brassweir.control.gate import RECENT_FACTOR
 from brassweir.interface import Result
 
-LOSS_GAIN = 0.05  # weight of a call in that share
-IDLE_KEEP_FACTOR = (
-    3.0  # x idle time / senders: where connections lack, one whose next call comes later is closed
-)
-SHORTAGE_MEMORY_FACTOR = 3.0  # x idle time: a missing connection is remembered for so long
+LOSS_GAIN = 0.05  # weight of a call in the share of lost answers
+IDLE_KEEP_FACTOR = 3.0  # x idle_close / senders: longest usual gap for which a scarce connection is kept
+SHORTAGE_MEMORY_FACTOR = 3.0  # x idle_close: how long a connection shortage counts as recent
 
 
 class OutcomeHandler(Dispatcher):
+    """Updates messages and statistics from the results of attempts."""
+
     def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        """Free the slot, record the result, then end the message, queue it again or leave it in flight."""
         message = self.messages.get(event.id)
         call = message.in_flight.pop(event.attempt, None) if message is not None else None
         if message is None or call is None:
@@ -51,16 +52,16 @@
         self._close_idle(call.endpoint)
 
     def _on_past_attempt(self, event: api.PastAttempt) -> None:
-        """What an attempt before a restart told is heeded as if it had just ended, less the time since."""
-        home = self.destination_ids.get(event.endpoint)
-        if home is None or event.result in (
+        """Record a failure from before a restart as if it happened now, with the remainder of its wait."""
+        destination_id = self.destination_ids.get(event.endpoint)
+        if destination_id is None or event.result in (
             Result.OK,
             Result.CONNECTION_LIMIT,
             Result.NOT_STARTED,
             Result.CANCELLED,
         ):
             return
-        gate = self._destination(home).endpoints[event.endpoint].gate
+        gate = self._destination(destination_id).endpoints[event.endpoint].gate
         self.adjusting_gates[gate] = None
         if event.result is Result.BUSY:
             gate.on_requested_wait(self.now, event.wait - event.ago)
@@ -69,19 +70,24 @@
             gate.on_failure(self.now, False)
 
     def _close_idle(self, endpoint: Endpoint) -> None:
-        """Give back an idle connection that others may lack: guards against a fleet's idle ones filling an
-        endpoint, whose holders meet no lack (so none waits for one where few are held). Costs handshakes."""
-        lacked = (
+        """Close idle connections that this sender will hardly use before they time out.
+
+        Where connections are scarce they are closed earlier, at the price of more handshakes: else the idle
+        connections of many senders fill an endpoint's limit, and those that hold them never see a shortage.
+        """
+        had_shortage = (
             self.now - self.last_shortage.get(endpoint.info.kind, -INF)
             < SHORTAGE_MEMORY_FACTOR * self.settings.idle_close
         )
-        few = lacked or self.settings.few_connections
-        keep = min(1.0, IDLE_KEEP_FACTOR / self.settings.senders if few else 1.0) * self.settings.idle_close
-        if not endpoint.active_calls and 0.0 < keep <= endpoint.usual_gap:
+        scarce = had_shortage or self.settings.few_connections
+        keep_ms = (
+            min(1.0, IDLE_KEEP_FACTOR / self.settings.senders if scarce else 1.0) * self.settings.idle_close
+        )
+        if not endpoint.active_calls and 0.0 < keep_ms <= endpoint.usual_gap:
             self.actions.append(api.CloseIdle(endpoint.info.name))
 
     def _record_result(self, dest: Destination, call: Call, event: api.AttemptEnded) -> None:
-        """Tell the kinds of evidence apart; each has its own place."""
+        """Record the result of a call, once, in the statistics of its endpoint, destination and gate."""
         result, endpoint, gate = event.result, call.endpoint, call.endpoint.gate
         self.adjusting_gates[gate] = None
         newer = call.sent_at >= endpoint.last_success
@@ -96,19 +102,16 @@
             self.last_shortage[endpoint.info.kind] = self.now
         dest.timeout_streak += result is Result.TIMEOUT
         if result is Result.OK:
-            # Unanswered calls before one that passes at the usual pace were lost, not slow or hung.
+            # Timeouts before a success at normal speed were lost answers, not a slow or hung destination.
             lost = dest.timeout_streak if event.latency < SLOW_CALL_FACTOR * dest.call_times.baseline else 0
             self.lost_share = 1.0 - (1.0 - self.lost_share * (1.0 - LOSS_GAIN)) * (1.0 - LOSS_GAIN) ** lost
             dest.timeout_streak = 0
             dest.call_times.add(event.latency)
             if not dest.degraded:
-                self.call_times.add(
-                    event.latency
-                )  # what healthy destinations need: the ill must not move costs
+                self.call_times.add(event.latency)  # healthy destinations only, as costs rest on it
             dest.last_success = endpoint.last_success = self.now
-            if (
-                call.other_calls >= endpoint.calls_at_shortage
-            ):  # as many stand at once as when one was missing
+            # As many concurrent connections work as when one was unavailable: the shortage is over.
+            if call.other_calls >= endpoint.calls_at_shortage:
                 endpoint.calls_at_shortage = endpoint.max_calls = INF
                 self.connection_limited.pop(endpoint, None)
             endpoint.failure_streak = 0
@@ -125,16 +128,19 @@
             )
         ):
             endpoint.failure_streak += newer
-            # Other calls pass. If one is missing twice before as many stood, its connections are all taken;
-            # once may be an accident: guards against a path that loses some for ever seeming short of them.
-            again, endpoint.calls_at_shortage = endpoint.calls_at_shortage < INF, float(endpoint.active_calls)
-            endpoint.max_calls = max(1.0, endpoint.calls_at_shortage) + (not again)
+            # Other calls succeed. A second shortage at such a number of calls means that the endpoint's
+            # connections are all taken; a single one may be an accident on a path that loses packets.
+            repeated, endpoint.calls_at_shortage = (
+                endpoint.calls_at_shortage < INF,
+                float(endpoint.active_calls),
+            )
+            endpoint.max_calls = max(1.0, endpoint.calls_at_shortage) + (not repeated)
             self.connection_limited[endpoint] = None
-            if again or (newer and endpoint.failure_streak > 1):
+            if repeated or (newer and endpoint.failure_streak > 1):
                 endpoint.avoid_until = self.now + PAUSE_FACTOR * self.settings.connect_timeout
         elif result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.NO_CONNECTION):
             if result is Result.TIMEOUT and dest.last_success < call.sent_at:
-                # Slow as a whole, not one lost call: lost calls must not lengthen the time-outs of all.
+                # The destination is slow; a single lost call must not lengthen the timeouts of all calls.
                 dest.call_times.add(max(event.latency, dest.call_times.mean))
             endpoint.failure_streak += newer
             if newer and endpoint.failure_streak > 1:
--- a/brassweir/control/state.py
+++ b/brassweir/control/state.py
@@ -1,4 +1,4 @@
-"""What one sender knows and holds: destinations awake and folded up, messages, turns, each final answer."""
+"""The state of one sender: its destinations, messages, queues and timers, and how a message ends."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -11,14 +11,14 @@
 from brassweir.control.entities import Call, Destination, Endpoint, KeyQueue, Message
 from brassweir.control.gate import Gate
 
-DEFAULT_CALL_TIME_FACTOR = (
-    0.25  # x connect time-out, or a shorter deadline: call time taken for an unmet destination at first
-)
-CALLS_REGAINED_PER_SECOND = 0.2  # calls at once that an endpoint short of connections gets back each second
-COMPACT_AFTER_PERIODS = 10.0  # x PERIOD: a destination without messages for so long is folded up
+DEFAULT_CALL_TIME_FACTOR = 0.25  # x connect timeout or shortest deadline: call time before any was seen
+CALLS_REGAINED_PER_SECOND = 0.2  # concurrent calls that an endpoint short of connections regains
+COMPACT_AFTER_PERIODS = 10.0  # x PERIOD_MS: idle time after which a destination is compacted
 
 
 class SenderState:
+    """The state of one sender and the steps that change it; times are milliseconds."""
+
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         self.settings, self.rng = settings, Random(seed)
         self.classes = {cls.name: cls for cls in settings.classes}
@@ -26,47 +26,48 @@
         self.shortest_timeout = min(settings.connect_timeout, *(cls.deadline for cls in settings.classes))
         self.separate_route_kinds = {kind.name for kind in settings.kinds if kind.separate_routes}
         self.backlog_bound, self.call_times = BacklogBound(settings.slots, settings.max_open), CallTimes()
-        self.destinations: dict[int, Destination] = {}  # those awake
-        # Those folded up: when first listed, what differs from a fresh one, then info and lot by turns.
+        self.destinations: dict[int, Destination] = {}  # the resident ones
+        # Compacted ones: (created at, changes of each part or (), info, random rank, info, random rank, ...).
         self.compacted: dict[int, tuple[Any, ...]] = {}
-        self.destination_ids: dict[str, int] = {}  # the destination of each endpoint ever listed
-        self.idle_since: dict[int, float] = {}  # awake without messages since, longest first
-        self.adjusting_gates: dict[Gate, None] = {}  # gates whose pace may move by itself
-        self.connection_limited: dict[Endpoint, None] = {}  # endpoints whose connections were all taken
+        self.destination_ids: dict[str, int] = {}  # by name of each endpoint ever listed
+        self.idle_since: dict[int, float] = {}  # resident destinations without messages, longest idle first
+        self.adjusting_gates: dict[Gate, None] = {}  # ordered set: gates whose pace may change with time
+        self.connection_limited: dict[Endpoint, None] = {}  # ordered set: endpoints short of connections
         self.messages: dict[int, Message] = {}
-        self.lost_share = 0.0  # running share of calls whose answer got lost
+        self.lost_share = 0.0  # moving average: share of calls whose answer was lost
         self.key_queues: dict[str, KeyQueue] = {}
-        self.load, self.degraded_load = Load(), Load()  # of all, of ill destinations
-        self.last_shortage: dict[
-            str, float
-        ] = {}  # when a connection was last missing, by kind of destination
-        self.ready_queue: list[tuple[float, int, int]] = []  # (deadline, order, destination) free to send
+        self.load, self.degraded_load = Load(), Load()  # of all destinations, of the degraded ones
+        self.last_shortage: dict[str, float] = {}  # time of the last connection shortage, by kind
+        # Heaps: (queue deadline, message sequence, destination id) and (time, sequence, callback, argument).
+        self.ready_queue: list[tuple[float, int, int]] = []
         self.scheduled: list[tuple[float, int, Callable[[Any], None], Any]] = []
-        self.sequence, self.timer_at = 0, INF  # numbers given so far; earliest timer set
-        self.joinable_calls: dict[str, Call] = {}  # calls of this reply that may be shared
-        self.now, self.stops_at = now, INF  # this moment; when this sender ends
-        self.list_usable = True  # else nothing new is sent
+        self.sequence, self.timer_at = 0, INF  # last number given; earliest timer set
+        self.joinable_calls: dict[str, Call] = {}  # by endpoint: calls of this turn that messages may join
+        self.now, self.stops_at = now, INF
+        self.list_usable = True  # False: nothing is sent until the endpoint list is confirmed
         self.actions: list[api.Action] = []
         self._schedule(now + PERIOD_MS, self._every_second)
         if settings.request_list:
             self._schedule(now, lambda _: self.actions.append(api.WatchList()))
 
-    def _schedule(self, at: float, what: Callable[[Any], None], arg: Any = None) -> None:
+    def _schedule(self, at: float, callback: Callable[[Any], None], argument: Any = None) -> None:
+        """Call ``callback`` with ``argument`` in the first turn at or after a time."""
         self.sequence += 1
-        heappush(self.scheduled, (at, self.sequence, what, arg))
+        heappush(self.scheduled, (at, self.sequence, callback, argument))
 
     def _run_scheduled(self) -> None:
         while self.scheduled and self.scheduled[0][0] <= self.now:
-            _, _, what, arg = heappop(self.scheduled)
-            what(arg)
+            _, _, callback, argument = heappop(self.scheduled)
+            callback(argument)
 
     def _every_second(self, _: None) -> None:
+        """Move the backlog bound, adjust paces and connection limits, and compact idle destinations."""
         self.backlog_bound.step()
         for gate in [gate for gate in self.adjusting_gates if not gate.on_second(self.now)]:
             del self.adjusting_gates[gate]
         for endpoint in [*self.connection_limited]:
             endpoint.max_calls += CALLS_REGAINED_PER_SECOND
-            if endpoint.max_calls > self.settings.slots:  # no more calls than that can be out
+            if endpoint.max_calls > self.settings.slots:  # no longer a restriction
                 endpoint.max_calls = endpoint.calls_at_shortage = INF
                 del self.connection_limited[endpoint]
         while self.idle_since:
@@ -77,70 +78,81 @@
             self._compact(self.destinations[ident])
         self._schedule(self.now + PERIOD_MS, self._every_second)
 
-    def _add_endpoint(self, dest: Destination, info: api.EndpointInfo, lot: float, since: float) -> Endpoint:
-        gate = Gate(self.settings, self.rng, since) if info.kind in self.separate_route_kinds else dest.gate
-        made = dest.endpoints[info.name] = Endpoint(info, gate, lot)
+    def _add_endpoint(
+        self, dest: Destination, info: api.EndpointInfo, random_rank: float, created_at: float
+    ) -> Endpoint:
+        """Add a listed endpoint, with a gate of its own where the routes of its kind are separate."""
+        gate = (
+            Gate(self.settings, self.rng, created_at) if info.kind in self.separate_route_kinds else dest.gate
+        )
+        endpoint = dest.endpoints[info.name] = Endpoint(info, gate, random_rank)
         if self.settings.weights != "none":
             gate.set_limit(info.rate, False)
-        return made
+        return endpoint
 
     def _destination(self, ident: int) -> Destination:
-        """A destination awake; one asleep comes back just as it was."""
+        """Return a resident destination; create it, or restore it exactly as it was before compaction."""
         if (dest := self.destinations.get(ident)) is None:
-            since, folded, *listed = self.compacted.pop(ident, (self.now, ()))
-            dest = self.destinations[ident] = Destination(ident, Gate(self.settings, self.rng, since))
-            for info, lot in zip(listed[::2], listed[1::2], strict=True):
-                self._add_endpoint(dest, info, lot, since)
-            for thing, part in zip(self._stateful_parts(dest), folded, strict=bool(folded)):
-                restore(thing, part)
+            created_at, changes, *entries = self.compacted.pop(ident, (self.now, ()))
+            dest = self.destinations[ident] = Destination(ident, Gate(self.settings, self.rng, created_at))
+            for info, random_rank in zip(entries[::2], entries[1::2], strict=True):
+                self._add_endpoint(dest, info, random_rank, created_at)
+            for part, values in zip(self._stateful_parts(dest), changes, strict=bool(changes)):
+                restore(part, values)
             self.idle_since[ident] = self.now
         return dest
 
     @staticmethod
     def _stateful_parts(dest: Destination) -> list[Any]:
-        """All that is folded of a destination."""
-        made = [*dest.endpoints.values()]
-        apart = [one.gate for one in made if one.gate is not dest.gate]
-        return [dest, dest.gate, dest.call_times, dest.load, *made, *apart]
+        """Return the objects of a destination whose state is compacted, in a fixed order."""
+        endpoints = [*dest.endpoints.values()]
+        separate_gates = [endpoint.gate for endpoint in endpoints if endpoint.gate is not dest.gate]
+        return [dest, dest.gate, dest.call_times, dest.load, *endpoints, *separate_gates]
 
     def _compact(self, dest: Destination) -> None:
-        """Fold up a destination with nothing open and nothing to recover: only what cannot be worked out
-        again is kept. Guards against thousands with a message now and then costing what busy ones cost."""
-        made = [*dest.endpoints.values()]
+        """Replace an idle destination by the values in which it differs from a fresh one, to save memory.
+
+        One with open messages, or whose pace or connection limit is still changing, stays resident.
+        """
+        endpoints = [*dest.endpoints.values()]
         if dest.load.open_messages or dest.calls:
-            return  # it comes by here again when it is empty
+            return  # _forget() marks it idle again
         if (
-            any(one in self.connection_limited or one.gate in self.adjusting_gates for one in made)
+            any(
+                endpoint in self.connection_limited or endpoint.gate in self.adjusting_gates
+                for endpoint in endpoints
+            )
             or dest.gate in self.adjusting_gates
         ):
             self.idle_since[dest.id] = self.now
             return
-        since, dest.next_wake = dest.gate.created_at, INF
-        fresh = Destination(dest.id, Gate(self.settings, self.rng, since))
-        for one in made:
-            self._add_endpoint(fresh, one.info, one.random_rank, since)
-        parts, blanks = self._stateful_parts(dest), self._stateful_parts(fresh)
-        if len(parts) != len(blanks):
-            return  # an endpoint's kind has changed, and its gate is of the old kind: it stays awake
-        folded = tuple(compact(*pair) for pair in zip(parts, blanks, strict=True))
-        listed = (part for one in made for part in (one.info, one.random_rank))
-        self.compacted[dest.id] = (since, folded if any(folded) else (), *listed)
+        created_at, dest.next_wake = dest.gate.created_at, INF
+        fresh = Destination(dest.id, Gate(self.settings, self.rng, created_at))
+        for endpoint in endpoints:
+            self._add_endpoint(fresh, endpoint.info, endpoint.random_rank, created_at)
+        parts, fresh_parts = self._stateful_parts(dest), self._stateful_parts(fresh)
+        if len(parts) != len(fresh_parts):
+            return  # an endpoint's kind changed and its gate did not: it stays resident
+        changes = tuple(compact(*pair) for pair in zip(parts, fresh_parts, strict=True))
+        entries = (part for endpoint in endpoints for part in (endpoint.info, endpoint.random_rank))
+        self.compacted[dest.id] = (created_at, changes if any(changes) else (), *entries)
         del self.destinations[dest.id]
 
     def _expected_call_time(self, dest: Destination) -> float:
+        """Return the mean call time in ms of a destination, else of all, else a default."""
         return (
             dest.call_times.mean or self.call_times.mean or DEFAULT_CALL_TIME_FACTOR * self.shortest_timeout
         )
 
     def _add_load(self, dest: Destination, cost: float, messages: int, slots: int) -> None:
-        """The one place where totals move, so that no decision walks the destinations."""
+        """Add to the load of a destination and to the totals, which saves summing over destinations."""
         self.load.add(cost, messages, slots)
         dest.load.add(cost, messages, slots)
         if dest.degraded:
             self.degraded_load.add(cost, messages, slots)
 
     def _enqueue(self, message: Message) -> None:
-        """Put a message that may go into its destination's heap."""
+        """Queue a message at its destination, unless it is queued, in flight or ended."""
         if message.ended or message.queued or message.in_flight:
             return
         message.queued = True
@@ -149,41 +161,44 @@
         self._mark_ready(message.destination)
 
     def _mark_ready(self, dest: Destination) -> None:
+        """Put the head of a destination's queue into the ready queue."""
         dest.next_wake = INF if dest.next_wake <= self.now else dest.next_wake
         if (head := dest.head(self.now)) is not None:
             heappush(self.ready_queue, (head.queue_deadline, head.sequence, dest.id))
 
     def _schedule_expiry(self, message: Message) -> None:
-        """Look again when its time or its key's window is all but up; anew at each hold, as attempts end."""
+        """Schedule the end of a message: when no call can meet its deadline, or its key's window is over."""
         at = message.deadline - self._expected_call_time(message.destination)
         if message.message_class.effect is api.Effect.KEYED:
             at = min(at, message.possible_run_at + message.message_class.window + self.settings.tick)
         self._schedule(max(at, self.now), self._expire, message)
 
     def _expire(self, message: Message) -> None:
+        """End a message that is waiting; one in flight is looked at again when its attempt ends."""
         if message.queued or not (message.ended or message.in_flight):
             self._end_undelivered(message)
 
     def _has_turn(self, message: Message) -> bool:
-        line = self.key_queues[message.key]
-        return line.messages[0] is message and (line.paused_until <= self.now or message.was_sent)
+        """Return whether a message is the first of its key, and the key does not pause."""
+        key_queue = self.key_queues[message.key]
+        return key_queue.messages[0] is message and (key_queue.paused_until <= self.now or message.was_sent)
 
     def _pass_turn(self, key: str) -> None:
-        """Pass the turn on once nothing of an earlier message is out and the key has rested."""
-        line = self.key_queues.get(key)
-        if line is None:
+        """Queue the next message of a key once the earlier ones are done and the key does not pause."""
+        key_queue = self.key_queues.get(key)
+        if key_queue is None:
             return
-        while line.messages and line.messages[0].ended and not line.messages[0].in_flight:
-            line.messages.popleft()
-        if line.paused_until > self.now:
-            self._schedule(line.paused_until, self._pass_turn, key)
-        elif not line.messages:
+        while key_queue.messages and key_queue.messages[0].ended and not key_queue.messages[0].in_flight:
+            key_queue.messages.popleft()
+        if key_queue.paused_until > self.now:
+            self._schedule(key_queue.paused_until, self._pass_turn, key)
+        elif not key_queue.messages:
             del self.key_queues[key]
-        elif not line.messages[0].ended:
-            self._enqueue(line.messages[0])
+        elif not key_queue.messages[0].ended:
+            self._enqueue(key_queue.messages[0])
 
     def _end_undelivered(self, message: Message) -> None:
-        """The final answer, at once: a refusal where a repeat is harmless, else a failure."""
+        """Give the final answer: refused where a repeat by the client is harmless, else failed."""
         effect = message.message_class.effect
         harmless = effect is api.Effect.SAFE or (
             effect is api.Effect.KEYED and message.message_class.group == "all"
@@ -195,18 +210,23 @@
         self._end(message)
 
     def _retry_after(self, message: Message) -> float:
-        """When it is worth coming back: once the excess is worked off, or the destination may be back."""
-        call = self._expected_call_time(message.destination)
+        """Return in how many ms to repeat a refused message: when the backlog is within its bound, and the
+        destination takes calls again."""
+        call_time = self._expected_call_time(message.destination)
         excess = (self.load.cost - self.degraded_load.cost - self.backlog_bound.value) * (
-            self.call_times.mean or call
+            self.call_times.mean or call_time
         )
-        back = min(
+        available_at = min(
             max(gate.wait_until, gate.next_trial if gate.circuit_open else -INF)
             for gate in message.destination.gates()
         )
-        return min(max(excess / self.settings.slots, call, back - self.now), self.settings.max_retry_after)
+        return min(
+            max(excess / self.settings.slots, call_time, available_at - self.now),
+            self.settings.max_retry_after,
+        )
 
     def _end(self, message: Message) -> None:
+        """Record that a message has its final answer or was withdrawn."""
         message.ended, message.queued = True, False
         self._add_load(message.destination, -message.cost, -1, 0)
         if message.was_sent and not message.destination.degraded:
@@ -214,7 +234,7 @@
         self._forget(message)
 
     def _forget(self, message: Message) -> None:
-        """Drop it once nothing more can come for it."""
+        """Drop an ended message once none of its attempts is in flight, and let the next of its key go."""
         if message.in_flight:
             return
         self.messages.pop(message.id, None)
