--- a/brassweir/interface.py
+++ b/brassweir/interface.py
@@ -1,4 +1,4 @@
-"""Types, events and actions of the decision module; times are milliseconds, rates calls a second."""
+"""Settings, events and actions of the decision module; times are milliseconds, rates calls a second."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or makes no sense."""
+    """A setting is missing or has an invalid value."""
 
 
 class MisuseError(ValueError):
@@ -16,106 +16,107 @@
 
 
 def _check(name: str, value: object, good: bool) -> None:
-    """Not-a-number fails every comparison, so it is refused as well."""
+    """Raise SettingsError unless ``good``, a comparison that NaN fails as well."""
     if not good:
         raise SettingsError(f"setting {name} has the bad value {value!r}")
 
 
 class Effect(Enum):
-    """What a repeat of a message would do at its destination."""
+    """What a repeated message does at its destination."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # no harm: the operation is idempotent
+    KEYED = "keyed"  # no harm while the destination remembers the message's idempotency key
+    UNSAFE = "unsafe"  # it may run twice
 
 
 class Result(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"
-    BUSY = "full"
+    ERROR = "error"  # an answer that the call failed
+    BUSY = "full"  # rejected by a rate limit or for overload, before it ran
     TIMEOUT = "timeout"
     NO_CONNECTION = "no_connection"
-    CONNECTION_LIMIT = "crowded"  # answered on a new connection: the endpoint takes no more of them
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    NOT_STARTED = "moot"
+    CONNECTION_LIMIT = "crowded"  # a new connection was rejected: the endpoint takes no more of them
+    RESET = "reset"  # the connection broke during the call
+    CANCELLED = "cancelled"  # abandoned by this sender during the call
+    NOT_STARTED = "moot"  # cancelled before the call started
 
 
+# Results that prove that the message did not run, and those that mean a shortage of connections.
 NEVER_RAN = frozenset({Result.BUSY, Result.NO_CONNECTION, Result.CONNECTION_LIMIT, Result.NOT_STARTED})
 CONNECTION_SHORTAGE = frozenset({Result.NO_CONNECTION, Result.CONNECTION_LIMIT})
 
 
 class EntryState(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint in the endpoint list."""
 
     READY = "ready"
-    DRAINING = "draining"
+    DRAINING = "draining"  # no new calls
     GONE = "gone"
 
 
 class ListKind(Enum):
-    """Which part of the endpoint list a piece of news carries."""
+    """What an update of the endpoint list carries or says."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
-    UNCONFIRMED = "unconfirmed"  # nobody vouches for the list now: nothing new may be sent until
-    USABLE = "usable"  # it was confirmed, or its source stays silent and the last list has to do
+    DELTA = "delta"  # changed entries only
+    FULL = "full"  # all entries
+    CACHED = "cached"  # all entries, from a stored copy
+    FAILED = "failed"  # a request for the list failed
+    UNCONFIRMED = "unconfirmed"  # the list may be outdated: no sends until USABLE
+    USABLE = "usable"  # the list was confirmed, or its source has been silent for too long to wait for
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """A class of message; ``group`` is the reach of an idempotency key, ``all`` or ``zone``."""
+    """A class of messages with the same targets and the same effect of repeats."""
 
     name: str
-    aim: float
-    deadline: float
+    aim: float  # target latency; 0 for none
+    deadline: float  # time allowed for the final answer
     effect: Effect
-    late_worth: float = 0.0
-    group: str = "all"
-    window: float = 0.0
-    in_order: bool = False
+    late_worth: float = 0.0  # share of its worth that a message still has at its deadline
+    group: str = "all"  # endpoints that share idempotency keys: "all", or those of one "zone"
+    window: float = 0.0  # how long a destination remembers an idempotency key
+    in_order: bool = False  # messages with the same key go one at a time
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """A kind of destination: separate routes or one limit, messages in one call."""
+    """A kind of destination."""
 
     name: str
-    separate_routes: bool = False
-    batch: int = 1
+    separate_routes: bool = False  # each endpoint has limits and outages of its own
+    batch: int = 1  # messages in one call, at most
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a sender is told at start."""
+    """The settings of a sender, fixed at start."""
 
     classes: tuple[MessageClass, ...]
-    slots: int
-    max_open: int
-    senders: int = 1
+    slots: int  # calls in flight at a time
+    max_open: int  # messages without final answer, the upper end of the backlog bound
+    senders: int = 1  # number of senders that share the destinations
     kinds: tuple[DestinationKind, ...] = ()
-    max_attempts: int = 6
+    max_attempts: int = 6  # per message
     connect_timeout: float = 1000.0
-    idle_close: float = 0.0  # idle connections close by themselves after this; 0 if unknown
-    few_connections: bool = False  # the protocol says that endpoints hold only so many
-    max_retry_after: float = 0.0
-    tick: float = 1.0
-    concurrent_attempts: bool = False
-    request_list: bool = False
-    request_list_within: float = 10000.0
-    weights: str = "none"
-    worth_halves: bool = False  # worth halves with each further aim; else it falls evenly
-    cold: float = 10000.0
-    start_capacity: float = 0.2
-    tip_multiple: float = 1.5
-    order_pause: float = 0.0
+    idle_close: float = 0.0  # idle time after which connections close by themselves; 0 if unknown
+    few_connections: bool = False  # endpoints accept few connections: close idle ones early
+    max_retry_after: float = 0.0  # upper bound of Refuse.retry_after
+    tick: float = 1.0  # resolution of timers
+    concurrent_attempts: bool = False  # a second attempt may start while the first is in flight
+    request_list: bool = False  # the endpoint list must be requested with WatchList
+    request_list_within: float = 10000.0  # time allowed for that request
+    weights: str = "none"  # other than "none": EndpointInfo.rate is a usable estimate of the limit
+    worth_halves: bool = False  # a late message's worth halves with each further aim; else it falls evenly
+    cold: float = 10000.0  # duration of slow start after an outage
+    start_capacity: float = 0.2  # share of its capacity that a destination has right after an outage
+    tip_multiple: float = 1.5  # x capacity: rate of calls at which a destination collapses
+    order_pause: float = 0.0  # pause of a key after an attempt that may still be running
 
     def __post_init__(self) -> None:
-        """Refuse settings that make no sense, in one error that names the setting."""
+        """Raise SettingsError, naming the setting, for the first value that is invalid."""
         for name in ("slots", "max_open", "max_attempts", "senders"):
             _check(name, getattr(self, name), getattr(self, name) >= 1)
         for name in ("connect_timeout", "tick", "start_capacity", "tip_multiple"):
@@ -134,19 +135,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointInfo:
-    """One entry of the endpoint list; ``rate`` is the rate its destination takes from all senders."""
+    """One entry of the endpoint list."""
 
     name: str
     destination: int
     kind: str
     zone: str = ""
     state: EntryState = EntryState.READY
-    rate: float = 0.0
+    rate: float = 0.0  # calls a second that the destination takes from all senders; 0 if unknown
 
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """News of the endpoint list."""
+    """The endpoint list changed, or it became more or less reliable."""
 
     kind: ListKind
     entries: tuple[EndpointInfo, ...] = ()
@@ -154,58 +155,57 @@
 
 @dataclass(frozen=True, slots=True)
 class NewMessage:
-    """A client hands in a message; ``left`` is the time in which it may still be delivered, ``resent`` says
-    that the client marks it as another try, ``admitted`` that it was taken on before a restart."""
+    """A client submitted a message, or a restart brought one back."""
 
     id: int
     class_name: str
     destination: int
-    left: float
-    key: str = ""
-    resent: bool = False
-    admitted: bool = False
+    left: float  # time left for its delivery
+    key: str = ""  # orders the messages of classes with ``in_order``
+    resent: bool = False  # the client marked it as a repeat
+    admitted: bool = False  # accepted before a restart: not refused for the backlog
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has its outcome; ``wait`` is a told wait, ``limit_left`` and ``limit`` a report."""
+    """An attempt ended."""
 
     id: int
-    attempt: int
+    attempt: int  # numbered from 0 for each message
     endpoint: str
     result: Result
     latency: float
-    closed: bool = False
-    wait: float = 0.0
-    limit_left: float | None = None
-    limit: float | None = None
+    closed: bool = False  # the message has its final answer
+    wait: float = 0.0  # requested by the destination, as with Retry-After
+    limit_left: float | None = None  # reported share of the limit that is still unused
+    limit: float | None = None  # reported limit, calls a second
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """Nobody waits for this message any more."""
+    """The client no longer waits for this message."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer that the module set has come due."""
+    """A timer set with SetTimer fired."""
 
 
 @dataclass(frozen=True, slots=True)
 class PastAttempt:
-    """How an attempt ended before a restart, so long ago; told once, oldest first, after the list."""
+    """An attempt that ended before a restart; sent once, oldest first, after the endpoint list."""
 
     endpoint: str
     result: Result
     ago: float
-    wait: float = 0.0
+    wait: float = 0.0  # requested by the destination at that time
 
 
 @dataclass(frozen=True, slots=True)
 class StopScheduled:
-    """This sender ends at a time; what it holds goes on after a restart, and a call out then is cut."""
+    """This sender stops at a time: calls in flight are cut off, open messages go on after a restart."""
 
     at: float
 
@@ -215,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call an endpoint with a message; the attempt is given up at ``abandon_at``."""
+    """Send a message to an endpoint; abandon the attempt at ``abandon_at``."""
 
     id: int
     endpoint: str
@@ -224,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: undelivered, a later try is harmless; ``retry_after`` says when."""
+    """Final answer: not delivered, and a repeat after ``retry_after`` is harmless."""
 
     id: int
     retry_after: float
@@ -232,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; the message may have run."""
 
     id: int
 
@@ -246,12 +246,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Ask for changes of the endpoint list."""
+    """Request the endpoint list and its changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Wake the module at this time."""
+    """Send TimerDue at this time."""
 
     at: float
 
