--- a/brassweir/__init__.py
+++ b/brassweir/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a sender that delivers messages to many outside destinations."""
+"""Decides when and where a sender delivers messages to many outside destinations."""
 
 from brassweir.control import Sender
 from brassweir.interface import MisuseError, Settings, SettingsError
--- a/brassweir/__main__.py
+++ b/brassweir/__main__.py
@@ -1,11 +1,11 @@
-"""``python -m brassweir`` is the command line."""
+"""Runs the command line: ``python -m brassweir``."""
 
 import signal
 import sys
 
 
 def start() -> None:
-    """Keep the signals of a sender that starts until it can hear them, then go on as told."""
+    """Run the command line; block a starting node's signals, which stay pending until it handles them."""
     if sys.argv[1:2] == ["node"]:
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
     from brassweir.cli.main import main
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize(("mark", "resent"), [(" Resent=1", True), (" Resent=0", False), ("", False)])
 def test_adapter_passes_on_the_mark_of_another_try(mark: str, resent: bool) -> None:
     line = "ORDER SenderId=0 RequestId=1 Profile=a Budget=900 ToExchange=4" + mark
-    event = Host().parse("ORDER", 0, Fields(line, line.split(" ")[1:]))
+    event = Host().parse_event("ORDER", 0, Fields(line, line.split(" ")[1:]))
     assert isinstance(event, api.NewMessage)
     assert event.resent is resent
 
@@ -82,7 +82,7 @@
 def test_adapter_names_a_malformed_report() -> None:
     line = "ENDED SenderId=0 RequestId=1 Try=0 Status=pass Endpoint=e Stats=0.4,much"
     with pytest.raises(WireError, match="Stats"):
-        Host().parse("ENDED", 0, Fields(line, line.split(" ")[1:]))
+        Host().parse_event("ENDED", 0, Fields(line, line.split(" ")[1:]))
 
 
 SMALL = (
