--- a/brassweir/adapter.py
+++ b/brassweir/adapter.py
@@ -77,7 +77,7 @@
     def invalid(self, name: str) -> WireError:
         """Return an error that names a field and its value."""
         return WireError(
-            f"field {name} has the bad value {self.pairs.get(name)!r} in line: {self.line[:200]}"
+            f"field {name} has the invalid value {self.pairs.get(name)!r} in line: {self.line[:200]}"
         )
 
 
@@ -119,7 +119,7 @@
             for i, name in enumerate(words("Skus"))
         )
     except ValueError:
-        raise WireError(f"field Specifics.KindBatch is bad: {fields.line[:200]}") from None
+        raise WireError(f"field Specifics.KindBatch is invalid: {fields.line[:200]}") from None
     retry_after_allowed = flag("Allowed.RetryAfter")
     return api.Settings(
         classes=tuple(classes),
--- a/brassweir/interface.py
+++ b/brassweir/interface.py
@@ -18,7 +18,7 @@
 def _check(name: str, value: object, good: bool) -> None:
     """Raise SettingsError unless ``good``, a comparison that NaN fails as well."""
     if not good:
-        raise SettingsError(f"setting {name} has the bad value {value!r}")
+        raise SettingsError(f"setting {name} has the invalid value {value!r}")
 
 
 class Effect(Enum):
--- a/tests/rules_driver.py
+++ b/tests/rules_driver.py
@@ -1,17 +1,17 @@
-"""Drives a checked sender with generated settings and odd but legal events."""
+"""Drives a checked sender with generated settings and with unusual but legal events."""
 
 from __future__ import annotations
 
 from random import Random
 
 from brassweir import interface as api
-from tests.checker import Checked
+from tests.checker import CheckedSender
 
 RESULTS = list(api.Result)
 
 
 def random_settings(rng: Random) -> api.Settings:
-    """Any legal settings."""
+    """Draw legal settings."""
     classes = tuple(
         api.MessageClass(
             name=f"c{i}",
@@ -47,23 +47,23 @@
 
 
 class Driver:
-    """Feeds a checked sender with odd but legal events."""
+    """Feeds a checked sender with generated events; attempts end in any way, also all at their timeout."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.box = Checked(random_settings(self.rng), seed)
-        self.now, self.ids = 0.0, 0
-        self.out: list[tuple[float, int, int, str]] = []
+        self.checked = CheckedSender(random_settings(self.rng), seed)
+        self.now, self.last_id = 0.0, 0
+        self.in_flight: list[tuple[float, int, int, str]] = []
         self.zones: dict[int, str] = {}
 
-    def news(self) -> api.ListUpdate:
-        """A list: delta, full or failed, with drains and endpoints that go; or whether it may be relied on."""
+    def list_update(self) -> api.ListUpdate:
+        """Draw a list update of any kind, with endpoints that drain, go or move."""
         rng = self.rng
         kind = rng.choice(list(api.ListKind))
         entries = tuple(
             api.EndpointInfo(
                 f"e{i}",
-                (i + (rng.random() < 0.02)) % 4,  # now and then it moves to another destination
+                (i + (rng.random() < 0.02)) % 4,  # sometimes it moves to another destination
                 f"k{i % 2}",
                 rng.choice(["a", "b"]) if i not in self.zones else self.zones[i],
                 rng.choice([api.EntryState.READY] * 4 + [api.EntryState.DRAINING, api.EntryState.GONE]),
@@ -77,18 +77,18 @@
         bare = kind in (api.ListKind.FAILED, api.ListKind.UNCONFIRMED, api.ListKind.USABLE)
         return api.ListUpdate(kind, () if bare else entries)
 
-    def outcome(self, good: float) -> api.AttemptEnded | None:
-        """Some outstanding attempt ends, mostly soon, sometimes badly; time-outs come at their time."""
-        due = [o for o in self.out if o[0] <= self.now]
-        pick = due[0] if due else self.rng.choice(self.out) if self.out else None
+    def attempt_ended(self, good: float) -> api.AttemptEnded | None:
+        """End an attempt in flight, first those past their timeout; ``good`` is the chance of success."""
+        due = [attempt for attempt in self.in_flight if attempt[0] <= self.now]
+        pick = due[0] if due else self.rng.choice(self.in_flight) if self.in_flight else None
         if pick is None:
             return None
-        self.out.remove(pick)
+        self.in_flight.remove(pick)
         result = api.Result.TIMEOUT if due else self.rng.choice(RESULTS)
         if not due and self.rng.random() < good:
             result = api.Result.OK
         wait = self.rng.choice([0.0, 0.0, 150.0, 2500.0]) if result is api.Result.BUSY else 0.0
-        closed = result is api.Result.OK or self.box.tracks[pick[1]].over
+        closed = result is api.Result.OK or self.checked.messages[pick[1]].ended
         return api.AttemptEnded(
             pick[1],
             pick[2],
@@ -102,25 +102,27 @@
         )
 
     def step(self) -> None:
-        """One batch."""
+        """Advance the clock and run one turn."""
         rng = self.rng
-        nexts = [o[0] for o in self.out] + [t for t in self.box.timers if t > self.now]
+        next_times = [attempt[0] for attempt in self.in_flight] + [
+            t for t in self.checked.timers if t > self.now
+        ]
         gap = rng.choice([0.0, 5.0, 5.0, 50.0, 400.0])
-        self.now = min([self.now + gap, *nexts]) if gap else self.now
-        events: list[api.Event] = [api.TimerDue() for t in self.box.timers if t <= self.now]
-        self.box.timers = [t for t in self.box.timers if t > self.now]
-        while any(o[0] <= self.now for o in self.out):
-            ended = self.outcome(0.0)
+        self.now = min([self.now + gap, *next_times]) if gap else self.now
+        events: list[api.Event] = [api.TimerDue() for t in self.checked.timers if t <= self.now]
+        self.checked.timers = [t for t in self.checked.timers if t > self.now]
+        while any(attempt[0] <= self.now for attempt in self.in_flight):
+            ended = self.attempt_ended(0.0)
             if ended is not None:
                 events.append(ended)
-        if rng.random() < 0.08 or self.box.frame == 0:
-            events.append(self.news())
+        if rng.random() < 0.08 or self.checked.turn == 0:
+            events.append(self.list_update())
         for _ in range(rng.choice([0, 0, 1, 1, 2, 12])):
-            self.ids += 1
-            cls = rng.choice(self.box.settings.classes)
+            self.last_id += 1
+            cls = rng.choice(self.checked.settings.classes)
             events.append(
                 api.NewMessage(
-                    self.ids,
+                    self.last_id,
                     cls.name,
                     rng.randrange(5),
                     cls.deadline * rng.choice([1.0, 1.0, 0.3, 0.005]),
@@ -129,23 +131,23 @@
             )
         good = 0.1 if int(self.now / 4000) % 2 else 0.8
         for _ in range(rng.choice([0, 1, 2])):
-            ended = self.outcome(good)
+            ended = self.attempt_ended(good)
             if ended is not None:
                 events.append(ended)
-        if self.ids and rng.random() < 0.05:
-            events.append(api.Withdrawn(rng.randint(1, self.ids)))
+        if self.last_id and rng.random() < 0.05:
+            events.append(api.Withdrawn(rng.randint(1, self.last_id)))
         if rng.random() < 0.05:
             events.append(api.AttemptEnded(999999, 0, "e0", api.Result.OK, 1.0))
-        tries = {i: t.tries for i, t in self.box.tracks.items()}
-        for action in self.box.handle(self.now, events):
+        attempts = {ident: message.attempts for ident, message in self.checked.messages.items()}
+        for action in self.checked.handle(self.now, events):
             if isinstance(action, api.Send):
-                number = tries.get(action.id, 0)
-                tries[action.id] = number + 1
-                self.out.append((action.abandon_at, action.id, number, action.endpoint))
+                number = attempts.get(action.id, 0)
+                attempts[action.id] = number + 1
+                self.in_flight.append((action.abandon_at, action.id, number, action.endpoint))
 
 
 def drive(seed: int, steps: int = 400) -> None:
-    """One generated run."""
+    """Run ``steps`` generated turns; raises BrokenRule."""
     driver = Driver(seed)
     for _ in range(steps):
         driver.step()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules under generated event sequences."""
+"""The sender keeps the six rules under generated sequences of events."""
 
 from __future__ import annotations
 
