--- a/tests/control/test_bound.py
+++ b/tests/control/test_backlog.py
@@ -1,4 +1,4 @@
-"""The bound and its loop by hand-worked figures, and the means."""
+"""The backlog bound and its PI controller, by figures worked out by hand, and the mean call times."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from brassweir.control.backlog import BacklogBound
 
 
-def test_loop_follows_the_paper() -> None:
+def test_the_bound_follows_the_paper() -> None:
     bound = BacklogBound(10, 100)
     assert bound.value == 20
     bound.record_answer(0.4)
@@ -22,7 +22,7 @@
     assert bound.value == 16
 
 
-def test_loop_rests_without_answers() -> None:
+def test_the_bound_stays_without_answers() -> None:
     bound = BacklogBound(10, 100)
     bound.record_answer(0.4)
     bound.step()
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(("ratio", "end"), [(0.0, 100.0), (5.0, 10.0)])
-def test_loop_does_not_wind_up_at_an_end(ratio: float, end: float) -> None:
+def test_the_controller_does_not_wind_up_at_a_limit(ratio: float, end: float) -> None:
     bound = BacklogBound(10, 100)
     for _ in range(30):
         bound.record_answer(ratio)
@@ -40,7 +40,7 @@
     assert (bound.value, bound.delta) == (end, 0.0)
 
 
-def test_usual_call_time_outlasts_an_illness() -> None:
+def test_the_baseline_outlasts_a_slow_phase() -> None:
     mean = CallTimes()
     for _ in range(20):
         mean.add(100.0)
--- a/tests/control/test_gate.py
+++ b/tests/control/test_gate.py
@@ -1,4 +1,4 @@
-"""Gates: waits that are told, outages, trials, ramps and paces."""
+"""Gates: requested waits, the circuit breaker and its trials, slow start, and the pace under a limit."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from brassweir import interface as api
 from brassweir.control import Sender
 from brassweir.control.gate import UNAFFECTED_SHARE, Gate
-from tests.control.made import SETTINGS, listed, new, over, sends, warm
+from tests.control.samples import SETTINGS, attempt_ended, full_list, new_message, sent_ids, warm_up
 
 
-def test_long_told_wait_means_shut() -> None:
+def test_a_long_requested_wait_opens_the_circuit() -> None:
     gate = Gate(SETTINGS, Random(1), 0.0)
     gate.on_requested_wait(0.0, 12000.0)
     gate.on_busy(0.0, 12000.0, False, 0.0)
@@ -25,7 +25,7 @@
     assert gate.next_call_at(12100.0) == float("inf")  # and only one
 
 
-def test_a_fleet_told_the_same_end_does_not_try_as_one() -> None:
+def test_trials_of_many_senders_are_spread_after_a_requested_wait() -> None:
     fleet, first = replace(SETTINGS, senders=200), []
     for seed in range(200):
         gate = Gate(fleet, Random(seed), 0.0)
@@ -39,7 +39,7 @@
     )
 
 
-def test_late_pass_does_not_end_a_told_closing() -> None:
+def test_a_late_success_does_not_end_a_requested_wait() -> None:
     gate = Gate(SETTINGS, Random(1), 0.0)
     gate.on_requested_wait(0.0, 12000.0)
     gate.on_busy(0.0, 12000.0, False, 0.0)
@@ -55,7 +55,7 @@
     assert gate.pace < float("inf")
 
 
-def test_refusals_mean_shut_only_when_they_last() -> None:
+def test_rejections_open_the_circuit_only_when_they_last() -> None:
     gate = Gate(SETTINGS, Random(1), 0.0)
     gate.set_limit(10.0, False)
     at, seen = 0.0, []
@@ -63,38 +63,40 @@
         seen.append(at)
         gate.on_busy(at, 0.0, False, at)
         at = gate.wait_until
-    assert len(seen) >= 3  # a limit that counts over a span refuses all until its end
+    assert len(seen) >= 3  # a limit that counts over an interval rejects all calls until its end
     assert seen[-1] - seen[0] > 300.0
 
 
-def test_waits_after_refusals_in_a_row_grow_and_end_with_a_pass() -> None:
+def test_backoff_grows_with_consecutive_rejections_and_ends_with_a_success() -> None:
     gate = Gate(SETTINGS, Random(1), 0.0)
     gate.set_limit(10.0, False)
     gate.on_busy(0.0, 0.0, False, 0.0)
     first = gate.wait_until
     gate.on_busy(first, 0.0, False, first)
-    assert gate.wait_until - first > first  # 400 ms give or take a half, after 100 ms
+    assert gate.wait_until - first > first  # 400 ms plus or minus a half, after 100 ms
     gate.on_success(1000.0)
     gate.on_busy(2000.0, 0.0, False, 2000.0)
     assert gate.wait_until <= 2150.0
 
 
-@pytest.mark.parametrize("lasted", [1.0, 5.0, 20.0, 60.0])
-def test_trials_of_those_that_met_an_outage_stay_small(lasted: float) -> None:
+@pytest.mark.parametrize("outage_seconds", [1.0, 5.0, 20.0, 60.0])
+def test_trials_of_senders_that_saw_an_outage_stay_under_the_tipping_rate(outage_seconds: float) -> None:
     fleet = replace(SETTINGS, senders=200)
-    trials, part = 0.0, 10.0 / fleet.senders
+    trials, own_rate = 0.0, 10.0 / fleet.senders
     for seed in range(200):
         gate = Gate(fleet, Random(seed), 0.0)
         gate.set_limit(10.0, False)
         gate.on_failure(0.0, False)
-        gate.on_failure(lasted * 1000.0, True)
-        trials += 1000.0 / (gate.next_trial - lasted * 1000.0)
-    met = 1.0 - math.exp(-part * lasted)  # share of the fleet that had a message for it meanwhile
-    tipping = fleet.tip_multiple * fleet.start_capacity * 10.0
-    assert trials * met <= 1.2 * max(tipping, UNAFFECTED_SHARE * 10.0 * (1.0 - met))
+        gate.on_failure(outage_seconds * 1000.0, True)
+        trials += 1000.0 / (gate.next_trial - outage_seconds * 1000.0)
+    affected_share = 1.0 - math.exp(-own_rate * outage_seconds)  # senders with a message during the outage
+    tipping_rate = fleet.tip_multiple * fleet.start_capacity * 10.0
+    assert trials * affected_share <= 1.2 * max(
+        tipping_rate, UNAFFECTED_SHARE * 10.0 * (1.0 - affected_share)
+    )
 
 
-def test_own_part_of_the_traffic_speeds_up_the_ramp() -> None:
+def test_a_sender_with_more_traffic_has_a_higher_own_rate() -> None:
     gate = Gate(replace(SETTINGS, senders=200), Random(1), 0.0)
     gate.set_limit(10.0, False)
     even = gate.own_rate(10000.0)
@@ -114,7 +116,7 @@
     assert gate.pace == pytest.approx(4.9)
 
 
-def test_refusals_while_no_allowance_is_left_are_no_outage() -> None:
+def test_rejections_while_no_allowance_is_left_are_no_outage() -> None:
     gate = Gate(SETTINGS, Random(1), 0.0)
     gate.set_limit(10.0, True)
     gate.allowance_left = 0.0
@@ -123,7 +125,7 @@
     assert not gate.circuit_open
 
 
-def test_most_calls_failing_is_an_outage_though_some_pass() -> None:
+def test_most_calls_failing_is_an_outage_though_some_succeed() -> None:
     gate = Gate(SETTINGS, Random(1), 0.0)
     for step in range(40):
         if step % 3 == 2:
@@ -147,62 +149,64 @@
     assert gate.next_call_at(2000.0) > 2000.0
     limit = SETTINGS.tip_multiple * 10.0 / SETTINGS.senders
     assert gate.next_call_at(2000.0 + SETTINGS.cold) < math.inf
-    assert 0.5 * limit < gate.allowed_rate(2000.0 + SETTINGS.cold) < limit, "while more is held"
+    assert 0.5 * limit < gate.allowed_rate(2000.0 + SETTINGS.cold) < limit, "while more is queued"
     assert gate.next_call_at(1000.0 + SETTINGS.cold, True) < math.inf
-    assert gate.allowed_rate(1000.0 + SETTINGS.cold) < limit, "the last one held, yet in the cold time"
+    assert gate.allowed_rate(1000.0 + SETTINGS.cold) < limit, (
+        "the last one queued, but within the cold period"
+    )
     assert gate.next_call_at(2000.0 + SETTINGS.cold, True) == 2000.0 + SETTINGS.cold
     assert gate.allowed_rate(2000.0 + SETTINGS.cold) == float("inf")
 
 
-def test_what_was_held_through_the_cold_time_does_not_go_at_once() -> None:
+def test_messages_queued_during_the_cold_period_are_not_sent_at_once() -> None:
     sender, now = Sender(replace(SETTINGS, weights="rough"), 1, 0.0), 2000.0
-    sender.handle(0.0, [listed(1)])
-    warm(sender, 1)
+    sender.handle(0.0, [full_list(1)])
+    warm_up(sender, 1)
     gate = sender.destinations[1].gate
     gate.open_circuit(100.0)
     gate.on_success(now)
-    assert not sends(sender.handle(now, [new(ident) for ident in range(1, 6)]))
-    gate.ramp_start = now - SETTINGS.cold  # all of them held through the cold time
+    assert not sent_ids(sender.handle(now, [new_message(ident) for ident in range(1, 6)]))
+    gate.ramp_start = now - SETTINGS.cold  # all were queued during the whole cold period
     gone: list[tuple[float, int]] = []
     events: list[api.Event] = [api.TimerDue()]
     while now < 4000.0:
-        ids = sends(sender.handle(now, events))
+        ids = sent_ids(sender.handle(now, events))
         gone += [(now, ident) for ident in ids]
-        events, now = [over(ident, api.Result.OK) for ident in ids] or [api.TimerDue()], now + 10.0
+        events, now = [attempt_ended(ident, api.Result.OK) for ident in ids] or [api.TimerDue()], now + 10.0
     assert [ident for _, ident in gone] == [1, 2, 3, 4, 5]
     gaps = [after - before for (before, _), (after, _) in pairwise(gone)]
-    assert gaps[:3] == pytest.approx([220.0, 220.0, 210.0], abs=20.0), "the ramp's gaps, while more are held"
+    assert gaps[:3] == pytest.approx([220.0, 220.0, 210.0], abs=20.0), (
+        "the gaps of slow start, while more are queued"
+    )
     assert gaps[3] == 0.0, "and the last one at once"
 
 
-def test_without_a_cold_time_there_is_no_ramp() -> None:
+def test_without_a_cold_period_there_is_no_ramp() -> None:
     gate = Gate(replace(SETTINGS, cold=0.0), Random(1), 0.0)
     gate.open_circuit(0.0)
     gate.on_success(100.0)
     assert gate.next_call_at(100.0) == 100.0 and gate.allowed_rate(100.0) == math.inf
 
 
-def test_an_untold_limit_is_not_taken_for_a_call_a_second_of_each_sender() -> None:
+def test_an_unreported_limit_is_not_one_call_a_second_for_each_sender() -> None:
     gate = Gate(replace(SETTINGS, senders=300), Random(1), 0.0)
     gate.arrivals = 1.0
-    assert gate.own_rate(20000.0) == pytest.approx(
-        0.05
-    )  # its own message in twenty seconds, not one each second
+    assert gate.own_rate(20000.0) == pytest.approx(0.05)  # one message in twenty seconds
 
 
-def test_a_burst_refused_as_one_does_not_come_back_as_one() -> None:
-    fleet, back = replace(SETTINGS, senders=170), []
+def test_retries_of_a_rejected_burst_are_spread() -> None:
+    fleet, retries = replace(SETTINGS, senders=170), []
     for seed in range(60):
         gate = Gate(fleet, Random(seed), 0.0)
         gate.set_limit(20.0, False)
         gate.on_busy(1000.0, 0.0, False, 950.0)
-        back.append(gate.next_call_at(1000.0))
-    back.sort()
-    assert back[-1] - back[0] > 5000.0
-    assert max(sum(at <= b < at + 1500.0 for b in back) for at in back) < 25
+        retries.append(gate.next_call_at(1000.0))
+    retries.sort()
+    assert retries[-1] - retries[0] > 5000.0
+    assert max(sum(at <= other < at + 1500.0 for other in retries) for at in retries) < 25
 
 
-def test_a_tiny_told_rate_is_no_exception() -> None:
+def test_a_tiny_limit_raises_no_error() -> None:
     gate = Gate(replace(SETTINGS, senders=340), Random(1), 0.0)
     gate.set_limit(1e-200, False)
     gate.open_circuit(0.0)
--- a/tests/control/test_short.py
+++ b/tests/control/test_short_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines that are short beside the connect time-out."""
+"""Deadlines that are shorter than the connect timeout."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from brassweir import interface as api
 from brassweir.control import Sender
-from tests.control.made import listed, new, sends
+from tests.control.samples import full_list, new_message, sent_ids
 
 
 @pytest.mark.parametrize("connect", [300.0, 1000.0, 1500.0, 5000.0])
@@ -15,12 +15,12 @@
 def test_the_first_call_is_made_however_short_the_deadline(
     effect: api.Effect, deadlines: tuple[float, ...], connect: float
 ) -> None:
-    """Nothing is known of call times then, and only a call can tell: one never made is refused for ever."""
+    """Without this, no call time would ever be measured, and every message refused."""
     classes = tuple(
         api.MessageClass(f"c{i}", 0.7 * span, span, effect, window=5000.0) for i, span in enumerate(deadlines)
     )
     sender = Sender(api.Settings(classes=classes, slots=4, max_open=40, connect_timeout=connect), 1, 0.0)
-    sender.handle(0.0, [listed(1)])
+    sender.handle(0.0, [full_list(1)])
     for i, span in enumerate(deadlines):
-        assert sends(sender.handle(1000.0 * i, [new(i, 1, f"c{i}", span - 10.0)])) == [i]
+        assert sent_ids(sender.handle(1000.0 * i, [new_message(i, 1, f"c{i}", span - 10.0)])) == [i]
         sender.handle(1000.0 * i + 1.0, [api.AttemptEnded(i, 0, "e1", api.Result.OK, 1.0, True)])
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on the wire: the same whatever the hash seed, and what is malformed is named."""
+"""The adapter: replies don't depend on the hash seed, and errors name the malformed field."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from brassweir import interface as api
 from brassweir.adapter import Fields, Host, WireError, read_settings
 from brassweir.control import Sender
-from tests.control.made import listed, new
+from tests.control.samples import full_list, new_message
 
 LAUNCH = (
     "LAUNCH SenderId=3 Salt=5 Allowed.ConnectTimeout=1000.0 Allowed.MaxAttempts=6 Allowed.MaxOpen=40 "
@@ -34,7 +34,7 @@
 
 
 def adapter(text: str, **env: str) -> subprocess.CompletedProcess[str]:
-    """Run the adapter on a text."""
+    """Run the adapter with a text as its input."""
     return subprocess.run(
         [sys.executable, "-m", "brassweir.adapter"],
         input=text,
@@ -65,14 +65,14 @@
         ("SetId=0\nORDER", "SetId=7\nORDER", "SetId"),
     ],
 )
-def test_adapter_names_what_is_malformed(old: str, new_text: str, word: str) -> None:
+def test_adapter_names_malformed_fields(old: str, new_text: str, word: str) -> None:
     done = adapter(WIRE.replace(old, new_text))
     assert done.returncode != 0
     assert word in done.stderr
 
 
 @pytest.mark.parametrize(("mark", "resent"), [(" Resent=1", True), (" Resent=0", False), ("", False)])
-def test_adapter_passes_on_the_mark_of_another_try(mark: str, resent: bool) -> None:
+def test_adapter_passes_on_the_mark_of_a_repeat(mark: str, resent: bool) -> None:
     line = "ORDER SenderId=0 RequestId=1 Profile=a Budget=900 ToExchange=4" + mark
     event = Host().parse_event("ORDER", 0, Fields(line, line.split(" ")[1:]))
     assert isinstance(event, api.NewMessage)
@@ -93,25 +93,27 @@
 
 
 def launched(more: str) -> api.Settings:
-    """The settings of a launch line."""
+    """Return the settings of a launch line."""
     return read_settings(Fields(SMALL + more, (SMALL + more).split()))
 
 
-def test_batch_sizes_for_fewer_kinds_are_filled_up() -> None:
+def test_missing_batch_sizes_have_a_default() -> None:
     kinds = launched("Specifics.KindBatch=20 Specifics.KindApart=false,true").kinds
     assert [kind.batch for kind in kinds] == [20, 1]
     assert [kind.separate_routes for kind in kinds] == [False, True]
 
 
 @pytest.mark.parametrize(("batch", "word"), [("many,1", "KindBatch"), ("0,1", r"k\.batch")])
-def test_bad_batch_sizes_are_named(batch: str, word: str) -> None:
+def test_invalid_batch_sizes_are_named(batch: str, word: str) -> None:
     with pytest.raises((WireError, api.SettingsError), match=word):
         launched(f"Specifics.KindBatch={batch}")
 
 
-def test_no_word_when_to_come_back_where_none_is_allowed() -> None:
+def test_no_retry_after_where_it_is_not_allowed() -> None:
     sender = Sender(launched("Allowed.RetryAfter=false"), 1, 0.0)
-    sender.handle(0.0, [listed(1)])
+    sender.handle(0.0, [full_list(1)])
     sender._destination(1).gate.on_requested_wait(0.0, 30000.0)
-    refused = [a for a in sender.handle(1.0, [new(1, name="a", left=9000.0)]) if isinstance(a, api.Refuse)]
+    refused = [
+        a for a in sender.handle(1.0, [new_message(1, name="a", left=9000.0)]) if isinstance(a, api.Refuse)
+    ]
     assert [a.retry_after for a in refused] == [0.0]
