--- a/brassweir/control/dispatch.py
+++ b/brassweir/control/dispatch.py
@@ -71,9 +71,9 @@
             self._dispatch_head(dest, head)
         for call in [*self.joinable_calls.values()]:
             dest = self.destinations[call.endpoint.info.destination]
-            while (head := dest.head(self.now)) is not None and self._joinable_endpoint(
-                dest, head
-            ) is not None:
+            while ((head := dest.head(self.now)) is not None) and (
+                self._joinable_endpoint(dest, head) is not None
+            ):
                 self._dispatch_head(dest, head)
 
     def _joinable_endpoint(self, dest: Destination, message: Message) -> Endpoint | None:
@@ -128,9 +128,9 @@
 
     def _is_silent(self, dest: Destination) -> bool:
         """Return whether a call was sent long ago and none succeeded since: a hung destination."""
-        return dest.last_success < (
-            since := dest.oldest_call_sent_at()
-        ) and self.now - since > SILENCE_FACTOR * self._expected_call_time(dest)
+        return (dest.last_success < (sent_at := dest.oldest_call_sent_at())) and (
+            self.now - sent_at > SILENCE_FACTOR * self._expected_call_time(dest)
+        )
 
     def _choose_endpoint(self, dest: Destination, message: Message) -> tuple[Endpoint | None, float]:
         """Return the endpoint to use now, or None and when to try again.
--- a/brassweir/control/sender.py
+++ b/brassweir/control/sender.py
@@ -120,9 +120,8 @@
         self.messages[message.id] = message
         self._add_load(dest, message.cost, 1, 0)
         for endpoint in dest.endpoints.values():
-            endpoint.gate.arrivals += (not event.resent) / len(
-                dest.endpoints
-            )  # repeats don't raise own_rate()
+            # Repeats don't raise own_rate().
+            endpoint.gate.arrivals += (not event.resent) / len(dest.endpoints)
             self.adjusting_gates[endpoint.gate] = None
         if message.in_order:
             self.key_queues.setdefault(message.key, KeyQueue()).messages.append(message)
--- a/brassweir/control/state.py
+++ b/brassweir/control/state.py
@@ -56,6 +56,7 @@
         heappush(self.scheduled, (at, self.sequence, callback, argument))
 
     def _run_scheduled(self) -> None:
+        """Run the callbacks whose time has come, earliest first."""
         while self.scheduled and self.scheduled[0][0] <= self.now:
             _, _, callback, argument = heappop(self.scheduled)
             callback(argument)
@@ -179,7 +180,7 @@
             self._end_undelivered(message)
 
     def _has_turn(self, message: Message) -> bool:
-        """Return whether a message is the first of its key, and the key does not pause."""
+        """Return whether a message is the first of its key; a pause stops only what was not yet sent."""
         key_queue = self.key_queues[message.key]
         return key_queue.messages[0] is message and (key_queue.paused_until <= self.now or message.was_sent)
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -36,9 +36,7 @@
         self.unready_since: dict[str, float] = {}
         self.unconfirmed = False
         self.wait_until: dict[object, float] = {}
-        self.wait_reported_in: dict[
-            object, int
-        ] = {}  # turn that reported the wait; sends in that turn are allowed
+        self.wait_reported_in: dict[object, int] = {}  # by turn; sends in that turn are allowed
         self.messages_of_key: dict[str, list[TrackedMessage]] = {}
         self.paused_until: dict[str, float] = {}
         self.open_calls: dict[tuple[int, str, int], int] = {}
