--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from brassweir.agreed.facts import How
+from brassweir.agreed.events import OutcomeKind
 from brassweir.agreed.member import Member
 from brassweir.lab.models.logworld import Weather, World
 from brassweir.lab.models.toys import Pile
@@ -72,7 +72,7 @@
         async def client() -> None:
             while time.perf_counter() < end:
                 before = time.perf_counter()
-                assert (await leader.propose(COMMAND, 5_000.0)).how is How.AGREED
+                assert (await leader.propose(COMMAND, 5_000.0)).how is OutcomeKind.AGREED
                 took.append((time.perf_counter() - before) * 1_000.0)
 
         before = sum(path.stat().st_size for path in (Path(folder) / "a").iterdir())
--- a/benchmarks/capacity/probes/agreed_log.py
+++ b/benchmarks/capacity/probes/agreed_log.py
@@ -10,10 +10,10 @@
 from benchmarks.capacity.measurement import Axis, Figure, Kind, Measurement, Point, Role
 from benchmarks.capacity.probes.processor import slowness
 from brassweir.agreed import timing
-from brassweir.agreed.facts import Fact
+from brassweir.agreed.events import Event
 from brassweir.lab.models.logworld import Weather, World
 from brassweir.lab.models.peernet import HEADERS
-from brassweir.peers.wire import Keys, Wire
+from brassweir.peers.envelope import EnvelopeCodec, Keys
 
 VOTERS = 3
 PARTS = 5  # of the idle time; the median processor time of them counts
@@ -49,7 +49,7 @@
     "log_leader_bytes",
     "bytes/s",
     Role.CONTROL,
-    f"log at a leader that feeds {timing.FED} learners, {BOTH_WAYS}",
+    f"log at a leader that feeds {timing.MAX_CHILDREN} learners, {BOTH_WAYS}",
 )
 LEADER_MESSAGES = _figure("log_leader_messages", "messages/s", Role.CONTROL, "the same, sent and received")
 LEADER_CPU = _figure("log_leader_cpu", "cores", Role.CONTROL, "the same, without system calls")
@@ -98,7 +98,7 @@
         self.usage: dict[str, Usage] = defaultdict(Usage)
         self.metering = False
         super().__init__(1, VOTERS, learners)
-        wire = Wire(self.names[0], 1_780_000_000_000, KEY)
+        wire = EnvelopeCodec(self.names[0], 1_780_000_000_000, KEY)
         self.envelope = (
             len(wire.seal(self.names[-1], "log", b"")) + 2 + HEADERS
         )  # a body's length takes up to 3
@@ -115,7 +115,7 @@
         self.metering = False
         self.usage[to].cpu += time.process_time() - before
 
-    def give(self, name: str, *facts: Fact) -> None:
+    def give(self, name: str, *facts: Event) -> None:
         """A copy steps: by a message, or by its own time."""
         if self.metering:
             super().give(name, *facts)
@@ -174,7 +174,7 @@
         each = tuple((more - less) / children for more, less in zip(fed, leaf, strict=True))
         why = f"{method}, a copy that feeds {children} less one that feeds none"
         rows += zip((CHILD_BYTES, CHILD_MESSAGES, CHILD_CPU), each, [why] * 3, strict=True)
-    if leader is not None and len(cores[leader].children) >= timing.FED:
+    if leader is not None and len(cores[leader].children) >= timing.MAX_CHILDREN:
         led = _rates(leader, parts, span)
         rows += zip((LEADER_BYTES, LEADER_MESSAGES, LEADER_CPU), led, [method] * 3, strict=True)
     return [Measurement(figure.name, point, value, why) for figure, value, why in rows]
@@ -198,11 +198,11 @@
 
 def _entry_time(world: MeteredWorld, longest: float) -> float:
     """Ms until an entry that the last learner proposes is applied at the last copy."""
-    before = {name: node.core.applied for name, node in world.nodes.items() if node.core is not None}
+    before = {name: node.core.applied_index for name, node in world.nodes.items() if node.core is not None}
     wanted = max(before.values()) + 1
     start = world.now
     world.propose(world.names[-1], longest)
-    while any(node.core is not None and node.core.applied < wanted for node in world.nodes.values()):
+    while any(node.core is not None and node.core.applied_index < wanted for node in world.nodes.values()):
         if world.now > start + longest:
             raise RuntimeError("an entry did not reach all copies in time")
         world.run(world.now + 0.5)
--- a/benchmarks/capacity/probes/leader_lost.py
+++ b/benchmarks/capacity/probes/leader_lost.py
@@ -42,10 +42,10 @@
     if leader is None:
         raise RuntimeError("no leader on a calm network")
     cores = [node.core for name, node in world.nodes.items() if name != leader and node.core is not None]
-    wanted = max(core.agreed for core in cores) + 1
+    wanted = max(core.commit_index for core in cores) + 1
     world.crash(leader, "lost", -1.0)
     start, proposed = world.now, False
-    while min(core.applied for core in cores) < wanted:
+    while min(core.applied_index for core in cores) < wanted:
         if world.now > start + PATIENCE:
             raise RuntimeError("no entry after the leader was lost")
         world.run(world.now + 10.0)
--- a/benchmarks/capacity/probes/log_state.py
+++ b/benchmarks/capacity/probes/log_state.py
@@ -11,11 +11,11 @@
 from brassweir.agreed.core import Core
 from brassweir.agreed.machine import Machine
 from brassweir.agreed.messages import COMMAND, Entry
-from brassweir.agreed.records import NOBODY, Base, Identity, Kept
+from brassweir.agreed.records import NO_VOTERS, Base, Identity, Persisted
 from brassweir.regions import planning
 
 ENTRY = 200  # bytes of a command
-KEPT = timing.SNAP_EVERY + timing.KEEP  # entries, the most between two snapshots
+KEPT = timing.SNAPSHOT_ENTRIES + timing.KEPT_ENTRIES  # entries, the most between two snapshots
 NOW, LEASE = 1_780_000_000_000.0, 30_000.0  # ms
 MECHANISM = "agreed log, cut by snapshots"
 
@@ -57,7 +57,7 @@
 
 def _renewal() -> float:
     urls = {name: f"http://{name}.brassweir.example:4080" for name in ("east", "north", "west")}
-    return float(len(commands.encode(commands.Publish(planning.first(urls, NOW, LEASE), 1))))
+    return float(len(commands.encode(commands.Publish(planning.first_epoch(urls, NOW, LEASE), 1))))
 
 
 def _memory(copies: int) -> float:
@@ -74,9 +74,9 @@
         Entry(place, 1, COMMAND, rng.randbytes(ENTRY), f"c{place % copies:03d}/1", place, place)
         for place in range(1, KEPT + 1)
     ]
-    kept = Kept(identity=Identity("m", "g", 1, 1), base=Base(0, 0, NOBODY, 0), entries=entries)
+    kept = Persisted(identity=Identity("m", "g", 1, 1), base=Base(0, 0, NO_VOTERS, 0), entries=entries)
     core = Core("c000", kept, machine, rng, 0.0, ())
     del entries, kept
     gc.collect()
     size = tracemalloc.get_traced_memory()[0]
-    return size / 1e6 if core.log.last else 0.0
+    return size / 1e6 if core.log.last_index else 0.0
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -20,9 +20,9 @@
     "day": 86_400.0,
     "control_budget": BYTES,
     "idle_close": 20.0,  # seconds, the default of sender.idle_close_ms
-    "learners_fed": float(timing.FED),  # by one copy, at most
-    "log_entries_kept": float(timing.SNAP_EVERY + timing.KEEP),  # at most, in memory
-    "most_command": float(timing.MOST_COMMAND),
+    "learners_fed": float(timing.MAX_CHILDREN),  # by one copy, at most
+    "log_entries_kept": float(timing.SNAPSHOT_ENTRIES + timing.KEPT_ENTRIES),  # at most, in memory
+    "most_command": float(timing.MAX_COMMAND_BYTES),
 }
 
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -14,7 +14,7 @@
 from brassweir.lab.models.siteplain import Plain
 from brassweir.lab.models.sitetypes import Fault, World
 from brassweir.lab.models.siteworld import SiteWorld
-from brassweir.sites.view import View
+from brassweir.sites.view import SitesView
 
 SECONDS, DOUBT = 60, 4_000.0
 
@@ -58,7 +58,7 @@
         rows: dict[str, list[dict[str, float]]] = {"plan": [], "plain": []}
         for seed in range(seeds):
             world, faults = deployment(number, copies), day(seed)
-            for name, make in (("plan", View), ("plain", Plain)):
+            for name, make in (("plan", SitesView), ("plain", Plain)):
                 tape = SiteWorld(world, faults, seed, make).run(SECONDS)
                 # The best for either is that of the day with the plan: without it more falls, which no fault asked for.
                 rows[name].append(
--- a/brassweir/agreed/commands.py
+++ b/brassweir/agreed/commands.py
@@ -16,7 +16,7 @@
 from brassweir.regions.epochs import Epoch
 
 LEVEL = 1  # the newest that this version knows
-MOST = 6_000  # bytes of a command: it must fit into one message between copies, with the log's own words
+MAX_COMMAND_BYTES = 6_000
 
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,60}\Z")]
 _Place = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,40}\Z")]
@@ -85,7 +85,7 @@
     level: Annotated[int, msgspec.Meta(ge=1, le=1000)]
 
 
-Known = Publish | Place | Judge | Join | Leave | Format
+AnyCommand = Publish | Place | Judge | Join | Leave | Format
 
 
 class Result(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -105,7 +105,7 @@
 
 
 _decoder = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw])
-_known = msgspec.msgpack.Decoder(Known)
+_known = msgspec.msgpack.Decoder(AnyCommand)
 
 
 def encode(command: Command, level: int = LEVEL) -> bytes:
@@ -114,15 +114,15 @@
         data = msgspec.msgpack.encode((level, command))
     except OverflowError as error:
         raise CommandError(str(error)) from None
-    if len(data) > MOST:
-        raise CommandError(f"a command of {len(data)} bytes; {MOST} are the most")
+    if len(data) > MAX_COMMAND_BYTES:
+        raise CommandError(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are the most")
     return data
 
 
 def split(data: bytes) -> tuple[int, bytes]:
     """Level and body. Raises CommandError."""
-    if len(data) > MOST:
-        raise CommandError(f"{len(data)} bytes; {MOST} are the most")
+    if len(data) > MAX_COMMAND_BYTES:
+        raise CommandError(f"{len(data)} bytes; {MAX_COMMAND_BYTES} are the most")
     try:
         level, body = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -130,7 +130,7 @@
     return level, bytes(body)
 
 
-def decode(body: bytes) -> Known:
+def decode(body: bytes) -> AnyCommand:
     """A body of a level that this version knows. Raises CommandError."""
     try:
         return _known.decode(body)
@@ -138,6 +138,6 @@
         raise CommandError("no command of its level") from None  # a library's words may change
 
 
-def result(data: bytes) -> Result:
+def decode_result(data: bytes) -> Result:
     """Read a result."""
     return msgspec.json.decode(data, type=Result)
--- a/brassweir/agreed/core.py
+++ b/brassweir/agreed/core.py
@@ -1,8 +1,6 @@
-"""The agreed log's core: facts and the time in, steps out. Pure; each part of it is a class it is built of.
-
-State and what waits for durability < following < replication < elections < identity < feeding < fetching <
-learners < asking < changes < Core.
-"""
+"""The pure core of the replicated log: events and the time in, actions out. Its mixins, from the base up:
+state, follower and leader replication, elections, identity, learner feed, snapshot transfer, learner pull,
+proposals, membership changes."""
 
 from __future__ import annotations
 
@@ -11,231 +9,242 @@
 
 from brassweir.agreed import messages as m
 from brassweir.agreed import timing
-from brassweir.agreed.asking import Asked
-from brassweir.agreed.changes import Changes
-from brassweir.agreed.facts import (
-    Change,
-    Copies,
-    Fact,
-    How,
-    Late,
-    Leave,
+from brassweir.agreed.core_state import CANDIDATE, LEADER, PRE_CANDIDATE
+from brassweir.agreed.events import (
+    Action,
+    ChangeVoter,
+    CopiesChanged,
+    Event,
+    LoopStalled,
+    OutcomeKind,
     Propose,
-    Read,
+    ReadCurrent,
     Received,
-    Step,
+    TransferLeadership,
     WakeAt,
     WriteFailed,
     Written,
 )
-from brassweir.agreed.pacing import Pacing
-from brassweir.agreed.records import Kept
-from brassweir.agreed.reordering import Reordering
+from brassweir.agreed.membership_changes import MembershipChanges
+from brassweir.agreed.proposals import LocalRequests
+from brassweir.agreed.records import Persisted
+from brassweir.agreed.reorder_buffer import ReorderBuffer
 from brassweir.agreed.replica import Machine
-from brassweir.agreed.state import ASKING, CANDIDATE, LEADER
+from brassweir.agreed.snapshot_pacing import SnapshotPacer
 
-LEADERS = (m.Append, m.Offer, m.Feed, m.Full)  # messages by which a copy without a group learns of it
+JOINING_MESSAGES = (m.AppendEntries, m.SnapshotOffer, m.FeedEntries, m.FeederFull)
 
 
-class Core(Changes):
+class Core(MembershipChanges):
     """One member."""
 
     def __init__(
-        self, name: str, kept: Kept, machine: Machine, rng: Random, now: float, founders: tuple[str, ...] = ()
+        self,
+        name: str,
+        kept: Persisted,
+        machine: Machine,
+        rng: Random,
+        now: float,
+        founders: tuple[str, ...] = (),
     ) -> None:
         """``kept``: what is durable, this run counted in it; ``founders``: who founds a group that is new."""
         super().__init__(name, kept, machine, rng, now, founders)
-        self.progress, self.queued = {}, {}
-        self.granted = set()
-        self.rest()
-        self.hello_at = self.hello_until = self.found_at = 0.0
-        self.agreeing, self.fresh = {}, {}
-        self.children, self.sending, self.pacing = {}, {}, Pacing()
-        self.silent = {}
-        self.ahead, self.early = Reordering(timing.WINDOW), Reordering(2 * timing.FEEDS)
-        self.since, self.pull_at = now, now
-        self.asked, self.confirms = Asked(f"{rng.getrandbits(64):016x}"), []
-        self.wanted, self.changing, self.strangers, self.readmitted = [], {}, {}, {}
-        self.beat_at = now
-        self.stepped = now
-        self.kept_agreed = kept.agreed
-        self.follow(self.term, "")
+        self.progress, self.unapplied = {}, {}
+        self.votes_granted = set()
+        self.reset_election_timer()
+        self.identity_check_at = self.identity_check_until = self.founding_at = 0.0
+        self.confirmed_by, self.new_founders = {}, {}
+        self.children, self.outgoing_snapshots, self.pacing = {}, {}, SnapshotPacer()
+        self.unresponsive = {}
+        self.early_appends, self.early_feeds = (
+            ReorderBuffer(timing.APPEND_WINDOW),
+            ReorderBuffer(2 * timing.FEED_WINDOW),
+        )
+        self.feeder_since, self.pull_at = now, now
+        self.requests, self.read_confirmations = LocalRequests(f"{rng.getrandbits(64):016x}"), []
+        self.pending_changes, self.changes_in_log, self.unknown_members, self.readmissions = [], {}, {}, {}
+        self.heartbeat_at = now
+        self.stepped_at = now
+        self.startup_commit_index = kept.commit_index
+        self.become_follower(self.term, "")
 
     @property
     def recovered(self) -> bool:
         """Is all carried out that the folder held as agreed at this start? Until then states are old ones."""
-        return self.applied >= self.kept_agreed
+        return self.applied_index >= self.startup_commit_index
 
-    def step(self, now: float, facts: Iterable[Fact] = ()) -> list[Step]:
+    def step(self, now: float, facts: Iterable[Event] = ()) -> list[Action]:
         """Time and facts in, steps out. Raises nothing for whatever comes from the network."""
-        if self.broken:
+        if self.write_error:
             return []
-        gap, self.stepped, self.now = now - self.stepped, now, max(now, self.now)
-        if gap > timing.STALL and self.votes:
-            self.stalled()
+        gap, self.stepped_at, self.now = now - self.stepped_at, now, max(now, self.now)
+        if gap > timing.STALL_MS and self.is_voter:
+            self.on_stall()
         for fact in facts:
-            self.take_fact(fact)
-            if self.broken:
-                out, self.out = self.out, []
+            self.handle_event(fact)
+            if self.write_error:
+                out, self.actions = self.actions, []
                 return out
-        self.tend()
-        while self.records or self.whole or self.after:
+        self.tick()
+        while self.pending_records or self.rewrite or self.held:
             self.flush()
-        out, self.out = self.out, []
-        out.append(WakeAt(self.next_time()))
+        out, self.actions = self.actions, []
+        out.append(WakeAt(self.next_deadline()))
         return out
 
-    def take_fact(self, fact: Fact) -> None:
+    def handle_event(self, fact: Event) -> None:
         """One fact."""
         match fact:
             case Received():
                 self.receive(fact.sender, fact.envelope)
             case Written():
-                self.written(fact.token)
+                self.on_written(fact.token)
                 if self.role == LEADER:
-                    self.count_agreed()
+                    self.advance_commit_index()
             case WriteFailed():
-                self.break_down(fact.why)
+                self.on_write_failed(fact.why)
             case Propose():
                 self.on_propose(fact)
-            case Read():
+            case ReadCurrent():
                 self.on_read(fact)
-            case Change():
+            case ChangeVoter():
                 self.on_change(fact)
-            case Late():
-                if fact.ms > timing.STALL:
-                    self.stalled()
-            case Copies():
-                self.names = fact.names
-            case Leave():
-                self.leave()
-
-    def tend(self) -> None:
+            case LoopStalled():
+                if fact.ms > timing.STALL_MS:
+                    self.on_stall()
+            case CopiesChanged():
+                self.copy_names = fact.names
+            case TransferLeadership():
+                self.transfer_leadership()
+
+    def tick(self) -> None:
         """What time and news make due."""
-        self.tend_founding()
-        self.tend_hello()
-        self.tend_election()
-        self.tend_pull()
-        self.tend_fetch()
-        self.tend_open()
-        self.tend_changes()
+        self.tick_founding()
+        self.tick_identity_check()
+        self.tick_election()
+        self.tick_pull()
+        self.tick_fetch()
+        self.tick_proposals()
+        self.tick_changes()
         if self.role == LEADER:
-            if self.now >= self.beat_at:
-                self.beat_at = self.now + timing.BEAT
-                self.beat()
-                self.confirm()
-            self.count_agreed()
-        self.apply()
-        self.changed()
-        self.tend_reads()
+            if self.now >= self.heartbeat_at:
+                self.heartbeat_at = self.now + timing.HEARTBEAT_MS
+                self.broadcast_heartbeat()
+                self.confirm_reads()
+            self.advance_commit_index()
+        self.apply_committed()
+        self.finish_changes()
+        self.tick_reads()
         if self.role == LEADER:
-            self.send_news()
-        self.feed_news()
-        self.tend_chunks()
+            self.replicate()
+        self.feed_children()
+        self.send_chunks()
 
-    def next_time(self) -> float:
+    def next_deadline(self) -> float:
         """When time makes something due."""
-        times = [self.now + timing.PULL]
+        times = [self.now + timing.PULL_INTERVAL_MS]
         if self.role == LEADER:
-            times.append(self.beat_at)
-        elif self.votes:  # a longer sleep would be taken for a stall
-            times += [self.elect_at, self.now + timing.STALL / 2.0]
-            if self.role in (ASKING, CANDIDATE):
-                times.append(self.ask_at)
-        if self.to_be_weighed():
-            times.append(self.hello_at)
+            times.append(self.heartbeat_at)
+        elif self.is_voter:  # a longer sleep would be taken for a stall
+            times += [self.election_deadline, self.now + timing.STALL_MS / 2.0]
+            if self.role in (PRE_CANDIDATE, CANDIDATE):
+                times.append(self.vote_retry_at)
+        if self.needs_identity_check():
+            times.append(self.identity_check_at)
         if not self.identity.group and self.founders[:1] == (self.name,):
-            times.append(self.found_at)
-        if self.log.base.index <= self.applied < self.firm:
+            times.append(self.founding_at)
+        if self.log.base.index <= self.applied_index < self.durable_commit:
             times.append(self.now)  # more is to be carried out
         if self.fetch is not None:
-            times.append(self.fetch.at)
+            times.append(self.fetch.check_at)
         times += [self.pull_at, self.pacing.next_time()]
-        times += [min(waiting.again, waiting.fact.until) for waiting in self.asked.open.values()]
-        times += [min(reading.again, reading.until) for reading in self.asked.reads]
+        times += [
+            min(waiting.retry_at, waiting.proposal.deadline) for waiting in self.requests.proposals.values()
+        ]
+        times += [min(reading.retry_at, reading.deadline) for reading in self.requests.reads]
         return max(self.now + 1.0, min(times))
 
-    def break_down(self, why: str) -> None:
+    def on_write_failed(self, why: str) -> None:
         """A write failed: nothing more is told or promised until a new start from the folder."""
-        self.deposed()
-        for waiting in self.asked.open.values():
-            how = How.UNKNOWN if waiting.sent else How.REFUSED
-            self.tell(waiting.fact.ticket, how, why=f"the folder cannot be written: {why}")
-        for reading in self.asked.reads:
-            self.tell(reading.ticket, How.REFUSED, why=f"the folder cannot be written: {why}")
-        self.broken = why
-
-    def own(self, message: m.Message) -> None:
+        self.on_leadership_lost()
+        for waiting in self.requests.proposals.values():
+            how = OutcomeKind.UNKNOWN if waiting.sent else OutcomeKind.REFUSED
+            self.finish(waiting.proposal.ticket, how, why=f"the folder cannot be written: {why}")
+        for reading in self.requests.reads:
+            self.finish(reading.ticket, OutcomeKind.REFUSED, why=f"the folder cannot be written: {why}")
+        self.write_error = why
+
+    def on_own_message(self, message: m.Message) -> None:
         """A message of this member to itself, held back until it was durable."""
         match message:
-            case m.Vote():
-                self.on_vote(self.name, self.identity.member, message)
-            case m.TakeOver():
-                self.on_take_over(self.name, message)
-            case m.ReadAt():
-                self.on_read_at(message)
+            case m.VoteReply():
+                self.on_vote_reply(self.name, self.identity.member, message)
+            case m.TimeoutNow():
+                self.on_timeout_now(self.name, message)
+            case m.ReadIndexReply():
+                self.on_read_index_reply(message)
 
     def receive(self, sender: str, envelope: m.Envelope) -> None:
         """One message: of this group, and of a member's latest run, or it is dropped."""
         message = envelope.body
-        if sender == self.name or envelope.life < 1:
-            self.count("impossible sender")
+        if sender == self.name or envelope.generation < 1:
+            self.count_dropped("impossible sender")
             return
         match message:  # these pass between members that have no group, or not the same
-            case m.AskFound():
-                return self.on_ask_found(sender, envelope, message)
-            case m.NewHere():
-                return self.on_new_here(sender, envelope, message)
-            case m.Pull():
+            case m.FoundingRequest():
+                return self.on_founding_request(sender, envelope, message)
+            case m.FoundingReply():
+                return self.on_founding_reply(sender, envelope, message)
+            case m.PullEntries():
                 return self.on_pull(sender, message) if envelope.group in ("", self.identity.group) else None
-        if not self.identity.group and envelope.group and isinstance(message, LEADERS):
+        if not self.identity.group and envelope.group and isinstance(message, JOINING_MESSAGES):
             self.take_identity(self.identity.member, envelope.group)
         if not envelope.group or envelope.group != self.identity.group:
-            self.count("another group")
+            self.count_dropped("another group")
             return
-        if isinstance(message, m.Hello):
-            return self.on_hello(sender, envelope, message)
-        if isinstance(message, m.Appended):
-            self.note_stranger(sender, envelope.member)
-        if envelope.member in self.memory or self.voter(sender, envelope.member):
+        if isinstance(message, m.IdentityCheck):
+            return self.on_identity_check(sender, envelope, message)
+        if isinstance(message, m.AppendReply):
+            self.note_unknown_member(sender, envelope.member)
+        if envelope.member in self.member_records or self.has_vote(sender, envelope.member):
             if not self.note_run(sender, envelope):
-                self.count("an earlier run")
+                self.count_dropped("an earlier run")
                 return
         self.receive_known(sender, envelope.member, message)
 
     def receive_known(self, sender: str, member: str, message: m.Message) -> None:
         """A message of the group."""
         match message:
-            case m.AskVote():
-                self.on_ask_vote(sender, member, message)
-            case m.Vote():
-                self.on_vote(sender, member, message)
-            case m.Append() if message.term >= self.term and not self.log.fits(
-                self.agreed, message.prev, message.prev_term, message.entries
+            case m.VoteRequest():
+                self.on_vote_request(sender, member, message)
+            case m.VoteReply():
+                self.on_vote_reply(sender, member, message)
+            case m.AppendEntries() if message.term >= self.term and not self.log.agrees_with(
+                self.commit_index, message.prev_index, message.prev_term, message.entries
             ):
-                self.count("a leader of the past")  # agreed entries of a later term came here by a feeder
-            case m.Append():
+                self.count_dropped("a leader of the past")
+            case m.AppendEntries():
                 self.on_append(sender, message)
-            case m.Appended():
-                self.on_appended(sender, member, message)
-                self.confirm()
-            case m.Forward():
+            case m.AppendReply():
+                self.on_append_reply(sender, member, message)
+                self.confirm_reads()
+            case m.ForwardProposal():
                 self.on_forward(sender, message)
-            case m.Feed():
+            case m.FeedEntries():
                 self.on_feed(sender, message)
-            case m.Full():
-                self.on_full(sender, message)
-            case m.Offer():
-                self.on_offer(sender, message)
-            case m.AskChunk():
-                self.on_ask_chunk(sender, message)
-            case m.Chunk():
+            case m.FeederFull():
+                self.on_feeder_full(sender, message)
+            case m.SnapshotOffer():
+                self.on_snapshot_offer(sender, message)
+            case m.ChunkRequest():
+                self.on_chunk_request(sender, message)
+            case m.SnapshotChunk():
                 self.on_chunk(sender, message)
-            case m.Remembered():
-                self.on_remembered(sender, member, message)
-            case m.TakeOver():
-                self.on_take_over(sender, message)
-            case m.AskRead():
-                self.on_ask_read(sender, message)
-            case m.ReadAt():
-                self.on_read_at(message)
+            case m.IdentityReply():
+                self.on_identity_reply(sender, member, message)
+            case m.TimeoutNow():
+                self.on_timeout_now(sender, message)
+            case m.ReadIndexRequest():
+                self.on_read_index_request(sender, message)
+            case m.ReadIndexReply():
+                self.on_read_index_reply(message)
--- /dev/null
+++ b/brassweir/agreed/core_state.py
@@ -0,0 +1,250 @@
+"""What a member knows while it runs, and how messages wait for what must be durable first. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from random import Random
+
+from brassweir.agreed import timing
+from brassweir.agreed.events import Action, Applied, Completed, Outcome, OutcomeKind, Restored, Send, Write
+from brassweir.agreed.log import Log
+from brassweir.agreed.messages import COMMAND, VERSION, Entry, Envelope, Message
+from brassweir.agreed.records import Ack, Ballot, Base, Commit, Persisted, Record, Snapshot, Truncate, add_ack
+from brassweir.agreed.replica import Machine, Replica
+
+LEARNER, FOLLOWER, PRE_CANDIDATE = "learner", "follower", "asking"
+CANDIDATE, ELECTED, LEADER = "candidate", "elected", "leader"
+
+
+@dataclass
+class InFlightWrite:
+    """What a write under way holds up: messages, and how far log and what is agreed are durable after it."""
+
+    token: int
+    last_index: int
+    commit_index: int
+    posts: list[tuple[str, Message]] = field(default_factory=list)
+    restore: Snapshot | None = None
+
+
+class CoreState:
+    """All that a member knows; parts of the core add what they do with it."""
+
+    snapshot_every, entries_kept = timing.SNAPSHOT_ENTRIES, timing.KEPT_ENTRIES
+    term_start: int = 0  # index of the first entry of this leader's term
+
+    def __init__(
+        self,
+        name: str,
+        kept: Persisted,
+        machine: Machine,
+        rng: Random,
+        now: float,
+        founders: tuple[str, ...] = (),
+    ) -> None:
+        """``kept`` is durable with its run already counted; ``rng`` draws waits and ids."""
+        self.name, self.rng, self.now, self.founders = name, rng, now, founders
+        self.identity = kept.identity
+        self.term, self.vote = kept.ballot.term, kept.ballot.vote
+        self.log = Log(kept.base, kept.entries)
+        self.member_records = dict(kept.member_records)
+        self.snapshot = kept.snapshot
+        self.commit_index = self.durable_commit = kept.commit_index
+        self.durable_index = self.log.last_index  # last entry that is durable here
+        self.replica = Replica(machine)
+        self.applied_index = 0
+        if kept.snapshot is not None:
+            self.replica.restore(kept.snapshot.state)
+            self.applied_index = kept.snapshot.index
+        self.startup_term = self.term
+        self.startup_last_index = self.log.last_index if self.log.last_term == self.term else 0
+        self.identity_confirmed = kept.identity.generation == 1  # nothing speaks against the folder
+        self.role = LEARNER
+        self.leader = ""
+        self.election_deadline = 0.0
+        self.leader_heard_at = -1e18  # when a leader was last heard
+        self.copy_names: tuple[str, ...] = tuple(name for name in founders if name != self.name)
+        self.write_error = ""
+        self.actions: list[Action] = []
+        self.pending_records: list[Record] = []
+        self.rewrite = False
+        self.held: list[tuple[str, Message]] = []
+        self.restoring: Snapshot | None = None
+        self.token = 0
+        self.writes_in_flight: list[InFlightWrite] = []
+        self.applied_entries: list[tuple[int, Entry]] = []
+        self.dropped: dict[str, int] = {}
+
+    @property
+    def is_voter(self) -> bool:
+        """Does the log, as it is here, count this very member among the voters?"""
+        return self.log.membership.has(self.name, self.identity.member)
+
+    def has_vote(self, name: str, member: str) -> bool:
+        """Is that a voter?"""
+        return self.log.membership.has(name, member)
+
+    def other_voters(self) -> list[str]:
+        """Names of the other voters."""
+        return [name for name in self.log.membership.names() if name != self.name]
+
+    def send(self, to: str, message: Message) -> None:
+        """Send at once: nothing in it rests on what is not durable."""
+        me = self.identity
+        self.actions.append(
+            Send(to, Envelope(VERSION, me.group, me.member, me.generation, me.nonce, message))
+        )
+
+    def send_when_durable(self, to: str, message: Message) -> None:
+        """Send, or if it is to this member take in, once all that was written up to now is durable."""
+        self.held.append((to, message))
+
+    def reset_election_timer(self) -> None:
+        """Wait anew before asking for votes."""
+        lone = self.log.membership.names() == [self.name]
+        self.election_deadline = self.now + timing.ELECTION_MS * (0.1 if lone else 1.0 + self.rng.random())
+
+    def write(self, record: Record) -> None:
+        """Make it durable."""
+        self.pending_records.append(record)
+
+    def write_ballot(self, term: int, vote: str) -> None:
+        """Go to a term, or vote in it."""
+        self.term, self.vote = term, vote
+        self.write(Ballot(term, vote))
+
+    def truncate_from(self, index: int) -> None:
+        """Drop entries that another leader's log does not have."""
+        if index <= self.commit_index:
+            raise AssertionError(f"entry {index} is agreed and another is to take its place")
+        self.log.truncate_from(index)
+        self.write(Truncate(index))
+        self.durable_index = min(self.durable_index, index - 1)
+        for waiting in self.writes_in_flight:
+            waiting.last_index = min(waiting.last_index, index - 1)
+
+    def note_ack(self, ack: Ack) -> None:
+        """That member had so much; what it had in one run only grows."""
+        if ack[0] != self.identity.member:
+            add_ack(self.member_records, ack)
+
+    def ack_of(self, member: str, life: int, nonce: int, index: int) -> Ack:
+        """What a member has of this leader's term; of older terms' entries a stale log may have as many."""
+        return member, life, nonce, self.term, index if index >= self.term_start else 0
+
+    def flush(self) -> None:
+        """Turn what was collected into one write; give out what waits for none."""
+        if self.pending_records or self.rewrite:
+            self.token += 1
+            records = self.persisted_state().to_records() if self.rewrite else self.pending_records
+            self.actions.append(Write(self.token, tuple(records), self.rewrite))
+            self.writes_in_flight.append(
+                InFlightWrite(self.token, self.log.last_index, self.commit_index, self.held, self.restoring)
+            )
+            self.pending_records, self.rewrite, self.held, self.restoring = [], False, [], None
+        elif self.writes_in_flight:
+            self.writes_in_flight[-1].posts += self.held
+            self.held = []
+        else:
+            posts, self.held = self.held, []
+            for to, message in posts:
+                self.deliver(to, message)
+
+    def persisted_state(self) -> Persisted:
+        """All that must be on disk."""
+        return Persisted(
+            self.identity,
+            Ballot(self.term, self.vote),
+            self.log.base,
+            list(self.log.entries),
+            self.commit_index,
+            self.snapshot,
+            dict(self.member_records),
+        )
+
+    def commit_up_to(self, index: int, acks: tuple[Ack, ...] = ()) -> None:
+        """All up to ``index`` is agreed. It takes effect here once that is durable, so it never goes back."""
+        if index > self.commit_index:
+            self.commit_index = index
+            self.write(Commit(index, acks))
+
+    def apply_committed(self) -> None:
+        """Carry out what is durably agreed, much in several steps. Below the base a snapshot is written."""
+        room = timing.MAX_APPLIED_BYTES
+        while room > 0 and self.log.base.index <= self.applied_index < self.durable_commit:
+            self.applied_index += 1
+            entry = self.log.get(self.applied_index)
+            room -= len(entry.data) + timing.ENTRY_HEAD_BYTES
+            self.applied_entries.append((self.applied_index, entry))
+            if entry.kind == COMMAND:
+                self.apply_command(entry)
+            # looked at after each entry, so that all copies take their snapshots at the same places
+            if self.applied_index - (self.snapshot.index if self.snapshot else 0) >= self.snapshot_every:
+                self.take_snapshot()
+
+    def apply_command(self, entry: Entry) -> None:
+        """A command takes effect, unless it did before."""
+        done = self.replica.apply(entry)
+        if done is not None and done[2]:
+            self.actions.append(Applied(entry.index, entry.data, done[1]))
+        self.on_applied(entry, done)
+
+    def on_applied(self, entry: Entry, done: tuple[int, bytes, bool] | None) -> None:
+        """An entry took effect: tell whoever waits for it."""
+
+    def take_snapshot(self) -> None:
+        """Fold what was applied into one state, and forget old entries."""
+        at, membership = self.log.membership_up_to(self.applied_index)
+        term = self.log.term_of(self.applied_index)
+        assert term is not None
+        self.snapshot = Snapshot(self.applied_index, term, membership, at, self.replica.snapshot())
+        if self.applied_index - self.entries_kept > self.log.base.index:
+            self.log.compact_to(self.applied_index - self.entries_kept)
+        self.rewrite = True
+
+    def install_snapshot(self, snap: Snapshot) -> None:
+        """Take a snapshot of what is agreed in place of the log up to it. An older one is passed over."""
+        if snap.index <= self.commit_index:
+            return
+        if self.log.term_of(snap.index) == snap.term:
+            self.log.compact_to(snap.index)
+        else:
+            self.log = Log(Base(snap.index, snap.term, snap.membership, snap.membership_at), [])
+            self.durable_index = min(self.durable_index, snap.index)  # what lay behind it here is gone
+            for waiting in self.writes_in_flight:
+                waiting.last_index = min(waiting.last_index, snap.index)
+        self.snapshot, self.restoring, self.rewrite = snap, snap, True
+        self.commit_index = snap.index
+
+    def on_written(self, token: int) -> None:
+        """Writes up to this one are durable."""
+        while self.writes_in_flight and self.writes_in_flight[0].token <= token:
+            done = self.writes_in_flight.pop(0)
+            self.durable_index = max(self.durable_index, done.last_index)
+            if done.restore is not None and done.restore.index > self.applied_index:
+                self.replica.restore(done.restore.state)
+                self.applied_index = done.restore.index
+                self.actions.append(Restored(self.applied_index))
+            self.durable_commit = max(self.durable_commit, done.commit_index)
+            for to, message in done.posts:
+                self.deliver(to, message)
+
+    def deliver(self, to: str, message: Message) -> None:
+        """Send it, or take it in if it is to this member."""
+        if to == self.name:
+            self.on_own_message(message)
+        else:
+            self.send(to, message)
+
+    def on_own_message(self, message: Message) -> None:
+        """A message of this member to itself, held back until it was durable."""
+
+    def finish(
+        self, ticket: int, how: OutcomeKind, index: int = 0, result: bytes = b"", why: str = ""
+    ) -> None:
+        """End what was asked for."""
+        self.actions.append(Completed(ticket, Outcome(how, index, result, why)))
+
+    def count_dropped(self, what: str) -> None:
+        """Count what was dropped."""
+        self.dropped[what] = self.dropped.get(what, 0) + 1
--- a/brassweir/agreed/disk.py
+++ b/brassweir/agreed/disk.py
@@ -7,14 +7,14 @@
 from concurrent.futures import ThreadPoolExecutor
 from random import Random
 
-from brassweir.agreed.facts import Fact, Write, WriteFailed, Written
+from brassweir.agreed.events import Event, Write, WriteFailed, Written
 from brassweir.agreed.store import Store
 from brassweir.journal.storage import Storage
 
 
-def carry_out(store: Store, writes: list[Write]) -> None:
+def write_batch(store: Store, writes: list[Write]) -> None:
     """Make writes durable, in order, as one. Raises OSError."""
-    at = max((i for i, write in enumerate(writes) if write.whole), default=-1)
+    at = max((i for i, write in enumerate(writes) if write.replaces_all), default=-1)
     if at >= 0:
         store.write_whole(writes[at].records)
     records = tuple(record for write in writes[at + 1 :] for record in write.records)
@@ -25,9 +25,9 @@
 class Disk:
     """One thread, one write at a time."""
 
-    def __init__(self, make: Callable[[], Storage], done: Callable[[Fact], None]) -> None:
+    def __init__(self, make: Callable[[], Storage], done: Callable[[Event], None]) -> None:
         """``make`` opens the storage; ``done`` hears of writes, on the loop."""
-        self.make, self.done = make, done
+        self.open_storage, self.on_event = make, done
         self.pool = ThreadPoolExecutor(1, thread_name_prefix="agreed")
         self.store: Store | None = None
         self.waiting: list[Write] = []
@@ -40,7 +40,7 @@
         return self.store
 
     def _open(self, rng: Random) -> Store:
-        storage = self.make()
+        storage = self.open_storage()
         try:
             return Store(storage, rng)
         except BaseException:
@@ -58,11 +58,11 @@
         try:
             while self.waiting and self.store is not None:
                 writes, self.waiting = self.waiting, []
-                await loop.run_in_executor(self.pool, carry_out, self.store, writes)
-                self.done(Written(writes[-1].token))
+                await loop.run_in_executor(self.pool, write_batch, self.store, writes)
+                self.on_event(Written(writes[-1].token))
         except Exception as error:  # whatever it was: no later write may stand for this one
             self.waiting = []
-            self.done(WriteFailed(str(error) or repr(error)))
+            self.on_event(WriteFailed(str(error) or repr(error)))
         finally:
             self.task = None
 
@@ -75,6 +75,6 @@
             self.store.storage.close()
             self.store = None
 
-    def shut(self) -> None:
+    def shutdown(self) -> None:
         """No more threads."""
         self.pool.shutdown(wait=False)
--- a/brassweir/agreed/elections.py
+++ b/brassweir/agreed/elections.py
@@ -3,137 +3,143 @@
 from __future__ import annotations
 
 from brassweir.agreed import timing
-from brassweir.agreed.messages import NOOP, AskVote, TakeOver, Vote
-from brassweir.agreed.replication import Replication
-from brassweir.agreed.state import ASKING, CANDIDATE, ELECTED, FOLLOWER, LEADER
+from brassweir.agreed.core_state import CANDIDATE, ELECTED, FOLLOWER, LEADER, PRE_CANDIDATE
+from brassweir.agreed.leader_replication import LeaderReplication
+from brassweir.agreed.messages import NOOP, TimeoutNow, VoteReply, VoteRequest
 
 
-class Elections(Replication):
+class Elections(LeaderReplication):
     """Who leads."""
 
-    granted: set[tuple[str, str]]
-    called = False  # this candidacy was asked for by the leader itself
-    ask_at = 0.0  # when those that did not answer are asked again
-    wooed = False  # someone wanted a vote of this member that it may not give yet
+    votes_granted: set[tuple[str, str]]
+    transfer_requested = False  # this candidacy was asked for by the leader itself
+    vote_retry_at = 0.0  # when those that did not answer are asked again
+    vote_requested = False  # someone wanted a vote of this member that it may not give yet
 
     def may_vote(self) -> bool:
         """Nothing speaks against the folder: its votes and entries are all it ever gave."""
-        return self.sure and not self.broken
+        return self.identity_confirmed and not self.write_error
 
-    def tend_election(self) -> None:
+    def tick_election(self) -> None:
         """Time passed."""
         if self.role == LEADER:
-            if len(self.in_touch()) < self.log.membership.quorum:
-                self.follow(self.term, "")
-                self.rest()
-        elif self.now >= self.elect_at:
-            if self.votes and self.may_vote() and not self.waiting:  # a disk that is behind: not now
-                self.ask(pre=True)
+            if len(self.responsive_voters()) < self.log.membership.quorum:
+                self.become_follower(self.term, "")
+                self.reset_election_timer()
+        elif self.now >= self.election_deadline:
+            if self.is_voter and self.may_vote() and not self.writes_in_flight:
+                self.campaign(pre=True)
             else:
-                self.rest()
-        elif self.role in (ASKING, CANDIDATE) and self.now >= self.ask_at:
-            self.ask_all()
+                self.reset_election_timer()
+        elif self.role in (PRE_CANDIDATE, CANDIDATE) and self.now >= self.vote_retry_at:
+            self.request_votes()
 
-    def stalled(self) -> None:
+    def on_stall(self) -> None:
         """This member was away: what it believed of the others is old."""
         if self.role != LEADER:
-            self.heard = min(self.heard, self.now - timing.ELECT)
-        self.follow(self.term, "")
-        self.rest()
+            self.leader_heard_at = min(self.leader_heard_at, self.now - timing.ELECTION_MS)
+        self.become_follower(self.term, "")
+        self.reset_election_timer()
 
-    def ask(self, pre: bool, called: bool = False) -> None:
+    def campaign(self, pre: bool, called: bool = False) -> None:
         """Ask all voters, this one with them."""
-        self.rest()
-        self.granted = set()
+        self.reset_election_timer()
+        self.votes_granted = set()
         self.leader = ""
-        self.called = called
+        self.transfer_requested = called
         if pre:
-            self.role = ASKING
+            self.role = PRE_CANDIDATE
         else:
             self.role = CANDIDATE
             self.write_ballot(self.term + 1, self.identity.member)
-        self.ask_all()
-        self.post_after(self.name, Vote(self.term, self.term + 1 if pre else self.term, True, pre))
+        self.request_votes()
+        self.send_when_durable(
+            self.name, VoteReply(self.term, self.term + 1 if pre else self.term, True, pre)
+        )
 
-    def ask_all(self) -> None:
+    def request_votes(self) -> None:
         """Ask those that have not granted it."""
-        self.ask_at = self.now + timing.ASK_AGAIN
-        pre, granted = self.role == ASKING, {name for name, _ in self.granted}
+        self.vote_retry_at = self.now + timing.VOTE_RETRY_MS
+        pre, granted = self.role == PRE_CANDIDATE, {name for name, _ in self.votes_granted}
         term = self.term + 1 if pre else self.term
-        asked = AskVote(term, self.log.last, self.log.last_term, pre, self.called)
-        for name in self.others():
+        asked = VoteRequest(term, self.log.last_index, self.log.last_term, pre, self.transfer_requested)
+        for name in self.other_voters():
             if name not in granted:
-                self.post_after(name, asked)
+                self.send_when_durable(name, asked)
 
-    def on_ask_vote(self, sender: str, member: str, message: AskVote) -> None:
+    def on_vote_request(self, sender: str, member: str, message: VoteRequest) -> None:
         """Someone asks. Silence while a leader is heard keeps a copy that comes back from disturbing it."""
-        heard = self.now - self.heard < timing.ELECT or self.role == LEADER
-        if heard and not message.called:
+        heard = self.now - self.leader_heard_at < timing.ELECTION_MS or self.role == LEADER
+        if heard and not message.transfer:
             return
-        self.wooed = self.wooed or not self.sure
+        self.vote_requested = self.vote_requested or not self.identity_confirmed
         if message.term < self.term or not self.may_vote():
-            self.post_after(sender, Vote(self.term, message.term, False, message.pre))
+            self.send_when_durable(sender, VoteReply(self.term, message.term, False, message.pre))
             return
-        newer = (message.last_term, message.last) >= (self.log.last_term, self.log.last)
+        newer = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
         if message.pre:
             granted = newer and message.term > self.term
-            self.post_after(sender, Vote(self.term, message.term, granted, True))
-            same = (message.last_term, message.last) == (self.log.last_term, self.log.last)
-            if granted and self.role == ASKING and (not same or sender < self.name):
+            self.send_when_durable(sender, VoteReply(self.term, message.term, granted, True))
+            same = (message.last_term, message.last_index) == (self.log.last_term, self.log.last_index)
+            if granted and self.role == PRE_CANDIDATE and (not same or sender < self.name):
                 self.role = FOLLOWER  # two that ask at once would split the votes: one gives way
-                self.rest()
+                self.reset_election_timer()
             return
         if message.term > self.term:
-            self.follow(message.term, "")
+            self.become_follower(message.term, "")
         granted = newer and self.vote in ("", member)
         if granted:
-            self.rest()
+            self.reset_election_timer()
             if not self.vote:
                 self.write_ballot(self.term, member)
-        self.post_after(sender, Vote(self.term, message.term, granted))
+        self.send_when_durable(sender, VoteReply(self.term, message.term, granted))
 
-    def on_vote(self, sender: str, member: str, message: Vote) -> None:
+    def on_vote_reply(self, sender: str, member: str, message: VoteReply) -> None:
         """An answer."""
         if message.term > self.term and not message.granted:
-            self.follow(message.term, "")
+            self.become_follower(message.term, "")
             return
-        if not self.voter(sender, member) or not message.granted:
+        if not self.has_vote(sender, member) or not message.granted:
             return
-        if message.pre and self.role == ASKING and message.asked == self.term + 1:
-            self.granted.add((sender, member))
-            if len(self.granted) >= self.log.membership.quorum:
-                self.ask(pre=False)
-        elif not message.pre and self.role == CANDIDATE and message.asked == message.term == self.term:
-            self.granted.add((sender, member))
-            if len(self.granted) >= self.log.membership.quorum:
-                self.win()
+        if message.pre and self.role == PRE_CANDIDATE and message.requested_term == self.term + 1:
+            self.votes_granted.add((sender, member))
+            if len(self.votes_granted) >= self.log.membership.quorum:
+                self.campaign(pre=False)
+        elif (
+            not message.pre and self.role == CANDIDATE and message.requested_term == message.term == self.term
+        ):
+            self.votes_granted.add((sender, member))
+            if len(self.votes_granted) >= self.log.membership.quorum:
+                self.on_elected()
 
-    def win(self) -> None:
+    def on_elected(self) -> None:
         """Elected; leads once that, and who voted, is durable: so no vote that counted is ever forgotten."""
         self.role = ELECTED
-        for _, member in sorted(self.granted):
-            if member != self.identity.member and member in self.memory:
-                memory = self.memory[member]
-                self.remember((member, memory.life, memory.nonce, self.term, 0))
-                self.write(self.memory[member])
-        self.queue_again()
+        for _, member in sorted(self.votes_granted):
+            if member != self.identity.member and member in self.member_records:
+                memory = self.member_records[member]
+                self.note_ack((member, memory.generation, memory.nonce, self.term, 0))
+                self.write(self.member_records[member])
+        self.collect_unapplied()
         self.term_start = self.add_entry(NOOP, b"").index
-        self.post_after(self.name, TakeOver(self.term))
+        self.send_when_durable(self.name, TimeoutNow(self.term))
 
-    def on_take_over(self, sender: str, message: TakeOver) -> None:
+    def on_timeout_now(self, sender: str, message: TimeoutNow) -> None:
         """From itself: what it won by is durable. From the leader: it stops, be next."""
         if message.term != self.term:
             return
         if sender == self.name:
             if self.role == ELECTED:
-                self.lead()
-        elif sender == self.leader and self.role == FOLLOWER and self.votes and self.may_vote():
-            self.ask(pre=False, called=True)
+                self.become_leader()
+        elif sender == self.leader and self.role == FOLLOWER and self.is_voter and self.may_vote():
+            self.campaign(pre=False, called=True)
 
-    def leave(self) -> None:
+    def transfer_leadership(self) -> None:
         """This process is about to stop: the one that has most is to go on."""
         if self.role != LEADER:
             return
-        ready = [(p.match, name) for name, p in self.progress.items() if name in self.in_touch()]
-        if ready and max(ready)[0] >= self.agreed:
-            self.post(max(ready)[1], TakeOver(self.term))
+        ready = [
+            (p.match_index, name) for name, p in self.progress.items() if name in self.responsive_voters()
+        ]
+        if ready and max(ready)[0] >= self.commit_index:
+            self.send(max(ready)[1], TimeoutNow(self.term))
--- a/brassweir/agreed/entry.py
+++ b/brassweir/agreed/entry.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
-Word = Annotated[str, msgspec.Meta(max_length=200)]
+Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
+ShortText = Annotated[str, msgspec.Meta(max_length=200)]
 
 NOOP, COMMAND, MEMBERS = 0, 1, 2  # kinds of entries
 
@@ -15,19 +15,19 @@
 class Entry(msgspec.Struct, frozen=True, array_like=True):
     """One place of the log. ``session``, ``seq`` name the proposal, ``low`` its session's lowest open one."""
 
-    index: Count
-    term: Count
-    kind: Count
+    index: Number
+    term: Number
+    kind: Number
     data: bytes = b""
-    session: Word = ""
-    seq: Count = 0
-    low: Count = 0
+    session: ShortText = ""
+    seq: Number = 0
+    lowest_open: Number = 0
 
 
 class Membership(msgspec.Struct, frozen=True, array_like=True):
     """Who votes: (name, member id), by name."""
 
-    voters: tuple[tuple[Word, Word], ...]
+    voters: tuple[tuple[ShortText, ShortText], ...]
 
     def has(self, name: str, member: str) -> bool:
         """Does this very member vote?"""
--- a/brassweir/agreed/facts.py
+++ b/brassweir/agreed/events.py
@@ -37,57 +37,68 @@
 
     ticket: int
     command: bytes
-    until: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ReadCurrent:
     """Tell once what is applied here is at least as new as all that was told anywhere before now."""
 
     ticket: int
-    until: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ChangeVoter:
     """Let ``name`` vote, or no longer. Taken by the leader only."""
 
     ticket: int
     name: str
     votes: bool
-    until: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
+class LoopStalled:
     """The own loop ran so many ms late."""
 
     ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Copies:
+class CopiesChanged:
     """Names of all copies there are."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class TransferLeadership:
     """This process is about to stop: hand leadership on."""
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class VersionInForce:
     """The decision module of this copy has been told all of this version. A plain core passes it over."""
 
     version: int
 
 
-Fact = Received | Written | WriteFailed | Propose | Read | Change | Late | Copies | Leave | InForce
+Event = (
+    Received
+    | Written
+    | WriteFailed
+    | Propose
+    | ReadCurrent
+    | ChangeVoter
+    | LoopStalled
+    | CopiesChanged
+    | TransferLeadership
+    | VersionInForce
+)
 
 
-class How(StrEnum):
+class OutcomeKind(StrEnum):
     """How what was asked for ended. UNKNOWN: it may or may not come into the log, also later."""
 
     AGREED = "agreed"
@@ -99,14 +110,14 @@
 class Outcome:
     """How, where in the log, what came of it, or why not."""
 
-    how: How
+    how: OutcomeKind
     index: int = 0
     result: bytes = b""
     why: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Post:
+class Send:
     """Send."""
 
     to: str
@@ -119,7 +130,7 @@
 
     token: int
     records: tuple[Record, ...]
-    whole: bool = False
+    replaces_all: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +150,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Completed:
     """How what was asked for under a ticket ended."""
 
     ticket: int
@@ -153,4 +164,4 @@
     at: float
 
 
-Step = Post | Write | Applied | Restored | Told | WakeAt
+Action = Send | Write | Applied | Restored | Completed | WakeAt
--- /dev/null
+++ b/brassweir/agreed/learner_feed.py
@@ -0,0 +1,148 @@
+"""The feeder's side of the feed tree: places for learners, and what is agreed sent to them. Pure.
+
+A feeder takes a bounded number and names some of those for the rest: a tree grows whose width is bounded, and
+no copy speaks to all. A feed tells how long ago a leader was heard at its root. Only agreed entries are fed,
+so nothing of it is ever taken back.
+
+A learner says with each pull from where on it lacks entries. One that also says where the lack ends has what
+lies behind that, or awaits it: to such a one a window of messages is sent without waiting for an answer.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from brassweir.agreed import timing
+from brassweir.agreed.core_state import LEADER
+from brassweir.agreed.identity import Identities
+from brassweir.agreed.messages import Entry, FeedEntries, FeederFull, PullEntries
+from brassweir.agreed.snapshot_pacing import SnapshotPacer
+
+MAX_SUGGESTED_FEEDERS = 4  # names of children told to a learner for which there is no room
+
+
+@dataclass
+class ChildProgress:
+    """A learner that is fed."""
+
+    next_index: int
+    expires_at: float
+    windowed: bool = False  # it tells what it has, so that more than one message may be under way
+    pulled_from: int = 0  # the entry from which it pulled last, and when
+    pulled_at: float = -1e18
+    in_flight: list[tuple[int, float]] = field(default_factory=list)
+
+    def is_duplicate(self, first: int, now: float) -> bool:
+        """Is this a pull that says nothing new? A learner of an older version pulls at each message."""
+        return first <= self.pulled_from and now - self.pulled_at < timing.DUPLICATE_PULL_MS
+
+
+class LearnerFeed(Identities):
+    """Feeding learners."""
+
+    children: dict[str, ChildProgress]
+    pacing: SnapshotPacer
+    pull_interval = timing.PULL_INTERVAL_MS  # ms between pulls of one that has all
+    leader_seen_at = -1e18  # when a leader surely led, by the feeders' word
+
+    def leader_age(self) -> float:
+        """Ms since a leader was heard, directly or by feeders."""
+        if self.role == LEADER:
+            return 0.0
+        return self.now - max(self.accepted_at, self.leader_seen_at)
+
+    def nearest(self, name: str, names: list[str], count: int) -> list[str]:
+        """So many of these copies for that one to be fed by: drawn, or the nearest where places are known."""
+        return self.rng.sample(names, min(count, len(names)))
+
+    def on_pull(self, sender: str, message: PullEntries) -> None:
+        """A learner asks."""
+        if not self.identity.group:
+            return
+        self.children = {name: child for name, child in self.children.items() if child.expires_at > self.now}
+        if sender not in self.children and self.is_stale() and message.first > self.commit_index:
+            self.send(sender, FeederFull(tuple(self.other_voters())))
+            return
+        if not self.has_capacity(sender):
+            names = self.nearest(sender, sorted(self.children), MAX_SUGGESTED_FEEDERS)
+            if self.role == LEADER:
+                names = self.other_voters() + names
+            self.send(sender, FeederFull(tuple(names)))
+            return
+        child = self.children.get(sender)
+        if child is None or not message.last:
+            if child is not None and child.is_duplicate(message.first, self.now):
+                return
+            until = self.now + timing.CHILD_EXPIRY_MS
+            self.children[sender] = ChildProgress(
+                message.first, until, message.last > 0, message.first, self.now
+            )
+        else:
+            self.confirm_feeds(child, message)
+            if message.last >= message.first:
+                self.feed_gap(sender, child, message)
+                return
+        self.feed(sender, True)
+
+    def is_stale(self) -> bool:
+        """Is this a learner that has heard of no leader for a few pulls?"""
+        return not self.is_voter and self.leader_age() > timing.MAX_STALE_PULLS * self.pull_interval
+
+    def has_capacity(self, sender: str) -> bool:
+        """Is there a place for this learner?"""
+        if sender in self.children or sender in self.log.membership.names():
+            return True  # the latter votes, and lacks what it needs for it
+        busy = self.role == LEADER and len(self.other_voters()) > 0
+        return len(self.children) < (timing.MAX_CHILDREN_OF_LEADER if busy else timing.MAX_CHILDREN)
+
+    def confirm_feeds(self, child: ChildProgress, message: PullEntries) -> None:
+        """A pull that says what the learner has: the rest is under way, or lost if that is long ago."""
+        child.expires_at, child.windowed = self.now + timing.CHILD_EXPIRY_MS, True
+        child.in_flight = [(last, at) for last, at in child.in_flight if last >= message.first]
+        asks_nothing = message.last < message.first
+        if asks_nothing and all(self.now - at >= timing.RESEND_MS for _, at in child.in_flight):
+            child.next_index, child.in_flight = min(child.next_index, message.first), []
+
+    def feed_gap(self, name: str, child: ChildProgress, message: PullEntries) -> None:
+        """Send again what was lost between other messages."""
+        if message.first <= self.log.base.index:
+            child.next_index = message.first
+            self.feed(name, True)
+            return
+        first, last = message.first, min(message.last, self.durable_commit)
+        for _ in range(timing.FEED_WINDOW):
+            entries = self.log.batch(first, last)
+            if not entries:
+                break
+            self.send_feed(name, first, entries)
+            first += len(entries)
+        child.next_index = max(child.next_index, first)
+
+    def feed(self, name: str, always: bool) -> bool:
+        """What is agreed and the learner lacks: one message. True if it carries entries."""
+        child = self.children[name]
+        if child.next_index <= self.log.base.index:
+            if self.snapshot is not None:
+                self.offer_snapshot(name, 0, 0)
+                child.next_index = self.durable_commit + 1  # until it pulls again
+            return False
+        entries = self.log.batch(child.next_index, self.durable_commit)
+        if entries or always:
+            self.send_feed(name, child.next_index, entries)
+            child.next_index += len(entries)
+        if entries and child.windowed:
+            child.in_flight.append((child.next_index - 1, self.now))
+        return bool(entries)
+
+    def send_feed(self, name: str, first: int, entries: tuple[Entry, ...]) -> None:
+        """One message."""
+        age = int(min(self.leader_age(), 1e9))
+        self.send(name, FeedEntries(first, entries, self.durable_commit, age, self.leader))
+        self.pacing.charge(self.now, sum(len(entry.data) + timing.ENTRY_HEAD_BYTES for entry in entries))
+
+    def feed_children(self) -> None:
+        """Feed all that lack something: one message each, or as many as their window allows."""
+        for name, child in self.children.items():
+            while child.next_index <= self.durable_commit and len(child.in_flight) < timing.FEED_WINDOW:
+                if not self.feed(name, False) or not child.windowed:
+                    break
--- a/brassweir/agreed/renewing.py
+++ b/brassweir/agreed/lease_renewal.py
@@ -14,16 +14,16 @@
 
 from brassweir.regions import planning
 from brassweir.regions.epochs import Epoch
-from brassweir.regions.ownership import Assumed
+from brassweir.regions.ownership import Assumptions
 from brassweir.regions.sources import Source, publisher
 
-TENTH = 0.1  # of a lease between two renewals: a cut of nine tenths of one harms nobody
-AGAIN = 500.0  # ms until another try where one failed, or while another proposal is out
-GIVE_AWAY = 10_000.0  # ms between two tries to give the lead away: an election costs the group one or two
+RENEWAL_FRACTION = 0.1  # of a lease between two renewals: a cut of nine tenths of one harms nobody
+RETRY_MS = 500.0  # ms until another try where one failed, or while another proposal is out
+TRANSFER_RETRY_MS = 10_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class RenewalInputs:
     """What is known when it is decided. ``wall`` and ``lease`` in ms."""
 
     leading: bool  # this copy is the leader, by its own last word: the log checks it
@@ -32,13 +32,13 @@
     epoch: Epoch | None  # of the agreed machine, as applied here
     granted: int  # its version
     lease: float
-    assumed: Assumed
+    assumed: Assumptions
     pending: bool = False  # another epoch is being proposed here
     lost: frozenset[str] = frozenset()  # regions of which every site is agreed to be lost
 
 
 @dataclass(frozen=True, slots=True)
-class Renew:
+class ProposeRenewal:
     """Propose this epoch, made from this version."""
 
     epoch: Epoch
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveAway:
+class GiveUpLeadership:
     """Let another copy lead, for this reason."""
 
     why: str
@@ -56,37 +56,37 @@
 class Wait:
     """Nothing now; decide again after so many ms at the latest."""
 
-    span: float
+    wait_ms: float
 
 
-Step = Renew | GiveAway | Wait
+Decision = ProposeRenewal | GiveUpLeadership | Wait
 
 
-class Renewing:
+class LeaseRenewal:
     """One copy's decisions. ``now`` is monotonic (ms)."""
 
     def __init__(self) -> None:
         self.not_before = float("-inf")
-        self.gave = float("-inf")
+        self.gave_at = float("-inf")
 
-    def step(self, now: float, facts: Facts) -> Step:
+    def step(self, now: float, facts: RenewalInputs) -> Decision:
         """What to do now."""
         epoch = facts.epoch
         if not facts.leading or epoch is None or publisher(epoch) is not Source.AGREED:
-            return Wait(AGAIN)
+            return Wait(RETRY_MS)
         if not facts.trusted:
-            if now < self.gave + GIVE_AWAY:
-                return Wait(AGAIN)
-            self.gave = now
-            return GiveAway("this copy does not trust its clock")
+            if now < self.gave_at + TRANSFER_RETRY_MS:
+                return Wait(RETRY_MS)
+            self.gave_at = now
+            return GiveUpLeadership("this copy does not trust its clock")
         if facts.pending:
-            return Wait(AGAIN)
-        early = max(epoch.issued + TENTH * facts.lease - facts.wall, self.not_before - now)
+            return Wait(RETRY_MS)
+        early = max(epoch.issued + RENEWAL_FRACTION * facts.lease - facts.wall, self.not_before - now)
         if early > 0.0:
-            return Wait(min(early, TENTH * facts.lease))
-        self.not_before = now + AGAIN
+            return Wait(min(early, RENEWAL_FRACTION * facts.lease))
+        self.not_before = now + RETRY_MS
         made = planning.renewed(epoch, facts.wall, facts.lease, facts.assumed)
-        return Renew(_but(made, epoch, facts.lost), facts.granted)
+        return ProposeRenewal(_but(made, epoch, facts.lost), facts.granted)
 
 
 def _but(made: Epoch, before: Epoch, lost: frozenset[str]) -> Epoch:
--- a/brassweir/agreed/log.py
+++ b/brassweir/agreed/log.py
@@ -9,7 +9,7 @@
 from brassweir.agreed.records import Base
 
 
-def members_in(entry: Entry) -> Membership:
+def decode_membership(entry: Entry) -> Membership:
     """The membership an entry says. Raises msgspec.MsgspecError."""
     return msgspec.msgpack.decode(entry.data, type=Membership)
 
@@ -20,11 +20,11 @@
     def __init__(self, base: Base, entries: list[Entry]) -> None:
         self.base = base
         self.entries: list[Entry] = []
-        self.members: list[tuple[int, Membership]] = [(base.membership_at, base.membership)]
+        self.memberships: list[tuple[int, Membership]] = [(base.membership_at, base.membership)]
         self.add(entries)
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry."""
         return self.base.index + len(self.entries)
 
@@ -36,42 +36,42 @@
     @property
     def membership(self) -> Membership:
         """The latest one, agreed or not."""
-        return self.members[-1][1]
+        return self.memberships[-1][1]
 
     @property
-    def membership_at(self) -> int:
+    def membership_index(self) -> int:
         """Its index."""
-        return self.members[-1][0]
+        return self.memberships[-1][0]
 
-    def membership_by(self, index: int) -> tuple[int, Membership]:
+    def membership_up_to(self, index: int) -> tuple[int, Membership]:
         """The latest one up to ``index``."""
-        return [pair for pair in self.members if pair[0] <= index][-1]
+        return [pair for pair in self.memberships if pair[0] <= index][-1]
 
-    def term(self, index: int) -> int | None:
+    def term_of(self, index: int) -> int | None:
         """The term of an entry; None if it is not here."""
         if index == self.base.index:
             return self.base.term
-        if self.base.index < index <= self.last:
+        if self.base.index < index <= self.last_index:
             return self.entries[index - self.base.index - 1].term
         return None
 
-    def fits(self, agreed: int, prev: int, prev_term: int, entries: tuple[Entry, ...]) -> bool:
+    def agrees_with(self, agreed: int, prev: int, prev_term: int, entries: tuple[Entry, ...]) -> bool:
         """Do a leader's entries, and the one before them, say of what is agreed what stands here?"""
         told = [(prev, prev_term), *((entry.index, entry.term) for entry in entries)]
-        return all(index > agreed or self.term(index) in (None, term) for index, term in told)
+        return all(index > agreed or self.term_of(index) in (None, term) for index, term in told)
 
     def get(self, index: int) -> Entry:
         """One entry."""
         return self.entries[index - self.base.index - 1]
 
-    def some(self, first: int, last: int) -> tuple[Entry, ...]:
+    def batch(self, first: int, last: int) -> tuple[Entry, ...]:
         """Entries from ``first`` to ``last``, as many as one message carries, one at least."""
         found: list[Entry] = []
         size = 0
-        for index in range(first, min(last, self.last) + 1):
+        for index in range(first, min(last, self.last_index) + 1):
             entry = self.get(index)
-            size += len(entry.data) + timing.ENTRY_HEAD + len(entry.session)
-            if found and size > timing.MOST_ENTRIES:
+            size += len(entry.data) + timing.ENTRY_HEAD_BYTES + len(entry.session)
+            if found and size > timing.MAX_ENTRIES_BYTES:
                 break
             found.append(entry)
         return tuple(found)
@@ -81,18 +81,18 @@
         for entry in entries:
             self.entries.append(entry)
             if entry.kind == MEMBERS:
-                self.members.append((entry.index, members_in(entry)))
+                self.memberships.append((entry.index, decode_membership(entry)))
 
-    def cut(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Drop all from ``index`` on."""
         del self.entries[max(0, index - self.base.index - 1) :]
-        self.members = [pair for pair in self.members if pair[0] < index] or self.members[:1]
+        self.memberships = [pair for pair in self.memberships if pair[0] < index] or self.memberships[:1]
 
-    def begin_at(self, index: int) -> None:
+    def compact_to(self, index: int) -> None:
         """Drop all up to ``index``, which is here."""
-        at, membership = self.membership_by(index)
-        term = self.term(index)
+        at, membership = self.membership_up_to(index)
+        term = self.term_of(index)
         assert term is not None
         del self.entries[: index - self.base.index]
         self.base = Base(index, term, membership, at)
-        self.members = [(at, membership), *[pair for pair in self.members if pair[0] > index]]
+        self.memberships = [(at, membership), *[pair for pair in self.memberships if pair[0] > index]]
--- a/brassweir/agreed/machine.py
+++ b/brassweir/agreed/machine.py
@@ -10,21 +10,40 @@
 import msgspec
 
 from brassweir.agreed import commands
-from brassweir.agreed.commands import CommandError, Format, Join, Judge, Known, Leave, Place, Publish, Result
-from brassweir.agreed.contents import Copy, Placed, State, StateError, Verdict, digest, pack, unpack
-from brassweir.regions.epochs import EpochError, check, follows, succeeds
-from brassweir.regions.sources import Source, takes
+from brassweir.agreed.commands import (
+    AnyCommand,
+    CommandError,
+    Format,
+    Join,
+    Judge,
+    Leave,
+    Place,
+    Publish,
+    Result,
+)
+from brassweir.agreed.machine_state import (
+    MachineState,
+    MemberCopy,
+    PlacedPin,
+    StateError,
+    Verdict,
+    digest,
+    pack,
+    unpack,
+)
+from brassweir.regions.epochs import EpochError, check, check_follows, check_succeeds
+from brassweir.regions.sources import Source, check_source
 
 # Bounds on what customers and operators can make every copy hold, by need: a fleet of 340 copies at some
 # tens of sites, and ten thousand pins of which one customer may have a tenth.
-MOST_PINS = 20_000
-MOST_PINS_OF_ONE = 2_000
-MOST_EPOCH = commands.MOST - 300  # bytes: each must fit into a command again, as its own renewal
-MOST_SITES = 256
-MOST_COPIES = 1_024
+MAX_PINS = 20_000
+MAX_PINS_PER_CUSTOMER = 2_000
+MAX_EPOCH_BYTES = commands.MAX_COMMAND_BYTES - 300
+MAX_SITES = 256
+MAX_COPIES = 1_024
 
 
-class Beyond(RuntimeError):
+class UnsupportedLevel(RuntimeError):
     """This version cannot follow the log any further: its state must not be copied to others."""
 
 
@@ -34,9 +53,9 @@
     level = commands.LEVEL  # the newest that this version knows
 
     def __init__(self) -> None:
-        self.state = State()
+        self.state = MachineState()
         self.pins = 0
-        self.beyond = ""  # why this version cannot go on; empty while it can
+        self.unsupported = ""  # why this version cannot go on; empty while it can
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Carry out what stands at this place of the log; the result is the same on every copy."""
@@ -44,8 +63,8 @@
 
     def _result(self, index: int, command: bytes) -> Result:
         state = self.state
-        if self.beyond:
-            return Result(False, 0, "level", self.beyond)
+        if self.unsupported:
+            return Result(False, 0, "level", self.unsupported)
         if index <= state.index:
             return Result(False, state.index, "index", "this place of the log was applied before")
         state.index = index
@@ -59,11 +78,11 @@
         except CommandError as error:
             return Result(False, 0, "command", str(error))
 
-    def _decode(self, level: int, body: bytes) -> Known:
+    def _decode(self, level: int, body: bytes) -> AnyCommand:
         """A command of a level that this version knows."""
         return commands.decode(body)
 
-    def _carry_out(self, index: int, command: Known) -> Result:
+    def _carry_out(self, index: int, command: AnyCommand) -> Result:
         match command:
             case Publish():
                 return self._publish(index, command)
@@ -91,15 +110,17 @@
                 f"it was made from version {given.after}, and {state.granted} is there",
             )
         size = len(msgspec.msgpack.encode(epoch))
-        if size > MOST_EPOCH:
-            return Result(False, state.granted, "epoch", f"{size} bytes of ranges; {MOST_EPOCH} are the most")
+        if size > MAX_EPOCH_BYTES:
+            return Result(
+                False, state.granted, "epoch", f"{size} bytes of ranges; {MAX_EPOCH_BYTES} are the most"
+            )
         try:
             check(epoch)
-            takes(Source.AGREED, epoch, state.epoch)
+            check_source(Source.AGREED, epoch, state.epoch)
             if state.epoch is not None:
-                follows(epoch, state.epoch)
+                check_follows(epoch, state.epoch)
                 if state.epoch.turn == epoch.turn:
-                    succeeds(epoch, state.epoch, given.lost)
+                    check_succeeds(epoch, state.epoch, given.lost)
         except EpochError as error:
             return Result(False, state.granted, "epoch", str(error))
         state.epoch, state.granted = epoch, index
@@ -122,12 +143,12 @@
                 del self.state.placements[given.customer]
             return Result(True, 0)
         if there is None:
-            if len(of) >= MOST_PINS_OF_ONE or self.pins >= MOST_PINS:
+            if len(of) >= MAX_PINS_PER_CUSTOMER or self.pins >= MAX_PINS:
                 return Result(
                     False, 0, "customer", f"no room: {len(of)} pins of this customer, {self.pins} of all"
                 )
             self.pins += 1
-        self.state.placements.setdefault(given.customer, of)[given.shard] = Placed(given.pin, index)
+        self.state.placements.setdefault(given.customer, of)[given.shard] = PlacedPin(given.pin, index)
         return Result(True, index)
 
     def _judge(self, index: int, given: Judge) -> Result:
@@ -140,7 +161,7 @@
             return Result(
                 False, version, "after", f"it was made from version {given.after}, and {version} is there"
             )
-        if there is None and len(sites) >= MOST_SITES:
+        if there is None and len(sites) >= MAX_SITES:
             return Result(False, 0, "site", f"no room: {len(sites)} sites have a verdict")
         sites[given.site] = Verdict(given.standing, given.since, given.by, index)
         return Result(True, index)
@@ -156,9 +177,9 @@
             given.reads,
         ):
             return Result(True, there.version)
-        if there is None and len(copies) >= MOST_COPIES:
+        if there is None and len(copies) >= MAX_COPIES:
             return Result(False, 0, "name", f"no room: {len(copies)} copies are members")
-        copies[given.name] = Copy(given.site, given.region, given.reads, index)
+        copies[given.name] = MemberCopy(given.site, given.region, given.reads, index)
         return Result(True, index)
 
     def _format(self, index: int, given: Format) -> Result:
@@ -171,13 +192,13 @@
             return Result(False, state.level, "level", f"not all members read level {given.level}: {words}")
         state.level = given.level
         if given.level > self.level:  # no member by its own word, and yet it follows: it must stop here
-            self.beyond = f"level {given.level} is agreed, and this version knows {self.level}"
+            self.unsupported = f"level {given.level} is agreed, and this version knows {self.level}"
         return Result(True, given.level)
 
     def snapshot(self) -> bytes:
         """The whole state; equal states have equal bytes. Raises Beyond."""
-        if self.beyond:
-            raise Beyond(self.beyond)
+        if self.unsupported:
+            raise UnsupportedLevel(self.unsupported)
         return pack(self.state)
 
     def restore(self, data: bytes) -> None:
@@ -185,7 +206,7 @@
         state = unpack(data)
         if state.level > self.level:
             raise StateError(f"level {state.level} is agreed, and this version knows {self.level}")
-        self.state, self.beyond = state, ""
+        self.state, self.unsupported = state, ""
         self.pins = sum(len(of) for of in state.placements.values())
 
     def digest(self) -> str:
--- a/brassweir/agreed/contents.py
+++ b/brassweir/agreed/machine_state.py
@@ -14,7 +14,7 @@
 from brassweir.regions.epochs import Epoch
 
 
-class Placed(msgspec.Struct, frozen=True, array_like=True):
+class PlacedPin(msgspec.Struct, frozen=True, array_like=True):
     """A pin and its version."""
 
     pin: Pin
@@ -30,7 +30,7 @@
     version: int
 
 
-class Copy(msgspec.Struct, frozen=True, array_like=True):
+class MemberCopy(msgspec.Struct, frozen=True, array_like=True):
     """A member."""
 
     site: str
@@ -39,7 +39,7 @@
     version: int
 
 
-class State(msgspec.Struct):
+class MachineState(msgspec.Struct):
     """All of it. ``index`` is the last place of the log that was applied."""
 
     form: Literal[1] = 1  # of these bytes
@@ -47,9 +47,9 @@
     index: int = 0
     epoch: Epoch | None = None
     granted: int = 0  # the version of the epoch; 0: none
-    placements: dict[str, dict[str, Placed]] = msgspec.field(default_factory=dict)  # by customer, by shard
+    placements: dict[str, dict[str, PlacedPin]] = msgspec.field(default_factory=dict)  # by customer, by shard
     sites: dict[str, Verdict] = msgspec.field(default_factory=dict)
-    copies: dict[str, Copy] = msgspec.field(default_factory=dict)
+    copies: dict[str, MemberCopy] = msgspec.field(default_factory=dict)
 
 
 class StateError(msgspec.MsgspecError):
@@ -57,16 +57,16 @@
 
 
 _encoder = msgspec.msgpack.Encoder(order="sorted")
-_decoder = msgspec.msgpack.Decoder(State)
+_decoder = msgspec.msgpack.Decoder(MachineState)
 
 
-def pack(state: State) -> bytes:
+def pack(state: MachineState) -> bytes:
     """The state's one form as bytes: a digest of it, and all of it."""
     body = _encoder.encode(state)
     return hashlib.sha256(body).digest() + body
 
 
-def unpack(data: bytes) -> State:
+def unpack(data: bytes) -> MachineState:
     """Raises StateError; nothing of damaged bytes is believed."""
     digest, body = data[:32], data[32:]
     if hashlib.sha256(body).digest() != digest:
@@ -77,12 +77,12 @@
         raise StateError(f"no state: {error}") from None
 
 
-def digest(state: State) -> str:
+def digest(state: MachineState) -> str:
     """What copies compare: equal at one index, or something is wrong."""
     return hashlib.sha256(_encoder.encode(state)).hexdigest()[:16]
 
 
-def lost_regions(state: State) -> frozenset[str]:
+def lost_regions(state: MachineState) -> frozenset[str]:
     """Regions of which every member's site is agreed to be lost."""
     sites: dict[str, set[str]] = {}
     for one in state.copies.values():
--- a/brassweir/agreed/member.py
+++ b/brassweir/agreed/member.py
@@ -13,38 +13,38 @@
 
 from brassweir.agreed import timing
 from brassweir.agreed.core import Core
+from brassweir.agreed.core_state import LEADER
 from brassweir.agreed.disk import Disk
-from brassweir.agreed.facts import (
+from brassweir.agreed.events import (
+    Action,
     Applied,
-    Change,
-    Copies,
-    Fact,
-    How,
-    Late,
-    Leave,
+    ChangeVoter,
+    Completed,
+    CopiesChanged,
+    Event,
+    LoopStalled,
     Outcome,
-    Post,
+    OutcomeKind,
     Propose,
-    Read,
+    ReadCurrent,
     Received,
     Restored,
-    Step,
-    Told,
+    Send,
+    TransferLeadership,
     WakeAt,
     Write,
     Written,
 )
-from brassweir.agreed.messages import Unreadable, decode, encode
+from brassweir.agreed.messages import UnreadableMessage, decode, encode
+from brassweir.agreed.pending_calls import PendingCalls
 from brassweir.agreed.replica import Machine
-from brassweir.agreed.state import LEADER
-from brassweir.agreed.status import Port, Status, seen
-from brassweir.agreed.store import Damaged
-from brassweir.agreed.tickets import Tickets
+from brassweir.agreed.status import Port, Status, status_of
+from brassweir.agreed.store import StoreDamaged
 from brassweir.journal.storage import DirectoryStorage, Storage, StorageLocked
 
-KIND = "log"
-AGAIN, AGAIN_MOST = 1.0, 30.0  # s before a folder that failed is opened again; doubled up to the most
-HAND_OVER = 1.0  # s a leader that stops waits for another
+MESSAGE_KIND = "log"
+REOPEN_SECONDS, MAX_REOPEN_SECONDS = 1.0, 30.0
+TRANSFER_WAIT_SECONDS = 1.0  # s a leader that stops waits for another
 
 
 class Member:
@@ -67,7 +67,7 @@
         make: Callable[[], Storage] = (
             (lambda: DirectoryStorage(folder)) if isinstance(folder, Path) else folder
         )
-        self.disk = Disk(make, self.take)
+        self.disk = Disk(make, self.submit)
         self.on_apply: list[Callable[[int, bytes, bytes], None]] = []  # (index, command, result), once each
         self.on_restore: list[Callable[[int], None]] = []  # the machine became a snapshot's state
         self.core: Core | None = None
@@ -75,14 +75,14 @@
         self.log = structlog.get_logger().bind(part="agreed", copy=name)
         self.dropped: dict[str, int] = {}
         self._rng = Random(os.urandom(16))
-        self._facts: list[Fact] = []
+        self._facts: list[Event] = []
         self._turning = self._stopping = False
         self._timer: asyncio.TimerHandle | None = None
-        self._tickets = Tickets()
+        self._tickets = PendingCalls()
         self._seen = 0
-        self._again = AGAIN
+        self._again = REOPEN_SECONDS
         self._reopening: asyncio.Task[None] | None = None
-        port.on(KIND, self._heard)
+        port.on(MESSAGE_KIND, self._heard)
 
     @property
     def now(self) -> float:
@@ -97,7 +97,7 @@
     async def _open(self) -> None:
         try:
             store = await self.disk.open(self._rng)
-        except (Damaged, StorageLocked) as error:
+        except (StoreDamaged, StorageLocked) as error:
             self.trouble = str(error)
             self.log.error("agreed_log_refused", why=self.trouble)
             return
@@ -109,18 +109,18 @@
         self.machine.restore(self.blank)
         try:
             self.core = self.core_type(
-                self.name, store.kept, self.machine, self._rng, self.now, self.founders
+                self.name, store.persisted, self.machine, self._rng, self.now, self.founders
             )
         except msgspec.MsgspecError as error:  # a later version's state
             self._stand_still(error)
             return
         self.trouble = ""
-        self.take(Copies(self.copies))
+        self.submit(CopiesChanged(self.copies))
 
     def _later(self) -> None:
         async def again() -> None:
             await asyncio.sleep(self._again)
-            self._again = min(AGAIN_MOST, self._again * 2.0)
+            self._again = min(MAX_REOPEN_SECONDS, self._again * 2.0)
             if not self._stopping:
                 await self._open()
 
@@ -132,16 +132,16 @@
         self._stopping = True
         if self._reopening is not None:
             self._reopening.cancel()
-        if self.core is not None and self.core.role == LEADER and self.core.others():
-            self.take(Leave())
-            until = self.now + HAND_OVER * 1_000.0
+        if self.core is not None and self.core.role == LEADER and self.core.other_voters():
+            self.submit(TransferLeadership())
+            until = self.now + TRANSFER_WAIT_SECONDS * 1_000.0
             while self.core is not None and self.core.role == LEADER and self.now < until:
                 await asyncio.sleep(0.02)
         self.core, self.trouble = None, "stopped"
         if self._timer is not None:
             self._timer.cancel()
         await self.disk.close()
-        self.disk.shut()
+        self.disk.shutdown()
         self._tickets.stop()
 
     # What is asked
@@ -152,45 +152,45 @@
 
     async def read(self, timeout_ms: float) -> Outcome:
         """Once agreed, the machine here is at least as new as all that was told anywhere before the call."""
-        return await self._ask(lambda ticket, until: Read(ticket, until), timeout_ms)
+        return await self._ask(lambda ticket, until: ReadCurrent(ticket, until), timeout_ms)
 
     async def change(self, name: str, votes: bool, timeout_ms: float) -> Outcome:
         """Let a copy vote, or no longer; for the leader only. Refused and unknown as with proposals."""
-        return await self._ask(lambda ticket, until: Change(ticket, name, votes, until), timeout_ms)
+        return await self._ask(lambda ticket, until: ChangeVoter(ticket, name, votes, until), timeout_ms)
 
-    async def _ask(self, fact: Callable[[int, float], Fact], timeout_ms: float) -> Outcome:
+    async def _ask(self, fact: Callable[[int, float], Event], timeout_ms: float) -> Outcome:
         if self.core is None:
-            return Outcome(How.REFUSED, why=self.trouble)
+            return Outcome(OutcomeKind.REFUSED, why=self.trouble)
         until = self.now + timeout_ms
-        return await self._tickets.ask(self.take, lambda ticket: fact(ticket, until), timeout_ms)
+        return await self._tickets.call(self.submit, lambda ticket: fact(ticket, until), timeout_ms)
 
     def reload(self, copies: tuple[str, ...]) -> None:
         """Other copies are there now."""
         self.copies = copies
-        self.take(Copies(copies))
+        self.submit(CopiesChanged(copies))
 
-    def late(self, ms: float) -> None:
+    def report_stall(self, ms: float) -> None:
         """This process' loop ran so late."""
-        self.take(Late(ms))
+        self.submit(LoopStalled(ms))
 
     def status(self) -> Status:
         """As it stands."""
         if self.core is None:
             return Status(self.name, self.trouble, dropped=dict(self.dropped))
-        return seen(self.core, self.trouble, self.dropped)
+        return status_of(self.core, self.trouble, self.dropped)
 
     def _heard(self, sender: str, body: bytes) -> None:
         try:
             envelope = decode(body)
-        except Unreadable:
+        except UnreadableMessage:
             self.dropped["unreadable"] = self.dropped.get("unreadable", 0) + 1
             return
-        self.take(Received(sender, envelope))
+        self.submit(Received(sender, envelope))
 
-    def take(self, fact: Fact) -> None:
+    def submit(self, fact: Event) -> None:
         """One fact, for the next turn of the loop."""
         if isinstance(fact, Written):
-            self._again = AGAIN
+            self._again = REOPEN_SECONDS
         if self.core is not None:
             self._facts.append(fact)
             if not self._turning:
@@ -209,8 +209,8 @@
             return
         for step in steps:
             self._carry_out(step)
-        if core.broken:
-            self.core, self.trouble = None, f"the folder cannot be written: {core.broken}"
+        if core.write_error:
+            self.core, self.trouble = None, f"the folder cannot be written: {core.write_error}"
             self.log.error("agreed_log_folder", why=self.trouble, again_s=self._again)
             self._later()
 
@@ -218,18 +218,18 @@
         self.core, self.trouble = None, f"contradiction: {error}"  # no part in it until a new start
         self.log.error("agreed_log_contradiction", why=self.trouble)
 
-    def _carry_out(self, step: Step) -> None:
+    def _carry_out(self, step: Action) -> None:
         match step:
-            case Post():
-                self.port.send(step.to, KIND, encode(step.envelope))
+            case Send():
+                self.port.send(step.to, MESSAGE_KIND, encode(step.envelope))
             case Write():
                 self.disk.write(step)
             case WakeAt():
                 if self._timer is not None:
                     self._timer.cancel()
                 self._timer = asyncio.get_running_loop().call_at(step.at / 1_000.0, self._wake, step.at)
-            case Told():
-                self._tickets.tell(step)
+            case Completed():
+                self._tickets.complete(step)
             case Applied() if step.index > self._seen:
                 self._seen = step.index
                 for applied in self.on_apply:
@@ -241,7 +241,7 @@
 
     def _wake(self, due: float) -> None:
         late = self.now - due
-        if late > timing.STALL:
-            self.take(Late(late))
+        if late > timing.STALL_MS:
+            self.submit(LoopStalled(late))
         if not self._turning:
             self._turn()
--- a/brassweir/agreed/messages.py
+++ b/brassweir/agreed/messages.py
@@ -11,164 +11,164 @@
 from brassweir.agreed.entry import COMMAND as COMMAND
 from brassweir.agreed.entry import MEMBERS as MEMBERS
 from brassweir.agreed.entry import NOOP as NOOP
-from brassweir.agreed.entry import Count as Count
 from brassweir.agreed.entry import Entry as Entry
 from brassweir.agreed.entry import Membership as Membership
-from brassweir.agreed.entry import Word as Word
+from brassweir.agreed.entry import Number as Number
+from brassweir.agreed.entry import ShortText as ShortText
 
 VERSION = 1
 
 
-class Unreadable(ValueError):
+class UnreadableMessage(ValueError):
     """Not a message of ours, or of a later kind."""
 
 
-class AskVote(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Vote for me in ``term``; ``pre``: would you? ``called``: the leader itself asks me to take over."""
 
-    term: Count
-    last: Count
-    last_term: Count
+    term: Number
+    last_index: Number
+    last_term: Number
     pre: bool = False
-    called: bool = False
+    transfer: bool = False
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """An answer to it: ``asked`` is the term asked for, ``term`` the voter's own."""
 
-    term: Count
-    asked: Count
+    term: Number
+    requested_term: Number
     granted: bool
     pre: bool = False
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """From a leader: entries behind ``prev``, what is agreed, and what it remembers of the voters."""
 
-    term: Count
-    prev: Count
-    prev_term: Count
+    term: Number
+    prev_index: Number
+    prev_term: Number
     entries: tuple[Entry, ...]
-    commit: Count
-    round: Count
-    acks: tuple[tuple[Word, Count, Count, Count, Count], ...] = ()
+    commit_index: Number
+    round: Number
+    acks: tuple[tuple[ShortText, Number, Number, Number, Number], ...] = ()
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """All up to ``match`` is durable here and as the leader has it; else try again behind ``match``."""
 
-    term: Count
+    term: Number
     ok: bool
-    match: Count
-    round: Count
+    match_index: Number
+    round: Number
 
 
-class Forward(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class ForwardProposal(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """A proposal on its way to the leader."""
 
-    session: Word
-    seq: Count
-    low: Count
+    session: ShortText
+    seq: Number
+    lowest_open: Number
     command: bytes
-    hops: Count = 0
+    hops: Number = 0
 
 
-class Pull(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class PullEntries(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """A learner: feed me from ``first`` on.
 
     ``last``: 0, or the last entry that is missing here: what follows was here early, or is awaited. It is
     ``first - 1`` if nothing is known to be missing.
     """
 
-    first: Count
-    last: Count = 0
+    first: Number
+    last: Number = 0
 
 
-class Feed(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class FeedEntries(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """Agreed entries from ``first`` on; ``age`` ms since a leader was heard, by the feeders' words."""
 
-    first: Count
+    first: Number
     entries: tuple[Entry, ...]
-    commit: Count
-    age: Count
-    leader: Word = ""
+    commit_index: Number
+    leader_age_ms: Number
+    leader: ShortText = ""
 
 
-class Full(msgspec.Struct, frozen=True, array_like=True, tag=8):
+class FeederFull(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """No room for another learner; try these."""
 
-    names: tuple[Word, ...]
+    names: tuple[ShortText, ...]
 
 
-class Offer(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class SnapshotOffer(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """What was asked for is in a snapshot of ``size`` bytes. ``term`` is a leader's, or 0 from a feeder."""
 
-    term: Count
-    index: Count
-    size: Count
-    round: Count = 0
+    term: Number
+    index: Number
+    size: Number
+    round: Number = 0
 
 
-class AskChunk(msgspec.Struct, frozen=True, array_like=True, tag=10):
+class ChunkRequest(msgspec.Struct, frozen=True, array_like=True, tag=10):
     """Send this piece of that snapshot."""
 
-    index: Count
-    at: Count
+    index: Number
+    offset: Number
 
 
-class Chunk(msgspec.Struct, frozen=True, array_like=True, tag=11):
+class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag=11):
     """The piece."""
 
-    index: Count
-    at: Count
-    size: Count
+    index: Number
+    offset: Number
+    size: Number
     data: bytes
 
 
-class Hello(msgspec.Struct, frozen=True, array_like=True, tag=12):
+class IdentityCheck(msgspec.Struct, frozen=True, array_like=True, tag=12):
     """A member started: does what you remember of it speak against its folder (its term, its last entry)?"""
 
-    term: Count
-    last: Count
+    term: Number
+    last_index: Number
 
 
-class Remembered(msgspec.Struct, frozen=True, array_like=True, tag=13):
+class IdentityReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
     """The answer for the run of that nonce."""
 
-    nonce: Count
+    nonce: Number
     agrees: bool
 
 
-class AskFound(msgspec.Struct, frozen=True, array_like=True, tag=14):
+class FoundingRequest(msgspec.Struct, frozen=True, array_like=True, tag=14):
     """The first founder: are you new as I am, with the same list?"""
 
-    founders: tuple[Word, ...]
+    founders: tuple[ShortText, ...]
 
 
-class NewHere(msgspec.Struct, frozen=True, array_like=True, tag=15):
+class FoundingReply(msgspec.Struct, frozen=True, array_like=True, tag=15):
     """A founder without a group; ``nonce`` is that of the run that asked."""
 
-    founders: tuple[Word, ...]
-    nonce: Count
+    founders: tuple[ShortText, ...]
+    nonce: Number
 
 
-class TakeOver(msgspec.Struct, frozen=True, array_like=True, tag=16):
+class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag=16):
     """A leader that stops: ask for votes at once."""
 
-    term: Count
+    term: Number
 
 
-class AskRead(msgspec.Struct, frozen=True, array_like=True, tag=17):
+class ReadIndexRequest(msgspec.Struct, frozen=True, array_like=True, tag=17):
     """What index must I have applied to read what is current?"""
 
-    ask: Count
+    request_id: Number
 
 
-class ReadAt(msgspec.Struct, frozen=True, array_like=True, tag=18):
+class ReadIndexReply(msgspec.Struct, frozen=True, array_like=True, tag=18):
     """This one."""
 
-    ask: Count
-    index: Count
+    request_id: Number
+    index: Number
 
 
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag=19):
@@ -179,31 +179,31 @@
     ``number`` grows within a run.
     """
 
-    roster: Count
-    versions: tuple[Count, ...]
+    roster: Number
+    versions: tuple[Number, ...]
     bitmaps: tuple[bytes, ...]
-    number: Count = 0
+    number: Number = 0
 
 
 Message = (
-    AskVote
-    | Vote
-    | Append
-    | Appended
-    | Forward
-    | Pull
-    | Feed
-    | Full
-    | Offer
-    | AskChunk
-    | Chunk
-    | Hello
-    | Remembered
-    | AskFound
-    | NewHere
-    | TakeOver
-    | AskRead
-    | ReadAt
+    VoteRequest
+    | VoteReply
+    | AppendEntries
+    | AppendReply
+    | ForwardProposal
+    | PullEntries
+    | FeedEntries
+    | FeederFull
+    | SnapshotOffer
+    | ChunkRequest
+    | SnapshotChunk
+    | IdentityCheck
+    | IdentityReply
+    | FoundingRequest
+    | FoundingReply
+    | TimeoutNow
+    | ReadIndexRequest
+    | ReadIndexReply
     | Acknowledge
 )
 
@@ -211,11 +211,11 @@
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
     """A message, and which run of which member of which group sent it."""
 
-    version: Count
-    group: Word
-    member: Word
-    life: Count
-    nonce: Count
+    version: Number
+    group: ShortText
+    member: ShortText
+    generation: Number
+    nonce: Number
     body: Message
 
 
@@ -233,4 +233,4 @@
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Unreadable(str(error)) from None
+        raise UnreadableMessage(str(error)) from None
--- a/brassweir/agreed/reconciliation.py
+++ b/brassweir/agreed/reconciliation.py
@@ -14,24 +14,24 @@
 
 from brassweir.regions import planning
 from brassweir.regions.epochs import Epoch, EpochError, Grant, check
-from brassweir.regions.ownership import Assumed
-from brassweir.regions.planning import Lost
+from brassweir.regions.ownership import Assumptions
+from brassweir.regions.planning import LossStatement
 from brassweir.regions.sources import Source, publisher
 
-FIRST_FOR = 3_600_000.0  # ms: an older first epoch may have founded a group that is lost; moves came after it
+FIRST_EPOCH_MAX_AGE_MS = 3_600_000.0
 
 
-def recent(first: Epoch, now: float) -> None:
+def check_recent(first: Epoch, now: float) -> None:
     """Raise EpochError if a log's first epoch is too old to be proposed without an operator's word."""
-    if now - first.issued > FIRST_FOR:
+    if now - first.issued > FIRST_EPOCH_MAX_AGE_MS:
         raise EpochError(
             "it was made over an hour ago: a group founded with it may have moved places since. "
             "If none of it is left, SIGHUP proposes it"
         )
 
 
-def proposal(
-    desired: Epoch, there: Epoch | None, now: float, lease: float, assumed: Assumed
+def reconciled(
+    desired: Epoch, there: Epoch | None, now: float, lease: float, assumed: Assumptions
 ) -> tuple[Epoch, str] | None:
     """The epoch to propose, and the region that it states as lost ("" for none); None if there is nothing to
     do. Raises EpochError with the reason where the desired epoch does not follow."""
@@ -50,7 +50,7 @@
         return _handed(desired, there, now), ""
     lost = _lost(desired, there)
     if lost:
-        move = planning.taken_over(there, lost, now, lease, assumed, Lost(True, True))
+        move = planning.taken_over(there, lost, now, lease, assumed, LossStatement(True, True))
         return move.epoch, lost
     return _moved(desired, there, now, lease, _pausing(desired, assumed)), ""
 
@@ -75,7 +75,7 @@
     return next(iter(sorted(gone & cut)), "")
 
 
-def _pausing(desired: Epoch, assumed: Assumed) -> Assumed:
+def _pausing(desired: Epoch, assumed: Assumptions) -> Assumptions:
     """What the operator assumed shows in the pause of the move; the longer one counts."""
     pauses = [
         one.begins - max(before.ends, desired.issued)
@@ -86,11 +86,11 @@
         and one.low < before.high
         and one.begins > desired.issued
     ]
-    shown = min(pauses, default=0.0) - 2.0 * assumed.clock_error
-    return replace(assumed, longest=max(assumed.longest, shown))
+    shown = min(pauses, default=0.0) - 2.0 * assumed.clock_error_ms
+    return replace(assumed, max_deadline_ms=max(assumed.max_deadline_ms, shown))
 
 
-def _moved(desired: Epoch, there: Epoch, now: float, lease: float, assumed: Assumed) -> Epoch:
+def _moved(desired: Epoch, there: Epoch, now: float, lease: float, assumed: Assumptions) -> Epoch:
     """Every piece that has another owner in the desired epoch is moved, all in one epoch."""
     made = there
     for one in desired.grants:
--- a/brassweir/agreed/records.py
+++ b/brassweir/agreed/records.py
@@ -15,7 +15,7 @@
 
     member: str
     group: str
-    life: int
+    generation: int
     nonce: int
 
 
@@ -26,13 +26,13 @@
     vote: str
 
 
-class Added(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class LogAppend(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Entries at the end of the log."""
 
     entries: tuple[Entry, ...]
 
 
-class Cut(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class Truncate(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """All entries from ``index`` on are gone."""
 
     index: int
@@ -41,21 +41,21 @@
 Ack = tuple[str, int, int, int, int]  # member, its life, its nonce, leader's term, last durable index
 
 
-class Agreed(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class Commit(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """All up to ``index`` is agreed; and what voters had durably by then."""
 
     index: int
     acks: tuple[Ack, ...] = ()
 
 
-class Memory(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """What is remembered of a member: its last run, the (term, index) it had before that run, and in it."""
 
     member: str
-    life: int
+    generation: int
     nonce: int
-    before: tuple[int, int]
-    now: tuple[int, int]
+    before_run: tuple[int, int]
+    in_run: tuple[int, int]
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=7):
@@ -77,38 +77,38 @@
     membership_at: int
 
 
-Record = Identity | Ballot | Added | Cut | Agreed | Memory | Snapshot | Base
-NOBODY = Membership(())
+Record = Identity | Ballot | LogAppend | Truncate | Commit | MemberRecord | Snapshot | Base
+NO_VOTERS = Membership(())
 
 
-def learn(memory: dict[str, Memory], ack: Ack) -> bool:
+def add_ack(memory: dict[str, MemberRecord], ack: Ack) -> bool:
     """Remember what a member had. False: it is of an earlier run, or of another one of the same number."""
     member, life, nonce, *had = ack
-    old = memory.get(member, Memory(member, 0, 0, (0, 0), (0, 0)))
-    if life < old.life or life == old.life and nonce != old.nonce:
+    old = memory.get(member, MemberRecord(member, 0, 0, (0, 0), (0, 0)))
+    if life < old.generation or life == old.generation and nonce != old.nonce:
         return False
     now = (had[0], had[1])
-    if life > old.life:
+    if life > old.generation:
         memory.pop(member, None)  # the latest runs stand last
-        memory[member] = Memory(member, life, nonce, max(old.before, old.now), now)
-    elif now > old.now:
-        memory[member] = Memory(member, life, nonce, old.before, now)
+        memory[member] = MemberRecord(member, life, nonce, max(old.before_run, old.in_run), now)
+    elif now > old.in_run:
+        memory[member] = MemberRecord(member, life, nonce, old.before_run, now)
     return True
 
 
 @dataclass
-class Kept:
+class Persisted:
     """What records add up to."""
 
     identity: Identity = Identity("", "", 0, 0)
     ballot: Ballot = Ballot(0, "")
-    base: Base = Base(0, 0, NOBODY, 0)
+    base: Base = Base(0, 0, NO_VOTERS, 0)
     entries: list[Entry] = field(default_factory=list)
-    agreed: int = 0
+    commit_index: int = 0
     snapshot: Snapshot | None = None
-    memory: dict[str, Memory] = field(default_factory=dict)
+    member_records: dict[str, MemberRecord] = field(default_factory=dict)
 
-    def take(self, records: Iterable[Record]) -> None:
+    def replay(self, records: Iterable[Record]) -> None:
         """Add records. Raises ValueError if they cannot follow these."""
         for record in records:
             match record:
@@ -120,32 +120,32 @@
                     self.base, self.entries = record, []
                 case Snapshot():
                     self.snapshot = record
-                    self.agreed = max(self.agreed, record.index)
-                case Added():
+                    self.commit_index = max(self.commit_index, record.index)
+                case LogAppend():
                     for entry in record.entries:
-                        if entry.index != self.last + 1:
-                            raise ValueError(f"entry {entry.index} follows {self.last}")
+                        if entry.index != self.last_index + 1:
+                            raise ValueError(f"entry {entry.index} follows {self.last_index}")
                         self.entries.append(entry)
-                case Cut():
-                    if record.index <= self.agreed:
-                        raise ValueError(f"cut at {record.index}, but {self.agreed} is agreed")
+                case Truncate():
+                    if record.index <= self.commit_index:
+                        raise ValueError(f"cut at {record.index}, but {self.commit_index} is agreed")
                     del self.entries[max(0, record.index - self.base.index - 1) :]
-                case Agreed():
-                    self.agreed = max(self.agreed, record.index)
+                case Commit():
+                    self.commit_index = max(self.commit_index, record.index)
                     for ack in record.acks:
-                        learn(self.memory, ack)
-                case Memory():
-                    self.memory[record.member] = record
-        if self.agreed > self.last:
-            raise ValueError(f"{self.agreed} is agreed, but the log ends at {self.last}")
+                        add_ack(self.member_records, ack)
+                case MemberRecord():
+                    self.member_records[record.member] = record
+        if self.commit_index > self.last_index:
+            raise ValueError(f"{self.commit_index} is agreed, but the log ends at {self.last_index}")
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry."""
         return self.base.index + len(self.entries)
 
-    def records(self) -> list[Record]:
+    def to_records(self) -> list[Record]:
         """Records that add up to this."""
-        found: list[Record] = [self.identity, self.ballot, *self.memory.values(), self.base]
+        found: list[Record] = [self.identity, self.ballot, *self.member_records.values(), self.base]
         found += [] if self.snapshot is None else [self.snapshot]
-        return [*found, Added(tuple(self.entries)), Agreed(self.agreed)]
+        return [*found, LogAppend(tuple(self.entries)), Commit(self.commit_index)]
--- a/brassweir/agreed/reordering.py
+++ b/brassweir/agreed/reorder_buffer.py
@@ -9,44 +9,44 @@
 M = TypeVar("M")
 
 
-class Reordering(Generic[M]):
+class ReorderBuffer(Generic[M]):
     """Messages by the first entry they carry, and since when something is missing before one of them."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.kept: dict[int, M] = {}
-        self.since: float | None = None
+        self.max_messages = most
+        self.messages: dict[int, M] = {}
+        self.gap_since: float | None = None
         self.missing = 0
 
-    def keep(self, first: int, message: M | None, now: float) -> None:
+    def add(self, first: int, message: M | None, now: float) -> None:
         """Something is missing before this; None is not worth keeping. Of too many the nearest are kept."""
-        if self.since is None:
-            self.since = now
+        if self.gap_since is None:
+            self.gap_since = now
         if message is not None:
-            self.kept[first] = message
-            if len(self.kept) > self.most:
-                del self.kept[max(self.kept)]
+            self.messages[first] = message
+            if len(self.messages) > self.max_messages:
+                del self.messages[max(self.messages)]
 
-    def following(self, index: int, now: float) -> M | None:
+    def pop_following(self, index: int, now: float) -> M | None:
         """A message that carries the entry ``index``, which is the next one, or an earlier one."""
-        first = min(self.kept, default=index + 1)
+        first = min(self.messages, default=index + 1)
         if first > index:
-            if not self.kept:
-                self.since = None
+            if not self.messages:
+                self.gap_since = None
             elif index != self.missing:  # something else than before
-                self.since = now
+                self.gap_since = now
             self.missing = index
             return None
-        return self.kept.pop(first)
+        return self.messages.pop(first)
 
     def clear(self) -> None:
         """Nothing is missing."""
-        self.kept, self.since = {}, None
+        self.messages, self.gap_since = {}, None
 
-    def due(self) -> float:
+    def gap_deadline(self) -> float:
         """When what is missing is taken for lost."""
-        return float("inf") if self.since is None else self.since + timing.GAP_WAIT
+        return float("inf") if self.gap_since is None else self.gap_since + timing.GAP_WAIT_MS
 
     def overdue(self, now: float) -> bool:
         """Is it?"""
-        return now >= self.due()
+        return now >= self.gap_deadline()
--- a/brassweir/agreed/replica.py
+++ b/brassweir/agreed/replica.py
@@ -23,15 +23,15 @@
         """Become what that snapshot says."""
 
 
-class Done(msgspec.Struct, array_like=True):
+class Session(msgspec.Struct, array_like=True):
     """What a session has had done: the lowest open number it told, and results from there on by number."""
 
-    low: int
+    lowest_open: int
     results: dict[int, tuple[int, bytes]]
 
 
 class _Image(msgspec.Struct, array_like=True):
-    sessions: list[tuple[str, Done]]
+    sessions: list[tuple[str, Session]]
     machine: bytes
 
 
@@ -40,7 +40,7 @@
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
-        self.sessions: dict[str, Done] = {}
+        self.sessions: dict[str, Session] = {}
         self.blank = machine.snapshot()
 
     def apply(self, entry: Entry) -> tuple[int, bytes, bool] | None:
@@ -49,19 +49,19 @@
             return entry.index, self.machine.apply(entry.index, entry.data), True
         done = self.sessions.pop(entry.session, None)
         if done is None:
-            if entry.low > 1:
+            if entry.lowest_open > 1:
                 return None
-            done = Done(1, {})
+            done = Session(1, {})
         self.sessions[entry.session] = done  # now the most recently used
-        while len(self.sessions) > timing.MOST_SESSIONS:
+        while len(self.sessions) > timing.MAX_SESSIONS:
             del self.sessions[next(iter(self.sessions))]
-        if entry.seq < done.low:
+        if entry.seq < done.lowest_open:
             return None
         if entry.seq in done.results:
             return *done.results[entry.seq], False
-        done.low = max(done.low, entry.low)
+        done.lowest_open = max(done.lowest_open, entry.lowest_open)
         result = self.machine.apply(entry.index, entry.data)
-        done.results = {seq: was for seq, was in done.results.items() if seq >= done.low}
+        done.results = {seq: was for seq, was in done.results.items() if seq >= done.lowest_open}
         done.results[entry.seq] = (entry.index, result)
         return entry.index, result, True
 
--- a/brassweir/agreed/pacing.py
+++ b/brassweir/agreed/snapshot_pacing.py
@@ -12,55 +12,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class QueuedChunk:
     """A piece of a snapshot that a copy asked for."""
 
     name: str
     index: int
-    at: int
+    offset: int
 
 
-class Pacing:
+class SnapshotPacer:
     """Pieces asked for and not sent, and what was sent in this interval."""
 
     def __init__(self) -> None:
-        self.asked: dict[str, list[Piece]] = {}
+        self.queued: dict[str, list[QueuedChunk]] = {}
         self._begun = -1e18
         self._spent = 0  # bytes
         self._sent = False  # a piece
 
-    def ask(self, piece: Piece) -> None:
+    def enqueue(self, piece: QueuedChunk) -> None:
         """Take one on. One that waits already, or too many of one copy, are passed over."""
-        if piece.name not in self.asked and len(self.asked) >= timing.MOST_FETCHING:
+        if piece.name not in self.queued and len(self.queued) >= timing.MAX_FETCHING_COPIES:
             return
-        waiting = self.asked.setdefault(piece.name, [])
-        if len(waiting) < timing.CHUNKS and piece not in waiting:
+        waiting = self.queued.setdefault(piece.name, [])
+        if len(waiting) < timing.CHUNK_WINDOW and piece not in waiting:
             waiting.append(piece)
 
-    def spend(self, now: float, size: int) -> None:
+    def charge(self, now: float, size: int) -> None:
         """Bytes were sent that are not held back."""
         self._begin(now)
         self._spent += size
 
-    def next(self, now: float) -> Piece | None:
+    def next(self, now: float) -> QueuedChunk | None:
         """The next piece that may be sent now."""
         self._begin(now)
-        if not self.asked or self._sent and self._spent >= timing.CHUNK_BUDGET:
+        if not self.queued or self._sent and self._spent >= timing.CHUNK_BUDGET_BYTES:
             return None
-        name = next(iter(self.asked))
-        waiting = self.asked.pop(name)
+        name = next(iter(self.queued))
+        waiting = self.queued.pop(name)
         piece = waiting.pop(0)
         if waiting:
-            self.asked[name] = waiting  # now the last one in turn
+            self.queued[name] = waiting  # now the last one in turn
         self._sent = True
-        self._spent += timing.CHUNK
+        self._spent += timing.CHUNK_BYTES
         return piece
 
     def next_time(self) -> float:
         """When pieces that wait may go."""
-        return self._begun + timing.CHUNK_EVERY if self.asked else float("inf")
+        return self._begun + timing.CHUNK_INTERVAL_MS if self.queued else float("inf")
 
     def _begin(self, now: float) -> None:
         """Begin an interval if the last one is over."""
-        if now - self._begun >= timing.CHUNK_EVERY:
+        if now - self._begun >= timing.CHUNK_INTERVAL_MS:
             self._begun, self._spent, self._sent = now, 0, False
--- a/brassweir/agreed/status.py
+++ b/brassweir/agreed/status.py
@@ -43,26 +43,26 @@
     dropped: dict[str, int] = field(default_factory=dict)
 
 
-def seen(core: Core, trouble: str, dropped: dict[str, int]) -> Status:
+def status_of(core: Core, trouble: str, dropped: dict[str, int]) -> Status:
     """A running member as it stands."""
-    age, mine = core.age(), core.identity
+    age, mine = core.leader_age(), core.identity
     return Status(
         core.name,
-        trouble or core.broken,
+        trouble or core.write_error,
         mine.group,
         mine.member,
-        mine.life,
-        core.sure or not core.votes,
+        mine.generation,
+        core.identity_confirmed or not core.is_voter,
         core.role,
         core.leader,
         core.term,
-        core.log.last,
-        core.agreed,
-        core.applied,
+        core.log.last_index,
+        core.commit_index,
+        core.applied_index,
         age if age < 1e15 else -1.0,
         core.log.membership.names(),
         sorted(core.children),
         core.feeder,
-        len(core.asked.open),
+        len(core.requests.proposals),
         {**dropped, **core.dropped},
     )
--- a/brassweir/agreed/store.py
+++ b/brassweir/agreed/store.py
@@ -15,18 +15,18 @@
 import google_crc32c
 import msgspec
 
-from brassweir.agreed.records import Identity, Kept, Record
+from brassweir.agreed.records import Identity, Persisted, Record
 from brassweir.journal.storage import LOCK_NAME, Storage
 
 MAGIC = b"BRWSAGR1"
-ASIDE = "set the folder aside; the copy then starts as a new member"
-MARK = b"\xb7AGR"
+RECOVERY_ADVICE = "set the folder aside; the copy then starts as a new member"
+FRAME_MARK = b"\xb7AGR"
 _FRAME = struct.Struct("<4sQII")  # mark, number, length, CRC-32C of number, length and payload
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(tuple[Record, ...])
 
 
-class Damaged(Exception):
+class StoreDamaged(Exception):
     """The folder cannot be trusted. The text names file and place, and what to do."""
 
 
@@ -34,7 +34,7 @@
     """One write."""
     payload = _ENCODER.encode(records)
     crc = google_crc32c.value(struct.pack("<QI", number, len(payload)) + payload)
-    return _FRAME.pack(MARK, number, len(payload), crc) + payload
+    return _FRAME.pack(FRAME_MARK, number, len(payload), crc) + payload
 
 
 def unframe(data: bytes, at: int, number: int | None = None) -> tuple[int, bytes, int] | None:
@@ -43,7 +43,7 @@
         return None
     mark, found, length, crc = _FRAME.unpack_from(data, at)
     payload = data[at + _FRAME.size : at + _FRAME.size + length]
-    if mark != MARK or len(payload) != length or number not in (None, found):
+    if mark != FRAME_MARK or len(payload) != length or number not in (None, found):
         return None
     if google_crc32c.value(struct.pack("<QI", found, length) + payload) != crc:
         return None
@@ -53,48 +53,50 @@
 def read_frames(name: str, data: bytes) -> list[tuple[Record, ...]]:
     """All writes of a file, without a torn last one. Raises Damaged."""
     if not data.startswith(MAGIC):
-        raise Damaged(f"{name}: not a log of this program: {ASIDE}")
+        raise StoreDamaged(f"{name}: not a log of this program: {RECOVERY_ADVICE}")
     at = len(MAGIC)
     found: list[tuple[Record, ...]] = []
     while at < len(data):
         good = unframe(data, at, len(found))
         if good is None:
             later = at
-            while (later := data.find(MARK, later + 1)) >= 0:
+            while (later := data.find(FRAME_MARK, later + 1)) >= 0:
                 behind = unframe(data, later)
                 if behind is not None and behind[0] > len(found):
-                    raise Damaged(f"{name}: damage at byte {at} with good writes behind it: {ASIDE}")
+                    raise StoreDamaged(
+                        f"{name}: damage at byte {at} with good writes behind it: {RECOVERY_ADVICE}"
+                    )
             break
         try:
             found.append(_DECODER.decode(good[1]))
         except msgspec.MsgspecError as error:
-            raise Damaged(f"{name}: byte {at}: {error}: written by a later version?") from None
+            raise StoreDamaged(f"{name}: byte {at}: {error}: written by a later version?") from None
         at = good[2]
     return found
 
 
-def recover(storage: Storage) -> tuple[Kept, int]:
+def recover(storage: Storage) -> tuple[Persisted, int]:
     """What a folder holds, and its number; Kept() and 0 if it is new. Raises Damaged, OSError."""
     names = set(storage.names()) - {LOCK_NAME}
     numbers = [int(name[5:]) for name in names if name.startswith("base-") and name[5:].isdigit()]
     if not numbers:
         if any(name.startswith(("base-", "log-")) for name in names) and "log-1" not in names:
-            raise Damaged(f"the folder's base is missing: {ASIDE}")
-        return Kept(), 0
+            raise StoreDamaged(f"the folder's base is missing: {RECOVERY_ADVICE}")
+        return Persisted(), 0
     number = max(numbers)
     if f"log-{number}" not in names:
-        raise Damaged(f"log-{number} is missing: {ASIDE}")
+        raise StoreDamaged(f"log-{number} is missing: {RECOVERY_ADVICE}")
     base = storage.read(f"base-{number}")
     whole = unframe(base, len(MAGIC), 0)
     if not base.startswith(MAGIC) or whole is None:
-        raise Damaged(f"base-{number} is damaged: {ASIDE}")
-    kept = Kept()
+        raise StoreDamaged(f"base-{number} is damaged: {RECOVERY_ADVICE}")
+    kept = Persisted()
     try:
-        kept.take(_DECODER.decode(whole[1]))
+        kept.replay(_DECODER.decode(whole[1]))
         for records in read_frames(f"log-{number}", storage.read(f"log-{number}")):
-            kept.take(records)
+            kept.replay(records)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise Damaged(f"the folder contradicts itself: {error}: {ASIDE}") from None
+        raise StoreDamaged(f"the folder contradicts itself: {error}: {RECOVERY_ADVICE}") from None
     return kept, number
 
 
@@ -106,16 +108,16 @@
         self.storage = storage
         kept, self.number = recover(storage)
         member = kept.identity.member or f"{rng.getrandbits(64):016x}"
-        run = Identity(member, kept.identity.group, kept.identity.life + 1, rng.getrandbits(32))
-        self.kept = replace(kept, identity=run)
-        self.frames = 0
-        self.write_whole(tuple(self.kept.records()))
+        run = Identity(member, kept.identity.group, kept.identity.generation + 1, rng.getrandbits(32))
+        self.persisted = replace(kept, identity=run)
+        self.frame_count = 0
+        self.write_whole(tuple(self.persisted.to_records()))
 
     def write(self, records: tuple[Record, ...]) -> None:
         """Add one write; returns once it is durable. Raises OSError."""
-        self.storage.append(f"log-{self.number}", frame(self.frames, records))
+        self.storage.append(f"log-{self.number}", frame(self.frame_count, records))
         self.storage.sync(f"log-{self.number}")
-        self.frames += 1
+        self.frame_count += 1
 
     def write_whole(self, records: tuple[Record, ...]) -> None:
         """Begin a new base with these in place of all; durable on return. Raises OSError."""
@@ -127,7 +129,7 @@
         storage.append("new", MAGIC + frame(0, records))
         storage.sync("new")
         storage.rename("new", f"base-{number}")
-        self.number, self.frames = number, 0
+        self.number, self.frame_count = number, 0
         for name in storage.names():
             if name.startswith(("base-", "log-")) and name not in (f"base-{number}", f"log-{number}"):
                 storage.remove(name)
--- a/brassweir/cli/regions.py
+++ b/brassweir/cli/regions.py
@@ -12,7 +12,7 @@
 
 from brassweir.regions import planning
 from brassweir.regions.epochs import PLACES, Epoch, EpochError, parse
-from brassweir.regions.ownership import Assumed
+from brassweir.regions.ownership import Assumptions
 from brassweir.regions.sources import Source, publisher
 
 _path = click.Path(path_type=Path, exists=True, dir_okay=False)
@@ -99,7 +99,7 @@
     """Split all messages evenly between regions and write the first epoch to OUT."""
     if out.exists():
         raise click.ClickException(f"{out} exists: a second first epoch would give away what is owned")
-    made = planning.first(dict(given), time.time() * 1000.0, lease_s * 1000.0)
+    made = planning.first_epoch(dict(given), time.time() * 1000.0, lease_s * 1000.0)
     _write(msgspec.structs.replace(made, turn=int(for_log)), out, as_json)
 
 
@@ -112,8 +112,8 @@
     click.echo(json.dumps(tree) if as_json else json.dumps(tree, indent=2))
 
 
-def _assumed(clock_error_ms: float, longest_s: float, asks_on_s: float) -> Assumed:
-    return Assumed(clock_error_ms, longest_s * 1000.0, asks_on_s * 1000.0)
+def _assumed(clock_error_ms: float, longest_s: float, asks_on_s: float) -> Assumptions:
+    return Assumptions(clock_error_ms, longest_s * 1000.0, asks_on_s * 1000.0)
 
 
 @regions.command("renew")
@@ -183,7 +183,7 @@
         )
     except EpochError as error:
         raise click.ClickException(str(error)) from None
-    _write(move.epoch, out, as_json, pause_s=round(move.pause / 1000.0, 1))
+    _write(move.epoch, out, as_json, pause_s=round(move.pause_ms / 1000.0, 1))
 
 
 @regions.command("drain-region")
@@ -217,10 +217,10 @@
     try:
         epoch = _read(file)
         move = (
-            planning.taken_over(epoch, region, now, lease, assumed, planning.Lost(stopped, kept))
+            planning.taken_over(epoch, region, now, lease, assumed, planning.LossStatement(stopped, kept))
             if lost
             else planning.drained(epoch, region, now, lease, assumed)
         )
     except EpochError as error:
         raise click.ClickException(str(error)) from None
-    _write(move.epoch, out, as_json, pause_s=round(move.pause / 1000.0, 1))
+    _write(move.epoch, out, as_json, pause_s=round(move.pause_ms / 1000.0, 1))
--- a/brassweir/configstream/buckets.py
+++ b/brassweir/configstream/buckets.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-BUCKETS = 1_024
-MOST_LENGTH = 1 << 26  # bytes of a bucket before compression
-COMPRESSION = 1  # of 9: a change of many entries seals all buckets anew
-_MASK = BUCKETS - 1
+BUCKET_COUNT = 1_024
+MAX_BUCKET_BYTES = 1 << 26  # bytes of a bucket before compression
+COMPRESSION_LEVEL = 1  # of 9: a change of many entries seals all buckets anew
+_MASK = BUCKET_COUNT - 1
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -27,38 +27,38 @@
     """Rows in their one order: the checksum and length of their plain bytes, and these compressed."""
 
     checksum: bytes
-    length: Annotated[int, msgspec.Meta(ge=0, le=MOST_LENGTH)]
+    length: Annotated[int, msgspec.Meta(ge=0, le=MAX_BUCKET_BYTES)]
     packed: bytes
 
 
-def number(name: str) -> int:
+def bucket_index(name: str) -> int:
     """The bucket that a name belongs to."""
     return zlib.crc32(name.encode()) & _MASK
 
 
-def seal(rows: Sequence[Any]) -> Bucket:
+def pack_bucket(rows: Sequence[Any]) -> Bucket:
     """A bucket of rows, which must be in their one order."""
     data = _encoder.encode(rows)
-    return Bucket(_checksum(data), len(data), zlib.compress(data, COMPRESSION))
+    return Bucket(_checksum(data), len(data), zlib.compress(data, COMPRESSION_LEVEL))
 
 
-def unseal(bucket: Bucket) -> bytes:
+def unpack_bucket(bucket: Bucket) -> bytes:
     """The plain bytes. Raises BucketError unless they are what the checksum says."""
-    data = inflate(bucket.packed, bucket.length)
+    data = decompress(bucket.packed, bucket.length)
     if len(data) != bucket.length or _checksum(data) != bucket.checksum:
         raise BucketError("a bucket that does not fit its checksum")
     return data
 
 
-def inflate(packed: bytes, most: int) -> bytes:
+def decompress(packed: bytes, most: int) -> bytes:
     """Decompress at most ``most`` bytes. Raises BucketError for more of them, or for what is no such data."""
-    data, rest = inflate_first(packed, most)
+    data, rest = decompress_first(packed, most)
     if rest:
         raise BucketError("compressed data that is followed by more")
     return data
 
 
-def inflate_first(packed: bytes, most: int) -> tuple[bytes, bytes]:
+def decompress_first(packed: bytes, most: int) -> tuple[bytes, bytes]:
     """The same for data that may be followed by more, which is returned as well."""
     reader = zlib.decompressobj()
     try:
@@ -76,4 +76,4 @@
     return hashlib.blake2b(data, digest_size=16).digest()
 
 
-EMPTY_BUCKET = seal(())
+EMPTY_BUCKET = pack_bucket(())
--- a/brassweir/configstream/catalog.py
+++ b/brassweir/configstream/catalog.py
@@ -11,8 +11,15 @@
 
 import msgspec
 
-from brassweir.configstream.buckets import BUCKETS, EMPTY_BUCKET, BucketError, number
-from brassweir.configstream.draft import Buckets, Draft, UnknownEntry, moved, read_entries, read_owners
+from brassweir.configstream.buckets import BUCKET_COUNT, EMPTY_BUCKET, BucketError, bucket_index
+from brassweir.configstream.catalog_builder import (
+    Buckets,
+    CatalogBuilder,
+    UnknownEntry,
+    read_entries,
+    read_owners,
+    shift_owner_counts,
+)
 from brassweir.configstream.entries import Entry
 
 
@@ -26,7 +33,7 @@
     owners: Buckets
 
 
-class Advance(msgspec.Struct, frozen=True):
+class CatalogUpdate(msgspec.Struct, frozen=True):
     """What a change makes of a catalog: the next one, and what is lost by it."""
 
     catalog: Catalog
@@ -34,14 +41,14 @@
     unserved: tuple[str, ...]  # owners that had a usable endpoint, and have none now
 
 
-class Counts(Mapping[str, int]):
+class OwnerCounts(Mapping[str, int]):
     """The number of usable endpoints of each owner that has one."""
 
     def __init__(self, owners: Buckets) -> None:
         self._buckets = owners
 
     def __getitem__(self, owner: str) -> int:
-        for name, count in read_owners(self._buckets[number(owner)]):
+        for name, count in read_owners(self._buckets[bucket_index(owner)]):
             if name == owner:
                 return count
         raise KeyError(owner)
@@ -67,19 +74,19 @@
         self._digest = ""
 
     @property
-    def counts(self) -> Mapping[str, int]:
+    def owner_counts(self) -> Mapping[str, int]:
         """How many usable endpoints each owner has."""
-        return Counts(self._owners)
+        return OwnerCounts(self._owners)
 
     @property
-    def length(self) -> int:
+    def plain_bytes(self) -> int:
         """Bytes of all entries before compression."""
         return sum(bucket.length for bucket in self._entries)
 
     def get(self, name: str) -> Entry | None:
         """The entry of that name."""
         return next(
-            (entry for entry in read_entries(self._entries[number(name)]) if entry.name == name), None
+            (entry for entry in read_entries(self._entries[bucket_index(name)]) if entry.name == name), None
         )
 
     def entries(self) -> Iterator[Entry]:
@@ -87,7 +94,7 @@
         for bucket in self._entries:
             yield from read_entries(bucket)
 
-    def differing(self, other: Catalog) -> Iterator[tuple[tuple[Entry, ...], tuple[Entry, ...]]]:
+    def differing_buckets(self, other: Catalog) -> Iterator[tuple[tuple[Entry, ...], tuple[Entry, ...]]]:
         """The buckets that are not alike, entries here and there: all differences, at the cost of these."""
         for mine, others in zip(self._entries, other._entries, strict=True):
             if mine.checksum != others.checksum:
@@ -100,20 +107,20 @@
             self._digest = hashlib.sha256(whole).hexdigest()[:32]
         return self._digest
 
-    def advance(self, changed: Iterable[Entry], removed: Iterable[str]) -> Advance:
+    def apply(self, changed: Iterable[Entry], removed: Iterable[str]) -> CatalogUpdate:
         """The next catalog. Each name may stand once. Raises UnknownEntry."""
-        draft = self.draft()
+        draft = self.builder()
         draft.add(changed, removed)
-        return self.finish(draft)
+        return self.build(draft)
 
-    def draft(self) -> Draft:
+    def builder(self) -> CatalogBuilder:
         """A next catalog that is made in steps."""
-        return Draft(self.size, self._entries)
+        return CatalogBuilder(self.size, self._entries)
 
-    def finish(self, draft: Draft) -> Advance:
+    def build(self, draft: CatalogBuilder) -> CatalogUpdate:
         """The next catalog of a draft of this one."""
-        owners, unserved = moved(self._owners, draft.shifts)
-        return Advance(Catalog(draft.size, tuple(draft.buckets), owners), draft.removed, unserved)
+        owners, unserved = shift_owner_counts(self._owners, draft.owner_count_changes)
+        return CatalogUpdate(Catalog(draft.size, tuple(draft.buckets), owners), draft.removed, unserved)
 
     def pack(self) -> bytes:
         """All of it."""
@@ -124,7 +131,7 @@
         """Read what ``pack`` made, checksums and all. Raises CatalogError."""
         try:
             packed = msgspec.msgpack.decode(data, type=_Packed)
-            if not len(packed.entries) == len(packed.owners) == BUCKETS:
+            if not len(packed.entries) == len(packed.owners) == BUCKET_COUNT:
                 raise CatalogError("not the number of buckets of a catalog")
             size = sum(len(read_entries(bucket)) for bucket in packed.entries)
             for bucket in packed.owners:
@@ -136,6 +143,6 @@
         return Catalog(size, packed.entries, packed.owners)
 
 
-EMPTY = Catalog(0, (EMPTY_BUCKET,) * BUCKETS, (EMPTY_BUCKET,) * BUCKETS)
+EMPTY = Catalog(0, (EMPTY_BUCKET,) * BUCKET_COUNT, (EMPTY_BUCKET,) * BUCKET_COUNT)
 
-__all__ = ["EMPTY", "Advance", "Catalog", "CatalogError", "Counts", "UnknownEntry"]
+__all__ = ["EMPTY", "CatalogUpdate", "Catalog", "CatalogError", "OwnerCounts", "UnknownEntry"]
--- a/brassweir/configstream/history.py
+++ b/brassweir/configstream/change_history.py
@@ -9,11 +9,11 @@
 
 from brassweir.configstream.delta import Delta, merge, unpack
 
-MOST_CHANGES = 16
-MOST_BYTES = 1 << 20  # of packed deltas
+MAX_CHANGES = 16
+MAX_BYTES = 1 << 20  # of packed deltas
 
 
-class History:
+class ChangeHistory:
     """Packed deltas, each with the version that it was made from; each follows the one before."""
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         """A change was made of version ``after``, the newest so far."""
         self._changes.append((after, body))
         self._size += len(body)
-        while len(self._changes) > MOST_CHANGES or self._size > MOST_BYTES:
+        while len(self._changes) > MAX_CHANGES or self._size > MAX_BYTES:
             self._size -= len(self._changes.popleft()[1])
 
     def since(self, version: int, newest: int) -> Delta | None:
--- a/brassweir/configstream/pieces.py
+++ b/brassweir/configstream/chunking.py
@@ -8,40 +8,42 @@
 from collections.abc import Iterable
 
 from brassweir.configstream import delta
-from brassweir.configstream.buckets import number
+from brassweir.configstream.buckets import bucket_index
 from brassweir.configstream.delta import Delta
 from brassweir.configstream.entries import Entry
 
-FILL = 0.97  # of the bytes that a piece may have: aimed at, as its size is known only once it is packed
-LESS = 0.9  # of the items, if they were too many
+FILL_FRACTION = (
+    0.97  # of the bytes that a piece may have: aimed at, as its size is known only once it is packed
+)
+SHRINK_FACTOR = 0.9  # of the items, if they were too many
 
-Key = tuple[int, str]  # the bucket of a name, and the name
+SortKey = tuple[int, str]  # the bucket of a name, and the name
 
 
-def key(name: str) -> Key:
+def sort_key(name: str) -> SortKey:
     """What pieces are in the order of."""
-    return number(name), name
+    return bucket_index(name), name
 
 
-def split(whole: Delta, most: int) -> list[bytes]:
+def split_delta(whole: Delta, most: int) -> list[bytes]:
     """Packed deltas of at most ``most`` bytes each, or of one entry, which together are ``whole``."""
-    items: list[tuple[Key, Entry | None]] = [(key(entry.name), entry) for entry in whole.changed]
-    items += [(key(name), None) for name in whole.removed]
+    items: list[tuple[SortKey, Entry | None]] = [(sort_key(entry.name), entry) for entry in whole.changed]
+    items += [(sort_key(name), None) for name in whole.removed]
     items.sort(key=lambda item: item[0])
     bodies: list[bytes] = []
     at, count = 0, len(items)
     while at < len(items):
         body = _packed(items[at : at + count])
         while len(body) > most and count > 1:
-            count = max(1, int(count * min(LESS, FILL * most / len(body))))
+            count = max(1, int(count * min(SHRINK_FACTOR, FILL_FRACTION * most / len(body))))
             body = _packed(items[at : at + count])
         bodies.append(body)
         at += count
-        count = max(1, int(count * FILL * most / len(body)))
+        count = max(1, int(count * FILL_FRACTION * most / len(body)))
     return bodies
 
 
-def _packed(items: Iterable[tuple[Key, Entry | None]]) -> bytes:
+def _packed(items: Iterable[tuple[SortKey, Entry | None]]) -> bytes:
     items = list(items)
     changed = tuple(entry for _, entry in items if entry is not None)
     return delta.pack(Delta(changed, tuple(name for (_, name), entry in items if entry is None)))
--- a/brassweir/configstream/commands.py
+++ b/brassweir/configstream/commands.py
@@ -12,25 +12,27 @@
 
 from brassweir.agreed import commands as agreed
 from brassweir.agreed.commands import Command, CommandError
-from brassweir.configstream.checking import UNCONFIRMED, Confirmation
+from brassweir.configstream.validation import UNCONFIRMED, Confirmation
 
 LEVEL = 2  # the agreed level from which on these may be used
-MOST_PIECE = 5_600  # bytes of a packed delta in one command: under agreed.commands.MOST with all its words
-MOST_PARTS = 1_024  # pieces of one version
+MAX_CHUNK_BYTES = (
+    5_600  # bytes of a packed delta in one command: under agreed.commands.MOST with all its words
+)
+MAX_CHUNKS = 1_024  # pieces of one version
 
 _Transfer = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-z]{1,40}\Z")]
 _Version = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 _Digest = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{32}\Z")]
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,60}\Z")]
-_Piece = Annotated[bytes, msgspec.Meta(min_length=1, max_length=MOST_PIECE)]
+_Chunk = Annotated[bytes, msgspec.Meta(min_length=1, max_length=MAX_CHUNK_BYTES)]
 
 
 class Stage(Command, frozen=True, tag="stage"):
     """A piece of a packed delta, kept until the transfer is committed or dropped."""
 
     transfer: _Transfer
-    part: Annotated[int, msgspec.Meta(ge=0, lt=MOST_PARTS)]
-    body: _Piece
+    part: Annotated[int, msgspec.Meta(ge=0, lt=MAX_CHUNKS)]
+    body: _Chunk
 
 
 class Commit(Command, frozen=True, tag="commit"):
@@ -38,7 +40,7 @@
 
     transfer: _Transfer
     after: _Version
-    parts: Annotated[int, msgspec.Meta(ge=1, le=MOST_PARTS)]
+    parts: Annotated[int, msgspec.Meta(ge=1, le=MAX_CHUNKS)]
     digest: _Digest
     by: _Name
     confirmation: Confirmation = UNCONFIRMED
@@ -48,7 +50,7 @@
     """A packed delta that makes the next version by itself."""
 
     after: _Version
-    body: _Piece
+    body: _Chunk
     digest: _Digest
     by: _Name
     confirmation: Confirmation = UNCONFIRMED
@@ -60,18 +62,18 @@
     transfer: _Transfer
 
 
-Known = Stage | Commit | Change | Abandon
-_known = msgspec.msgpack.Decoder(Known)
+AnyCommand = Stage | Commit | Change | Abandon
+_decoder = msgspec.msgpack.Decoder(AnyCommand)
 
 
-def encode(command: Known) -> bytes:
+def encode(command: AnyCommand) -> bytes:
     """A command as the log carries it. Raises CommandError if it is too large."""
     return agreed.encode(command, LEVEL)
 
 
-def decode(body: bytes) -> Known:
+def decode(body: bytes) -> AnyCommand:
     """A body of this level. Raises CommandError."""
     try:
-        return _known.decode(body)
+        return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         raise CommandError("no command of its level") from None  # a library's words may change
--- a/brassweir/configstream/core.py
+++ b/brassweir/configstream/core.py
@@ -12,25 +12,27 @@
 
 from brassweir.agreed import timing
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Fact, InForce, Late, Step
-from brassweir.agreed.messages import Acknowledge, Append, Envelope, Feed
-from brassweir.agreed.records import Kept
+from brassweir.agreed.core_state import LEADER
+from brassweir.agreed.events import Action, Event, LoopStalled, VersionInForce
+from brassweir.agreed.messages import Acknowledge, AppendEntries, Envelope, FeedEntries
+from brassweir.agreed.records import Persisted
 from brassweir.agreed.replica import Machine
-from brassweir.agreed.state import LEADER
-from brassweir.configstream.acknowledging import Acknowledgements, Rows, Run, pack_message
-from brassweir.configstream.fleet import Fleet, FleetView
-from brassweir.configstream.roster import Listed, Rosters, distance
-from brassweir.configstream.staleness import Knowledge, quorum_heard
+from brassweir.configstream.acknowledgements import Acknowledgements, MessageOrigin, Rows, encode_rows
+from brassweir.configstream.fleet import FleetVersions, FleetView
+from brassweir.configstream.member_index import ListedMember, MemberIndexHistory, distance
+from brassweir.configstream.staleness import StalenessTracker, quorum_contact_time
 
-PULL = 800.0  # ms between pulls, at most: if none is lost, what is known at depth four is 3.2 s old at most
-REPEAT = 1_000.0  # ms between two acknowledgements that say the same
-SPACING = 250.0  # ms between two acknowledgements, at least: bounds what a burst of changes costs
-NO_TIME = float("inf")
+PULL_INTERVAL_MS = (
+    800.0  # ms between pulls, at most: if none is lost, what is known at depth four is 3.2 s old at most
+)
+ACK_REPEAT_MS = 1_000.0  # ms between two acknowledgements that say the same
+MIN_ACK_SPACING_MS = 250.0  # ms between two acknowledgements, at least: bounds what a burst of changes costs
+NEVER = float("inf")
 
 
 class _State(Protocol):
     @property
-    def copies(self) -> Mapping[str, Listed]: ...
+    def copies(self) -> Mapping[str, ListedMember]: ...
 
 
 class _Configuration(Protocol):
@@ -51,26 +53,36 @@
 class ConfiguredCore(Core):
     """One member whose machine holds the endpoint configuration."""
 
-    pull_every = PULL
+    pull_interval = PULL_INTERVAL_MS
 
     def __init__(
-        self, name: str, kept: Kept, machine: Machine, rng: Random, now: float, founders: tuple[str, ...] = ()
+        self,
+        name: str,
+        kept: Persisted,
+        machine: Machine,
+        rng: Random,
+        now: float,
+        founders: tuple[str, ...] = (),
     ) -> None:
         """As the plain core's."""
         super().__init__(name, kept, machine, rng, now, founders)
         self.version_in_force = 0
-        self.rosters, self.fleet, self.knowledge = Rosters(), Fleet(), Knowledge()
-        self.acknowledgements = Acknowledgements(self.rosters)
-        self.due = now  # when a step was asked for
-        self.changed_below = True  # something may differ from what was last acknowledged
-        self.repeat_at = NO_TIME
-        self.spoken_at = -NO_TIME
-        self.spoken: tuple[str, int, Rows] = ("", 0, ())  # to whom, by which roster, what
-        self.number = 0
+        self.member_indexes, self.fleet, self.staleness = (
+            MemberIndexHistory(),
+            FleetVersions(),
+            StalenessTracker(),
+        )
+        self.acknowledgements = Acknowledgements(self.member_indexes)
+        self.expected_step_at = now  # when a step was asked for
+        self.ack_changed = True  # something may differ from what was last acknowledged
+        self.ack_repeat_at = NEVER
+        self.ack_sent_at = -NEVER
+        self.last_ack: tuple[str, int, Rows] = ("", 0, ())  # to whom, by which roster, what
+        self.ack_sequence = 0
 
     # What it reads of its machine
 
-    def copies(self) -> Mapping[str, Listed]:
+    def copies(self) -> Mapping[str, ListedMember]:
         """The agreed member list."""
         return cast(_Configured, self.replica.machine).state.copies
 
@@ -80,67 +92,69 @@
 
     # What operators and the service ask
 
-    def in_force(self, now: float | None = None) -> FleetView:
+    def fleet_view(self, now: float | None = None) -> FleetView:
         """Which version is in force at how many copies, who is behind, who was not heard of.
 
         ``now`` in this and the next two: the time; that of the last step if it is not given.
         """
-        self.follow_machine()
+        self.refresh_from_machine()
         now = self.now if now is None else now
         self.acknowledgements.expire(now)
-        return self.fleet.view(self.rows(), self.rosters.current, self.role == LEADER, now)
+        return self.fleet.view(self.ack_rows(), self.member_indexes.current, self.role == LEADER, now)
 
-    def knowledge_age(self, now: float | None = None) -> float:
+    def staleness_ms(self, now: float | None = None) -> float:
         """Ms since this copy last surely knew all that was agreed."""
-        return self.knowledge.age(self.now if now is None else now)
+        return self.staleness.age_ms(self.now if now is None else now)
 
-    def out_of_contact(self, now: float | None = None) -> bool:
+    def exceeds_max_staleness(self, now: float | None = None) -> bool:
         """Is that longer ago than a change may take?"""
-        return self.knowledge.out_of_contact(self.now if now is None else now)
+        return self.staleness.is_stale(self.now if now is None else now)
 
     # The plain core's steps
 
-    def step(self, now: float, facts: Iterable[Fact] = ()) -> list[Step]:
+    def step(self, now: float, facts: Iterable[Event] = ()) -> list[Action]:
         """Time and facts in, steps out."""
-        if now - self.due > timing.STALL:
-            self.knowledge.stalled(now)
+        if now - self.expected_step_at > timing.STALL_MS:
+            self.staleness.note_stall(now)
         return super().step(now, facts)
 
-    def take_fact(self, fact: Fact) -> None:
+    def handle_event(self, fact: Event) -> None:
         """One fact."""
-        if isinstance(fact, InForce):
-            self.changed_below = self.changed_below or fact.version != self.version_in_force
+        if isinstance(fact, VersionInForce):
+            self.ack_changed = self.ack_changed or fact.version != self.version_in_force
             self.version_in_force = fact.version
             return
-        if isinstance(fact, Late) and fact.ms > timing.STALL:
-            self.knowledge.stalled(self.now)
-        super().take_fact(fact)
+        if isinstance(fact, LoopStalled) and fact.ms > timing.STALL_MS:
+            self.staleness.note_stall(self.now)
+        super().handle_event(fact)
 
     def receive(self, sender: str, envelope: Envelope) -> None:
         """One message."""
         message = envelope.body
         if not isinstance(message, Acknowledge):
             super().receive(sender, envelope)
-        elif sender != self.name and envelope.life >= 1 and envelope.group == self.identity.group != "":
-            run = Run(envelope.member, envelope.life, envelope.nonce, message.number)
+        elif sender != self.name and envelope.generation >= 1 and envelope.group == self.identity.group != "":
+            run = MessageOrigin(envelope.member, envelope.generation, envelope.nonce, message.number)
             self.on_acknowledge(sender, run, message)
 
-    def tend(self) -> None:
+    def tick(self) -> None:
         """What time and news make due."""
-        super().tend()
+        super().tick()
         if self.role == LEADER:
-            self.knowledge.lead(self.quorum_heard_at())
-        self.knowledge.reach(self.agreed)
-        self.follow_machine()
-        self.tend_acknowledging()
+            self.staleness.note_leadership(self.quorum_contact_at())
+        self.staleness.note_reached(self.commit_index)
+        self.refresh_from_machine()
+        self.tick_acknowledging()
 
-    def next_time(self) -> float:
+    def next_deadline(self) -> float:
         """When time makes something due."""
-        at = NO_TIME
-        if self.role == LEADER or self.uplink():
-            at = self.spoken_at + SPACING if self.changed_below else self.repeat_at
-        self.due = min(super().next_time(), max(at, self.spoken_at + SPACING, self.now + 1.0))
-        return self.due
+        at = NEVER
+        if self.role == LEADER or self.ack_target():
+            at = self.ack_sent_at + MIN_ACK_SPACING_MS if self.ack_changed else self.ack_repeat_at
+        self.expected_step_at = min(
+            super().next_deadline(), max(at, self.ack_sent_at + MIN_ACK_SPACING_MS, self.now + 1.0)
+        )
+        return self.expected_step_at
 
     def nearest(self, name: str, names: list[str], count: int) -> list[str]:
         """So many of these copies for that one to be fed by: of its site, then its region, else drawn."""
@@ -150,77 +164,80 @@
 
     # Knowledge
 
-    def on_feed(self, sender: str, message: Feed) -> None:
+    def on_feed(self, sender: str, message: FeedEntries) -> None:
         """Also a word of what was agreed some time ago."""
         super().on_feed(sender, message)
-        self.knowledge.hear(message.commit, self.now - message.age, self.now)
-        self.knowledge.reach(self.agreed)
+        self.staleness.note_commit(message.commit_index, self.now - message.leader_age_ms, self.now)
+        self.staleness.note_reached(self.commit_index)
 
-    def on_append(self, sender: str, message: Append) -> None:
+    def on_append(self, sender: str, message: AppendEntries) -> None:
         """Also a leader's word of what is agreed now."""
         super().on_append(sender, message)
         if message.term == self.term:
-            self.knowledge.hear(message.commit, self.now, self.now)
-            self.knowledge.reach(self.agreed)
+            self.staleness.note_commit(message.commit_index, self.now, self.now)
+            self.staleness.note_reached(self.commit_index)
 
-    def quorum_heard_at(self) -> float:
+    def quorum_contact_at(self) -> float:
         """Since when a quorum surely followed this leader."""
-        heard = [self.now] if self.votes else []
-        heard += [p.heard for name, p in self.progress.items() if self.voter(name, p.member)]
-        return quorum_heard(heard, self.log.membership.quorum)
+        heard = [self.now] if self.is_voter else []
+        heard += [p.heard_at for name, p in self.progress.items() if self.has_vote(name, p.member)]
+        return quorum_contact_time(heard, self.log.membership.quorum)
 
     # Acknowledging
 
-    def follow_machine(self) -> None:
+    def refresh_from_machine(self) -> None:
         """The member list and the newest version, as they are here now."""
-        if self.rosters.update(self.copies()):
-            self.changed_below = True
+        if self.member_indexes.update(self.copies()):
+            self.ack_changed = True
         self.fleet.note_version(self.newest_version(), self.now)
 
-    def hears_leader(self) -> bool:
+    def follows_leader_directly(self) -> bool:
         """Does a leader replicate to this copy, which pulls from nobody then?"""
-        recent = self.now - self.fitted < (timing.FEED_OLD if self.votes else timing.ELECT)
+        recent = self.now - self.accepted_at < (timing.FEED_STALE_MS if self.is_voter else timing.ELECTION_MS)
         return recent and self.leader not in ("", self.name)
 
-    def uplink(self) -> str:
+    def ack_target(self) -> str:
         """Whom this copy acknowledges to: the leader if it hears it directly, else its feeder."""
         if self.role == LEADER:
             return ""
-        return self.leader if self.hears_leader() else self.feeder
+        return self.leader if self.follows_leader_directly() else self.feeder
 
-    def on_acknowledge(self, sender: str, run: Run, message: Acknowledge) -> None:
+    def on_acknowledge(self, sender: str, run: MessageOrigin, message: Acknowledge) -> None:
         """A copy that is fed here, or one that the leader replicates to, tells of itself and those below."""
         if sender not in self.children and not (self.role == LEADER and sender in self.progress):
             return
-        before = self.acknowledgements.heard.get(sender)
-        why = self.acknowledgements.take(sender, run, message, self.now, self.now + timing.CHILD)
+        before = self.acknowledgements.reports.get(sender)
+        why = self.acknowledgements.accept(sender, run, message, self.now, self.now + timing.CHILD_EXPIRY_MS)
         if why:
-            self.count(why)
+            self.count_dropped(why)
             return
-        now = self.acknowledgements.heard[sender]
-        if before is None or (before.rows, before.roster.number) != (now.rows, now.roster.number):
-            self.changed_below = True
-
-    def rows(self) -> Rows:
+        now = self.acknowledgements.reports[sender]
+        if before is None or (before.rows, before.member_index.checksum) != (
+            now.rows,
+            now.member_index.checksum,
+        ):
+            self.ack_changed = True
+
+    def ack_rows(self) -> Rows:
         """This copy and all below it. Out of contact it leaves itself out."""
-        version = None if self.out_of_contact() else self.version_in_force
-        return self.acknowledgements.merged(self.name, version, self.uplink())
+        version = None if self.exceeds_max_staleness() else self.version_in_force
+        return self.acknowledgements.merged_rows(self.name, version, self.ack_target())
 
-    def tend_acknowledging(self) -> None:
+    def tick_acknowledging(self) -> None:
         """Tell, if it is time to; at a leader, note who is behind."""
-        uplink = self.uplink()
-        news = self.changed_below or uplink != self.spoken[0]
-        if self.now < self.spoken_at + SPACING or not (news or self.now >= self.repeat_at):
+        uplink = self.ack_target()
+        news = self.ack_changed or uplink != self.last_ack[0]
+        if self.now < self.ack_sent_at + MIN_ACK_SPACING_MS or not (news or self.now >= self.ack_repeat_at):
             return
         if self.role != LEADER and not uplink:
             return
         self.acknowledgements.expire(self.now)
-        rows, roster = self.rows(), self.rosters.current
-        said = (uplink, roster.number, rows)
+        rows, roster = self.ack_rows(), self.member_indexes.current
+        said = (uplink, roster.checksum, rows)
         if self.role == LEADER:
             self.fleet.update(rows, roster, self.now)
-        elif said != self.spoken or self.now >= self.repeat_at:
-            self.number += 1
-            self.post(uplink, pack_message(rows, roster, self.number))
-        self.changed_below, self.spoken, self.spoken_at = False, said, self.now
-        self.repeat_at = self.now + REPEAT
+        elif said != self.last_ack or self.now >= self.ack_repeat_at:
+            self.ack_sequence += 1
+            self.send(uplink, encode_rows(rows, roster, self.ack_sequence))
+        self.ack_changed, self.last_ack, self.ack_sent_at = False, said, self.now
+        self.ack_repeat_at = self.now + ACK_REPEAT_MS
--- a/brassweir/configstream/delta.py
+++ b/brassweir/configstream/delta.py
@@ -8,14 +8,16 @@
 
 import msgspec
 
-from brassweir.configstream.buckets import BucketError, inflate_first
+from brassweir.configstream.buckets import BucketError, decompress_first
 from brassweir.configstream.catalog import EMPTY, Catalog
-from brassweir.configstream.entries import Entry, EntryError, locate, shown
+from brassweir.configstream.entries import Entry, EntryError, decoding_error, printable
 
-MOST_ENTRIES = 100_000  # changed, and as many removed: counted before any of them is read
-MOST_STREAMS = 1_024  # packed deltas one after the other
-MOST_UNPACKED = 40 << 20  # bytes: above a whole catalog's (checking.MOST_LENGTH) and the names it removes
-COMPRESSION = 6  # of 9: packed once, sent to every copy
+MAX_ENTRIES = 100_000  # changed, and as many removed: counted before any of them is read
+MAX_STREAMS = 1_024  # packed deltas one after the other
+MAX_UNPACKED_BYTES = (
+    40 << 20
+)  # bytes: above a whole catalog's (checking.MOST_LENGTH) and the names it removes
+COMPRESSION_LEVEL = 6  # of 9: packed once, sent to every copy
 
 
 class DeltaError(ValueError):
@@ -26,7 +28,7 @@
         self.field, self.endpoint = field, endpoint
 
 
-_Bounded = msgspec.Meta(max_length=MOST_ENTRIES)
+_Bounded = msgspec.Meta(max_length=MAX_ENTRIES)
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -41,15 +43,15 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Delta)
-_loose = msgspec.msgpack.Decoder(
+_raw_decoder = msgspec.msgpack.Decoder(
     tuple[Annotated[list[msgspec.Raw], _Bounded], Annotated[list[str], _Bounded]]
 )
-_entry = msgspec.msgpack.Decoder(Entry)
+_entry_decoder = msgspec.msgpack.Decoder(Entry)
 
 
 def pack(delta: Delta) -> bytes:
     """A delta as commands carry it."""
-    return zlib.compress(_encoder.encode(delta), COMPRESSION)
+    return zlib.compress(_encoder.encode(delta), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> Delta:
@@ -59,7 +61,7 @@
     """
     changed: list[Entry] = []
     removed: list[str] = []
-    totals = Totals()
+    totals = DeltaTotals()
     while True:
         delta, data = unpack_first(data, totals)
         changed += delta.changed
@@ -68,7 +70,7 @@
             return Delta(tuple(changed), tuple(removed))
 
 
-class Totals:
+class DeltaTotals:
     """What packed deltas that belong together add up to: bounded."""
 
     def __init__(self) -> None:
@@ -80,44 +82,44 @@
         self.length += length
         self.changed += len(delta.changed)
         self.removed += len(delta.removed)
-        if self.streams > MOST_STREAMS or max(self.changed, self.removed) > MOST_ENTRIES:
+        if self.streams > MAX_STREAMS or max(self.changed, self.removed) > MAX_ENTRIES:
             raise DeltaError("more than a delta may hold")
 
 
-def unpack_first(data: bytes, totals: Totals) -> tuple[Delta, bytes]:
+def unpack_first(data: bytes, totals: DeltaTotals) -> tuple[Delta, bytes]:
     """Read the first delta, count it, and return what follows it. Raises as ``unpack``."""
     try:
-        plain, rest = inflate_first(data, MOST_UNPACKED - totals.length)
+        plain, rest = decompress_first(data, MAX_UNPACKED_BYTES - totals.length)
     except BucketError as error:
         raise DeltaError(str(error)) from None
     try:
         delta = _decoder.decode(plain)
     except (msgspec.DecodeError, RecursionError):
-        raise _misread(plain) from None
+        raise _decoding_error(plain) from None
     totals.add(len(plain), delta)
     return delta, rest
 
 
-def _misread(plain: bytes) -> DeltaError | EntryError:
+def _decoding_error(plain: bytes) -> DeltaError | EntryError:
     """Why bytes are no delta, in words of our own: a library's may differ between copies."""
     try:
-        changed, _ = _loose.decode(plain)
+        changed, _ = _raw_decoder.decode(plain)
         for raw in changed:
             try:
-                _entry.decode(raw)
+                _entry_decoder.decode(raw)
             except msgspec.DecodeError:
-                return locate(bytes(raw))
+                return decoding_error(bytes(raw))
     except (msgspec.DecodeError, RecursionError):
         pass
     return DeltaError("no delta")
 
 
-def difference(old: Catalog, new: Iterable[Entry]) -> Delta:
+def diff_entries(old: Catalog, new: Iterable[Entry]) -> Delta:
     """What makes ``new`` of ``old``. Raises DeltaError if a name stands twice in ``new``."""
     fresh: dict[str, Entry] = {}
     for entry in new:
         if entry.name in fresh:
-            raise DeltaError(f"endpoint {shown(entry.name)} stands more than once", "name", entry.name)
+            raise DeltaError(f"endpoint {printable(entry.name)} stands more than once", "name", entry.name)
         fresh[entry.name] = entry
     removed = []
     for entry in old.entries():
@@ -129,11 +131,11 @@
     return Delta(tuple(fresh.values()), tuple(sorted(removed)))
 
 
-def between(old: Catalog, new: Catalog) -> Delta:
+def diff_catalogs(old: Catalog, new: Catalog) -> Delta:
     """What makes one catalog of another, at the cost of the buckets in which they differ."""
     changed: list[Entry] = []
     removed: list[str] = []
-    for before, after in old.differing(new):
+    for before, after in old.differing_buckets(new):
         known = {entry.name: entry for entry in before}
         changed += [entry for entry in after if known.pop(entry.name, None) != entry]
         removed += known
@@ -152,6 +154,6 @@
     )
 
 
-def whole(catalog: Catalog) -> Delta:
+def full_delta(catalog: Catalog) -> Delta:
     """All of a catalog, as a change of nothing."""
-    return between(EMPTY, catalog)
+    return diff_catalogs(EMPTY, catalog)
--- a/brassweir/configstream/entries.py
+++ b/brassweir/configstream/entries.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-MOST_URL = 2_000  # characters
-MOST_PORT = 65_535
-MOST_RATE = 1e9  # calls a second
+MAX_URL_CHARACTERS = 2_000  # characters
+MAX_PORT = 65_535
+MAX_RATE = 1e9  # calls a second
 GONE = "gone"
 STATES = frozenset({"ready", "draining", GONE})
 
@@ -33,7 +33,7 @@
 
     def __init__(self, name: str, field: str, why: str) -> None:
         super().__init__(f"endpoint {name}: {field}: {why}")
-        self.name, self.field, self.why = name, field, why
+        self.name, self.field, self.reason = name, field, why
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
@@ -62,7 +62,7 @@
 def validate(entry: Entry) -> None:
     """Raise EntryError for the first field that cannot be accepted."""
     if not _NAME.match(entry.name):
-        raise EntryError(shown(entry.name), "name", "1 to 120 printable ASCII characters without spaces")
+        raise EntryError(printable(entry.name), "name", "1 to 120 printable ASCII characters without spaces")
     if why := _url_problem(entry.url):
         raise EntryError(entry.name, "url", why)
     if bool(entry.partner) == bool(entry.destination):
@@ -76,7 +76,7 @@
         raise EntryError(entry.name, "zone", "at most 120 printable ASCII characters")
     if entry.state not in STATES:
         raise EntryError(entry.name, "state", "one of ready, draining, gone")
-    if not 0.0 <= entry.rate <= MOST_RATE:  # fails for what is not a number as well
+    if not 0.0 <= entry.rate <= MAX_RATE:  # fails for what is not a number as well
         raise EntryError(entry.name, "rate", "a number from 0 to 1e9")
 
 
@@ -87,17 +87,17 @@
 
 
 def _url_problem(url: str) -> str:
-    if len(url) > MOST_URL:
-        return f"{MOST_URL} characters are the most"
+    if len(url) > MAX_URL_CHARACTERS:
+        return f"{MAX_URL_CHARACTERS} characters are the most"
     found = _URL.match(url)
     if found is None or (url.startswith("forward:") and found["rest"]):
         return "neither http(s)://host[:port][/path] nor forward://host[:port]"
-    if int(found["port"] or 0) > MOST_PORT:
-        return f"its port is above {MOST_PORT}"
+    if int(found["port"] or 0) > MAX_PORT:
+        return f"its port is above {MAX_PORT}"
     return ""
 
 
-def locate(data: bytes) -> EntryError:
+def decoding_error(data: bytes) -> EntryError:
     """The first field of packed bytes that is not of an entry's form; for bytes that do not decode to one."""
     fields = Entry.__struct_fields__
     try:
@@ -111,12 +111,12 @@
         except msgspec.DecodeError:
             return EntryError(name, field, "not of its type")
         if field == "name":
-            name = shown(str(decoded))
+            name = printable(str(decoded))
     if len(values) > len(fields):
         return EntryError(name, fields[-1], "more fields than an entry has")
     return EntryError(name, fields[min(len(values), len(fields) - 1)], "missing")
 
 
-def shown(name: str) -> str:
+def printable(name: str) -> str:
     """A name as an error tells it: short, and printable."""
     return ascii(name[:120])[1:-1][:120] or "''"
--- a/brassweir/configstream/fleet.py
+++ b/brassweir/configstream/fleet.py
@@ -5,19 +5,19 @@
 from collections import deque
 from dataclasses import dataclass
 
-from brassweir.configstream.acknowledging import OLDER, Rows
-from brassweir.configstream.roster import Roster
+from brassweir.configstream.acknowledgements import OLDER_VERSIONS, Rows
+from brassweir.configstream.member_index import MemberIndex
 
-HISTORY = 64  # versions whose time is remembered, for saying how long a copy has been behind
+MAX_VERSIONS = 64  # versions whose time is remembered, for saying how long a copy has been behind
 
 
 @dataclass(frozen=True, slots=True)
-class Behind:
+class LaggingCopy:
     """A copy with an older version than the newest."""
 
     name: str
     version: int  # 0: none, or older than the versions that are told apart
-    ms: float  # since a version after that one was there, as far as this leader knows
+    lag_ms: float  # since a version after that one was there, as far as this leader knows
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,15 +28,15 @@
     newest: int
     copies: int
     in_force: int
-    behind: tuple[Behind, ...] = ()
-    unheard: tuple[str, ...] = ()
+    behind: tuple[LaggingCopy, ...] = ()
+    unreported: tuple[str, ...] = ()
 
 
-class Fleet:
+class FleetVersions:
     """Versions and since when they are there; copies and since when they are behind."""
 
     def __init__(self) -> None:
-        self.versions: deque[tuple[int, float]] = deque(maxlen=HISTORY)
+        self.versions: deque[tuple[int, float]] = deque(maxlen=MAX_VERSIONS)
         self.behind_since: dict[str, float] = {}
 
     @property
@@ -53,40 +53,40 @@
         """When a version after this one was there first."""
         return next((at for newer, at in self.versions if newer > version), now)
 
-    def update(self, rows: Rows, roster: Roster, now: float) -> None:
+    def update(self, rows: Rows, roster: MemberIndex, now: float) -> None:
         """Follow what copies say. A copy that is not heard of keeps the time since which it was behind."""
-        told_apart = [version for version, _ in rows if version != OLDER]
+        told_apart = [version for version, _ in rows if version != OLDER_VERSIONS]
         for version, bits in rows:
             if version >= self.newest:
-                self._current(roster, bits)
+                self._remove_current(roster, bits)
                 continue
-            lacked = version if version != OLDER or not told_apart else min(told_apart) - 1
+            lacked = version if version != OLDER_VERSIONS or not told_apart else min(told_apart) - 1
             at = self.superseded_at(lacked, now)
-            for name in roster.named(bits):
-                if version == OLDER:
+            for name in roster.names_in(bits):
+                if version == OLDER_VERSIONS:
                     self.behind_since.setdefault(name, at)
                 else:
                     self.behind_since[name] = at
 
-    def _current(self, roster: Roster, bits: int) -> None:
+    def _remove_current(self, roster: MemberIndex, bits: int) -> None:
         for name in list(self.behind_since):
             if roster.bit(name) & bits or name not in roster.positions:
                 del self.behind_since[name]
 
-    def view(self, rows: Rows, roster: Roster, leading: bool, now: float) -> FleetView:
+    def view(self, rows: Rows, roster: MemberIndex, leading: bool, now: float) -> FleetView:
         """As it stands by these rows."""
         self.update(rows, roster, now)
         heard = in_force = 0
-        behind: list[Behind] = []
+        behind: list[LaggingCopy] = []
         for version, bits in rows:
             heard |= bits
             if version >= self.newest:
                 in_force |= bits
                 continue
-            for name in roster.named(bits):
-                behind.append(Behind(name, version, now - self.behind_since.get(name, now)))
-        unheard = tuple(roster.named(roster.all & ~heard))
-        behind.sort(key=lambda one: (-one.ms, one.name))
+            for name in roster.names_in(bits):
+                behind.append(LaggingCopy(name, version, now - self.behind_since.get(name, now)))
+        unheard = tuple(roster.names_in(roster.all_bits & ~heard))
+        behind.sort(key=lambda one: (-one.lag_ms, one.name))
         return FleetView(
             leading, self.newest, len(roster.names), in_force.bit_count(), tuple(behind), unheard
         )
--- a/brassweir/configstream/preparation.py
+++ b/brassweir/configstream/preparation.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 
 from brassweir.configstream.catalog import Catalog, UnknownEntry
-from brassweir.configstream.checking import CheckError, Confirmation, check_entries, check_sums
-from brassweir.configstream.delta import Delta, DeltaError, Totals, unpack_first
+from brassweir.configstream.chunking import SortKey, sort_key
+from brassweir.configstream.delta import Delta, DeltaError, DeltaTotals, unpack_first
 from brassweir.configstream.entries import EntryError
-from brassweir.configstream.pieces import Key, key
+from brassweir.configstream.validation import Confirmation, InvalidChange, check_entries, check_limits
 
 
 @dataclass(frozen=True, slots=True)
 class _Span:
     """The first and the last name of a piece, in the order of pieces."""
 
-    first: Key
-    last: Key
+    first: SortKey
+    last: SortKey
 
 
 class Preparation:
@@ -30,8 +30,8 @@
     def __init__(self, catalog: Catalog) -> None:
         self.catalog = catalog
         self.spans: dict[int, _Span] = {}  # of the pieces that are in the draft
-        self._totals = Totals()
-        self._draft = catalog.draft()
+        self._totals = DeltaTotals()
+        self._draft = catalog.builder()
         self._usable = True
 
     def add(self, part: int, body: bytes) -> None:
@@ -42,16 +42,16 @@
             delta, rest = unpack_first(body, self._totals)
             check_entries(delta)
             self._draft.add(delta.changed, delta.removed)
-        except (DeltaError, EntryError, CheckError, UnknownEntry):
-            self._give_up()
+        except (DeltaError, EntryError, InvalidChange, UnknownEntry):
+            self._discard()
             return
         if rest or not delta:
-            self._give_up()
+            self._discard()
             return
         self.spans[part] = _span(delta)
 
-    def _give_up(self) -> None:
-        self._usable, self._draft = False, self.catalog.draft()
+    def _discard(self) -> None:
+        self._usable, self._draft = False, self.catalog.builder()
 
     def finish(self, catalog: Catalog, parts: int, confirmation: Confirmation) -> Catalog | None:
         """The next catalog after exactly these parts; None if it takes the whole check. Raises CheckError."""
@@ -60,11 +60,11 @@
         spans = [self.spans[part] for part in range(parts)]
         if any(before.last >= after.first for before, after in zip(spans, spans[1:], strict=False)):
             return None  # a name may stand twice
-        made = catalog.finish(self._draft)
-        check_sums(made, catalog.size, confirmation)
+        made = catalog.build(self._draft)
+        check_limits(made, catalog.size, confirmation)
         return made.catalog
 
 
 def _span(delta: Delta) -> _Span:
-    keys = [key(entry.name) for entry in delta.changed] + [key(name) for name in delta.removed]
+    keys = [sort_key(entry.name) for entry in delta.changed] + [sort_key(name) for name in delta.removed]
     return _Span(min(keys), max(keys))
--- a/brassweir/configstream/planning.py
+++ b/brassweir/configstream/publish_plan.py
@@ -12,51 +12,53 @@
 
 from brassweir.configstream import commands, delta
 from brassweir.configstream.catalog import Catalog
-from brassweir.configstream.checking import UNCONFIRMED, CheckError, Confirmation, check
-from brassweir.configstream.commands import MOST_PARTS, MOST_PIECE, Change, Commit, Stage
+from brassweir.configstream.chunking import split_delta
+from brassweir.configstream.commands import MAX_CHUNK_BYTES, MAX_CHUNKS, Change, Commit, Stage
 from brassweir.configstream.entries import Entry
-from brassweir.configstream.pieces import split
+from brassweir.configstream.validation import UNCONFIRMED, Confirmation, InvalidChange, apply_delta
 
 
-class Plan(msgspec.Struct, frozen=True):
+class PublishPlan(msgspec.Struct, frozen=True):
     """The commands that make one version of another."""
 
-    after: int  # the version that it was made from
+    base_version: int  # the version that it was made from
     digest: str  # of the catalog that it leads to
-    pieces: tuple[bytes, ...]  # staged first, in any order; none if the last command is a change by itself
-    last: bytes  # puts the version in force
+    stage_commands: tuple[
+        bytes, ...
+    ]  # staged first, in any order; none if the last command is a change by itself
+    final_command: bytes  # puts the version in force
     transfer: str  # the name of the pieces; empty without any
     changed: int  # entries
     removed: int
 
 
-def plan(
+def make_plan(
     version: int,
     catalog: Catalog,
     entries: Iterable[Entry],
     by: str,
     confirmation: Confirmation = UNCONFIRMED,
-) -> Plan | None:
+) -> PublishPlan | None:
     """From the version that is there to a whole list; None if it says what that does. Raises CheckError."""
     try:
-        difference = delta.difference(catalog, entries)
+        difference = delta.diff_entries(catalog, entries)
     except delta.DeltaError as error:
-        raise CheckError(error.field, str(error), error.endpoint) from None
+        raise InvalidChange(error.field, str(error), error.endpoint) from None
     if not difference:
         return None
-    digest = check(catalog, difference, confirmation).digest()
+    digest = apply_delta(catalog, difference, confirmation).digest()
     body = delta.pack(difference)
     counts = len(difference.changed), len(difference.removed)
-    if len(body) <= MOST_PIECE:
+    if len(body) <= MAX_CHUNK_BYTES:
         change = commands.encode(Change(version, body, digest, by, confirmation))
-        return Plan(version, digest, (), change, "", *counts)
-    bodies = split(difference, MOST_PIECE)
-    if len(bodies) > MOST_PARTS:
-        raise CheckError("size", f"{len(bodies)} pieces when packed; {MOST_PARTS} are the most")
+        return PublishPlan(version, digest, (), change, "", *counts)
+    bodies = split_delta(difference, MAX_CHUNK_BYTES)
+    if len(bodies) > MAX_CHUNKS:
+        raise InvalidChange("size", f"{len(bodies)} pieces when packed; {MAX_CHUNKS} are the most")
     transfer = _transfer(version, b"".join(bodies))
     pieces = tuple(commands.encode(Stage(transfer, part, piece)) for part, piece in enumerate(bodies))
     commit = commands.encode(Commit(transfer, version, len(bodies), digest, by, confirmation))
-    return Plan(version, digest, pieces, commit, transfer, *counts)
+    return PublishPlan(version, digest, pieces, commit, transfer, *counts)
 
 
 def _transfer(version: int, body: bytes) -> str:
--- a/brassweir/configstream/staleness.py
+++ b/brassweir/configstream/staleness.py
@@ -6,47 +6,47 @@
 
 from __future__ import annotations
 
-OUT_OF_CONTACT = 11_000.0  # ms: the time within which a change is to be in force everywhere
-NEVER = -1e18  # a time before all others
-DISTRUST = 1_000.0  # ms after a stall: messages that waited meanwhile tell an age that is too low
+MAX_STALENESS_MS = 11_000.0  # ms: the time within which a change is to be in force everywhere
+LONG_AGO_MS = -1e18  # a time before all others
+STALL_DISTRUST_MS = 1_000.0  # ms after a stall: messages that waited meanwhile tell an age that is too low
 
 
-class Knowledge:
+class StalenessTracker:
     """When this copy last surely knew all that was agreed."""
 
     def __init__(self) -> None:
-        self.known_at = NEVER
+        self.current_at = LONG_AGO_MS
         self._pending: tuple[int, float] | None = None  # agreed up to there at that time, and not here yet
-        self._trusted_from = NEVER
+        self._trusted_from = LONG_AGO_MS
 
-    def stalled(self, now: float) -> None:
+    def note_stall(self, now: float) -> None:
         """This copy was away until now: what it finds waiting is old."""
-        self._trusted_from = now + DISTRUST
+        self._trusted_from = now + STALL_DISTRUST_MS
 
-    def hear(self, commit: int, at: float, now: float) -> None:
+    def note_commit(self, commit: int, at: float, now: float) -> None:
         """A leader led at ``at``, and all up to ``commit`` was agreed then."""
         if now >= self._trusted_from and self._pending is None:
             self._pending = (commit, at)
 
-    def reach(self, agreed: int) -> None:
+    def note_reached(self, agreed: int) -> None:
         """All up to ``agreed`` is known here."""
         if self._pending is not None and agreed >= self._pending[0]:
-            self.known_at = max(self.known_at, self._pending[1])
+            self.current_at = max(self.current_at, self._pending[1])
             self._pending = None
 
-    def lead(self, at: float) -> None:
+    def note_leadership(self, at: float) -> None:
         """This copy surely led at ``at``: a quorum had answered it since then."""
-        self.known_at = max(self.known_at, at)
+        self.current_at = max(self.current_at, at)
 
-    def age(self, now: float) -> float:
+    def age_ms(self, now: float) -> float:
         """Ms since then."""
-        return now - self.known_at
+        return now - self.current_at
 
-    def out_of_contact(self, now: float) -> bool:
+    def is_stale(self, now: float) -> bool:
         """Is what is known here too old to speak of what is in force?"""
-        return self.age(now) > OUT_OF_CONTACT
+        return self.age_ms(now) > MAX_STALENESS_MS
 
 
-def quorum_heard(heard: list[float], quorum: int) -> float:
+def quorum_contact_time(heard: list[float], quorum: int) -> float:
     """Since when a quorum has surely been in touch: the ``quorum``-th latest of the times they were heard."""
-    return sorted(heard, reverse=True)[quorum - 1] if 0 < quorum <= len(heard) else NEVER
+    return sorted(heard, reverse=True)[quorum - 1] if 0 < quorum <= len(heard) else LONG_AGO_MS
--- a/brassweir/configstream/checking.py
+++ b/brassweir/configstream/validation.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from brassweir.configstream.catalog import Advance, Catalog, UnknownEntry
-from brassweir.configstream.delta import MOST_ENTRIES, Delta, DeltaError, unpack
-from brassweir.configstream.entries import EntryError, shown, validate
+from brassweir.configstream.catalog import Catalog, CatalogUpdate, UnknownEntry
+from brassweir.configstream.delta import MAX_ENTRIES, Delta, DeltaError, unpack
+from brassweir.configstream.entries import EntryError, printable, validate
 
-MOST_REMOVED = 0.1  # of all entries, by one change without an operator's word
-MOST_LENGTH = 32 << 20  # bytes of a catalog's entries before compression
+MAX_REMOVED_FRACTION = 0.1  # of all entries, by one change without an operator's word
+MAX_ENTRIES_BYTES = 32 << 20  # bytes of a catalog's entries before compression
 
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 30)]
 
@@ -30,22 +30,24 @@
 UNCONFIRMED = Confirmation()
 
 
-class CheckError(ValueError):
+class InvalidChange(ValueError):
     """A change that must not be made: which field stands against it, and why; the endpoint if it is one's."""
 
     def __init__(self, field: str, why: str, endpoint: str = "") -> None:
         super().__init__(f"{field}: {why}")
-        self.field, self.why, self.endpoint = field, why, endpoint
+        self.field, self.reason, self.endpoint = field, why, endpoint
 
 
-def check(catalog: Catalog, delta: Delta, confirmation: Confirmation = UNCONFIRMED) -> Catalog:
+def apply_delta(catalog: Catalog, delta: Delta, confirmation: Confirmation = UNCONFIRMED) -> Catalog:
     """The next catalog. Raises CheckError; the one that is there is never changed."""
     check_entries(delta)
     try:
-        made = catalog.advance(delta.changed, delta.removed)
+        made = catalog.apply(delta.changed, delta.removed)
     except UnknownEntry as error:
-        raise CheckError("name", f"endpoint {shown(error.args[0])} is not there to be removed") from None
-    check_sums(made, catalog.size, confirmation)
+        raise InvalidChange(
+            "name", f"endpoint {printable(error.args[0])} is not there to be removed"
+        ) from None
+    check_limits(made, catalog.size, confirmation)
     return made.catalog
 
 
@@ -56,57 +58,59 @@
         try:
             validate(entry)
         except EntryError as error:
-            raise CheckError("entry", str(error), entry.name) from None
+            raise InvalidChange("entry", str(error), entry.name) from None
 
 
-def check_sums(made: Advance, size: int, confirmation: Confirmation) -> None:
+def check_limits(made: CatalogUpdate, size: int, confirmation: Confirmation) -> None:
     """What a change of a catalog of that size adds up to. Raises CheckError."""
     _check_size(made.catalog)
     _check_removed(made.removed, size, confirmation)
     _check_unserved(made.unserved, confirmation)
 
 
-def check_packed(catalog: Catalog, body: bytes, confirmation: Confirmation = UNCONFIRMED) -> Catalog:
+def apply_packed_delta(catalog: Catalog, body: bytes, confirmation: Confirmation = UNCONFIRMED) -> Catalog:
     """The same of a packed delta. Raises CheckError."""
     try:
         delta = unpack(body)
     except EntryError as error:
-        raise CheckError("entry", str(error), error.name) from None
+        raise InvalidChange("entry", str(error), error.name) from None
     except DeltaError as error:
-        raise CheckError(error.field, str(error)) from None
-    return check(catalog, delta, confirmation)
+        raise InvalidChange(error.field, str(error)) from None
+    return apply_delta(catalog, delta, confirmation)
 
 
 def _check_names(delta: Delta) -> None:
     seen: set[str] = set()
     for name in (*(entry.name for entry in delta.changed), *delta.removed):
         if name in seen:
-            raise CheckError("name", f"endpoint {shown(name)} stands more than once", name)
+            raise InvalidChange("name", f"endpoint {printable(name)} stands more than once", name)
         seen.add(name)
 
 
 def _check_size(catalog: Catalog) -> None:
-    if catalog.size > MOST_ENTRIES:
-        raise CheckError("size", f"{catalog.size} endpoints; {MOST_ENTRIES} are the most")
-    if catalog.length > MOST_LENGTH:
-        raise CheckError("size", f"{catalog.length} bytes of endpoints; {MOST_LENGTH} are the most")
+    if catalog.size > MAX_ENTRIES:
+        raise InvalidChange("size", f"{catalog.size} endpoints; {MAX_ENTRIES} are the most")
+    if catalog.plain_bytes > MAX_ENTRIES_BYTES:
+        raise InvalidChange(
+            "size", f"{catalog.plain_bytes} bytes of endpoints; {MAX_ENTRIES_BYTES} are the most"
+        )
 
 
 def _check_removed(removed: int, size: int, confirmation: Confirmation) -> None:
-    if removed <= MOST_REMOVED * size or removed == confirmation.removed:
+    if removed <= MAX_REMOVED_FRACTION * size or removed == confirmation.removed:
         return
-    raise CheckError(
+    raise InvalidChange(
         "removed",
         f"{removed} of {size} endpoints would be removed at once, and {confirmation.removed} are confirmed; "
-        f"without a word at most {MOST_REMOVED:.0%}",
+        f"without a word at most {MAX_REMOVED_FRACTION:.0%}",
     )
 
 
 def _check_unserved(unserved: tuple[str, ...], confirmation: Confirmation) -> None:
     if not unserved or len(unserved) == confirmation.destinations:
         return
-    names = ", ".join(shown(name) for name in unserved[:3])
-    raise CheckError(
+    names = ", ".join(printable(name) for name in unserved[:3])
+    raise InvalidChange(
         "destinations",
         f"{len(unserved)} would be left with no endpoint, and {confirmation.destinations} are confirmed: "
         f"{names}{', ...' if len(unserved) > 3 else ''}",
--- a/brassweir/lab/between/configuration_guards.py
+++ b/brassweir/lab/between/configuration_guards.py
@@ -14,11 +14,11 @@
     def change(self: ConfiguredMachine, index: int, given: Any, body: bytes) -> Result:
         there, delta = self.configuration, unpack(body)
         removed = [name for name in delta.removed if there.catalog.get(name) is not None]
-        there.catalog = there.catalog.advance(delta.changed, removed).catalog
+        there.catalog = there.catalog.apply(delta.changed, removed).catalog
         there.version, there.by = index, given.by
         return Result(True, index)
 
-    ConfiguredMachine._change = change  # type: ignore[method-assign]
+    ConfiguredMachine._apply_change = change  # type: ignore[method-assign]
 
 
 def half_a_version() -> None:
@@ -28,29 +28,29 @@
     from brassweir.configstream.delta import unpack
     from brassweir.configstream.machine import ConfiguredMachine
 
-    right = ConfiguredMachine._change
+    right = ConfiguredMachine._apply_change
 
     def change(self: ConfiguredMachine, index: int, given: Any, body: bytes) -> Result:
         there = self.configuration
         if not isinstance(given, Commit) or given.after != there.version:
             return right(self, index, given, body)
         changed = unpack(body).changed
-        there.catalog = there.catalog.advance(changed[: len(changed) // 2], ()).catalog
+        there.catalog = there.catalog.apply(changed[: len(changed) // 2], ()).catalog
         there.staging.clear()
         there.version, there.by = index, given.by
         return Result(True, index)
 
-    ConfiguredMachine._change = change  # type: ignore[method-assign]
+    ConfiguredMachine._apply_change = change  # type: ignore[method-assign]
 
 
 def nothing_checked() -> None:
     """No entry is validated, and nothing has to be confirmed."""
-    from brassweir.configstream import checking
+    from brassweir.configstream import validation
     from brassweir.service import editedlist
 
-    checking.validate = lambda entry: None  # type: ignore[attr-defined]
-    checking._check_removed = lambda *given: None
-    checking._check_unserved = lambda *given: None
+    validation.validate = lambda entry: None  # type: ignore[attr-defined]
+    validation._check_removed = lambda *given: None
+    validation._check_unserved = lambda *given: None
     editedlist.validate = lambda entry: None  # type: ignore[attr-defined]
 
 
--- a/brassweir/lab/between/configuration_rig.py
+++ b/brassweir/lab/between/configuration_rig.py
@@ -25,7 +25,7 @@
 from brassweir.lab.between.seen import Told
 from brassweir.lab.between.sites import Stand
 from brassweir.lab.rigs.handle import free_port
-from brassweir.regions.planning import first, handed_over
+from brassweir.regions.planning import first_epoch, handed_over
 
 STANDS = tuple(
     Stand(f"{role}{number}", f"site-{site}", region, role == "c")
@@ -84,7 +84,7 @@
         (self.folder / "edge.key").write_text("a key of the rig\n")
         now = time.time() * 1000.0
         regions = {one.region: f"http://127.0.0.1/{one.region}" for one in STANDS}
-        epoch = handed_over(first(regions, now, LEASE), now)
+        epoch = handed_over(first_epoch(regions, now, LEASE), now)
         (self.folder / "first_epoch.json").write_bytes(msgspec.json.encode(epoch))
         for stand in STANDS:
             self._write(f"{stand.name}.copies.yaml", self._copies_of(stand.name))
--- a/brassweir/lab/between/edits.py
+++ b/brassweir/lab/between/edits.py
@@ -37,7 +37,7 @@
 
     def digest(self) -> str:
         """As copies show it."""
-        return EMPTY.advance(self.entries.values(), ()).catalog.digest()
+        return EMPTY.apply(self.entries.values(), ()).catalog.digest()
 
     def of(self, name: str) -> set[str]:
         """The endpoints of a destination that are not gone."""
--- a/brassweir/lab/between/guards.py
+++ b/brassweir/lab/between/guards.py
@@ -10,19 +10,19 @@
 
 def digest_not_checked() -> None:
     """Every sealed message opens, also one that was spoilt on its way."""
-    from brassweir.peers.wire import Keys
+    from brassweir.peers.envelope import Keys
 
-    Keys.fits = lambda self, digest, data: True  # type: ignore[method-assign]
+    Keys.verify = lambda self, digest, data: True  # type: ignore[method-assign]
 
 
 def vote_not_durable() -> None:
     """Terms and votes are not written down: a copy killed after it voted has forgotten that."""
-    from brassweir.agreed.state import State
+    from brassweir.agreed.core_state import CoreState
 
-    def write_ballot(self: State, term: int, vote: str) -> None:
+    def write_ballot(self: CoreState, term: int, vote: str) -> None:
         self.term, self.vote = term, vote
 
-    State.write_ballot = write_ballot  # type: ignore[method-assign]
+    CoreState.write_ballot = write_ballot  # type: ignore[method-assign]
 
 
 def two_decide() -> None:
@@ -34,29 +34,29 @@
 
 def entries_not_durable() -> None:
     """New entries are acknowledged and not written down."""
-    from brassweir.agreed.records import Added, Record
-    from brassweir.agreed.state import State
+    from brassweir.agreed.core_state import CoreState
+    from brassweir.agreed.records import LogAppend, Record
 
-    right = State.write
+    right = CoreState.write
 
-    def write(self: State, record: Record) -> None:
-        if not isinstance(record, Added):
+    def write(self: CoreState, record: Record) -> None:
+        if not isinstance(record, LogAppend):
             right(self, record)
 
-    State.write = write  # type: ignore[method-assign]
+    CoreState.write = write  # type: ignore[method-assign]
 
 
 def lease_not_kept() -> None:
     """Grants are used past their lease."""
-    from brassweir.regions.ownership import NotHere, Ownership, Why
+    from brassweir.regions.ownership import Ownership, OwnershipRefusal, Reason
 
-    right = Ownership.may
+    right = Ownership.refusal
 
-    def may(self: Ownership, *args: Any) -> NotHere | None:
+    def may(self: Ownership, *args: Any) -> OwnershipRefusal | None:
         found = right(self, *args)
-        return None if found is not None and found.why is Why.LAPSED else found
+        return None if found is not None and found.reason is Reason.LAPSED else found
 
-    Ownership.may = may  # type: ignore[method-assign,assignment]
+    Ownership.refusal = may  # type: ignore[method-assign,assignment]
 
 
 GUARDS: dict[str, Callable[[], None]] = {
--- a/brassweir/lab/between/launch.py
+++ b/brassweir/lab/between/launch.py
@@ -66,7 +66,7 @@
     """Let the agreed log have a snapshot every so many entries, and keep half as many behind it."""
     from brassweir.agreed import timing
 
-    timing.SNAP_EVERY, timing.KEEP = int(every), int(every) // 2
+    timing.SNAPSHOT_ENTRIES, timing.KEPT_ENTRIES = int(every), int(every) // 2
 
 
 HOOKS: dict[str, Callable[[str], None]] = {CLOCK: set_clock, FULL: set_disk, SNAP: set_snapshots}
--- a/brassweir/lab/between/rig.py
+++ b/brassweir/lab/between/rig.py
@@ -29,8 +29,8 @@
 from brassweir.lab.rigs.handle import Handle, free_port
 from brassweir.lab.rigs.plan import FleetPlan
 from brassweir.regions.epochs import PLACES, parse
-from brassweir.regions.ownership import Assumed
-from brassweir.regions.planning import first, handed_over, moved
+from brassweir.regions.ownership import Assumptions
+from brassweir.regions.planning import first_epoch, handed_over, moved
 
 CLOCK_ERROR = 500.0  # ms that a copy's clock may be off
 ASKS_ON = 13_000.0  # ms for which a client asks for an answer: its message's time, its patience, and one more
@@ -96,7 +96,7 @@
         (self.folder / "peers.key").write_bytes(KEY)
         now = time.time() * 1000.0
         regions = {one.region: f"http://127.0.0.1/{one.region}" for one in self.stands}
-        epoch = handed_over(first(regions, now, LEASE), now)
+        epoch = handed_over(first_epoch(regions, now, LEASE), now)
         (self.folder / "first_epoch.json").write_bytes(msgspec.json.encode(epoch))
         await super().set_up()
         self.start = self.relay.start = time.time()
@@ -209,7 +209,7 @@
         known = [parse(copy.epoch.read_bytes()) for copy in self.copies if copy.epoch.exists()]
         if known:
             newest = max(known, key=lambda one: (one.number, one.issued))
-            assumed = Assumed(CLOCK_ERROR, LONGEST * 1000.0, ASKS_ON)
+            assumed = Assumptions(CLOCK_ERROR, LONGEST * 1000.0, ASKS_ON)
             made = moved(newest, 0, PLACES, region, time.time() * 1000.0, LEASE, assumed).epoch
             (self.folder / "first_epoch.json").write_bytes(msgspec.json.encode(made))
             for copy in self.copies:
--- a/brassweir/lab/models/configbaseline.py
+++ b/brassweir/lab/models/configbaseline.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from brassweir.agreed.commands import result
+from brassweir.agreed.commands import decode_result
 from brassweir.configstream import delta
 from brassweir.configstream.catalog import Catalog
 from brassweir.configstream.entries import Entry
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.planning import plan
+from brassweir.configstream.publish_plan import make_plan
 from brassweir.lab.models.configfounding import Founding
 from brassweir.lab.models.configjudge import List
 
@@ -86,18 +86,18 @@
         before = machine.configuration.catalog
         lines = json_lines(entries)
         lines_size += len(lines)
-        lines_cpu += timed(lambda data=lines, old=before: delta.difference(old, read_lines(data)))  # type: ignore[misc]
+        lines_cpu += timed(lambda data=lines, old=before: delta.diff_entries(old, read_lines(data)))  # type: ignore[misc]
         version = machine.configuration.version
-        made = plan(version, before, entries.values(), "c4")
+        made = make_plan(version, before, entries.values(), "c4")
         assert made is not None
-        for command in (*made.pieces, made.last):
+        for command in (*made.stage_commands, made.final_command):
             index += 1
             delta_size += len(command)
             delta_cpu += timed(lambda at=index, one=command: apply(machine, at, one))  # type: ignore[misc]
         delta_cpu += timed(lambda since=version: machine.changes_since(since))  # type: ignore[misc]
         packed = machine.configuration.catalog.pack()
         packed_size += len(packed)
-        packed_cpu += timed(lambda data=packed, old=before: delta.between(old, Catalog.unpack(data)))  # type: ignore[misc]
+        packed_cpu += timed(lambda data=packed, old=before: delta.diff_catalogs(old, Catalog.unpack(data)))  # type: ignore[misc]
     count = len(lists)
     return [
         way("whole list, JSON lines", lines_size / count, lines_cpu / count),
@@ -108,6 +108,6 @@
 
 def apply(machine: ConfiguredMachine, index: int, command: bytes) -> None:
     """Carry a command out, which must be accepted."""
-    came = result(machine.apply(index, command))
+    came = decode_result(machine.apply(index, command))
     if not came.ok:
         raise AssertionError(f"{came.field}: {came.why}")
