--- a/brassweir/lab/models/configfloor.py
+++ b/brassweir/lab/models/configfloor.py
@@ -15,21 +15,21 @@
 import msgspec
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import (
+from brassweir.agreed.events import (
     Applied,
-    Copies,
-    Fact,
-    InForce,
-    Post,
+    Completed,
+    CopiesChanged,
+    Event,
     Received,
     Restored,
-    Told,
+    Send,
+    VersionInForce,
     WakeAt,
     Write,
     Written,
 )
 from brassweir.agreed.messages import Envelope, encode
-from brassweir.agreed.records import Kept
+from brassweir.agreed.records import Persisted
 from brassweir.configstream.machine import ConfiguredMachine
 from brassweir.lab.models.configfleet import Fleet
 from brassweir.lab.models.configfolder import Folder, RecordFolder, StoreFolder
@@ -53,7 +53,7 @@
         make: Callable[[], ConfiguredMachine],
         core: type[Core],
         judge: Judge,
-        kept: Callable[[str], Kept],
+        kept: Callable[[str], Persisted],
     ) -> None:
         """``kept``: what each copy's folder holds at the beginning."""
         self.fleet, self.seed, self.make, self.core_type, self.judge = fleet, seed, make, core, judge
@@ -101,7 +101,7 @@
         self.judge.started(name, node.core)
         node.module, node.turning = DecisionModel(machine, self.memo), False
         self.wake_module(node)
-        self.give(name, Copies(self.fleet.names))
+        self.give(name, CopiesChanged(self.fleet.names))
 
     def crash(self, name: str, down: float = START) -> None:
         """Its machine stops, and is started again after ``down`` ms unless that is below 0."""
@@ -129,7 +129,7 @@
             self.give(name, *facts)
             self.wake_module(node)
 
-    def give(self, name: str, *facts: Fact) -> None:
+    def give(self, name: str, *facts: Event) -> None:
         """Let it step."""
         node = self.nodes[name]
         core = node.core
@@ -145,7 +145,7 @@
         moved = False
         for step in steps:
             match step:
-                case Post():
+                case Send():
                     self.send(name, step)
                 case Write():
                     node.writes.append(step)
@@ -161,16 +161,16 @@
                     moved = True
                     self.share_snapshot(core)
                     self.judge.restored(name, step.index)
-                case Told():
+                case Completed():
                     self.told(name, step)
-        if core.broken:
-            raise Broken(f"core: {name} broke down: {core.broken}")
+        if core.write_error:
+            raise Broken(f"core: {name} broke down: {core.write_error}")
         if moved:
             assert node.machine is not None
             self.judge.state(name, node.machine.configuration)
             self.wake_module(node)
 
-    def told(self, name: str, step: Told) -> None:
+    def told(self, name: str, step: Completed) -> None:
         """What a proposer at this copy is told."""
 
     def wake(self, name: str, start: int, at: float) -> None:
@@ -181,10 +181,10 @@
 
     def share_snapshot(self, core: Core) -> None:
         """Copies that took the same snapshot hold its bytes once."""
-        if core.snap is not None:
-            state = core.snap.state
-            state = self.snapshots.setdefault((core.snap.index, hash(state)), state)
-            core.snap = msgspec.structs.replace(core.snap, state=state)
+        if core.snapshot is not None:
+            state = core.snapshot.state
+            state = self.snapshots.setdefault((core.snapshot.index, hash(state)), state)
+            core.snapshot = msgspec.structs.replace(core.snapshot, state=state)
 
     # The decision module
 
@@ -204,7 +204,7 @@
             for event in node.module.turn():
                 self.judge.module(name, event, self.now)
                 if isinstance(event, ToldAll):
-                    self.give(name, InForce(event.version))
+                    self.give(name, VersionInForce(event.version))
         if node.module is not None and node.module.busy:
             self.wake_module(node)
 
@@ -229,7 +229,7 @@
 
     # The network
 
-    def send(self, sender: str, post: Post) -> None:
+    def send(self, sender: str, post: Send) -> None:
         """Carry a message, or not."""
         size = len(encode(post.envelope))
         traffic = self.nodes[sender].traffic
--- a/brassweir/lab/models/configfolder.py
+++ b/brassweir/lab/models/configfolder.py
@@ -10,8 +10,8 @@
 from random import Random
 from typing import Protocol
 
-from brassweir.agreed.facts import Write
-from brassweir.agreed.records import Identity, Kept, Record
+from brassweir.agreed.events import Write
+from brassweir.agreed.records import Identity, Persisted, Record
 from brassweir.agreed.store import MAGIC, Store, frame
 from brassweir.lab.simulated.disk import SimStorage
 
@@ -19,7 +19,7 @@
 class Folder(Protocol):
     """What a copy finds at its start, and writes."""
 
-    def open(self, rng: Random) -> Kept:
+    def open(self, rng: Random) -> Persisted:
         """Count a run in it, durably, and say what it holds."""
 
     def write(self, writes: list[Write]) -> None:
@@ -34,7 +34,7 @@
 
 def merged(writes: list[Write]) -> tuple[tuple[Record, ...] | None, tuple[Record, ...]]:
     """Several writes as one: records that stand in place of all before, if any, and those added to them."""
-    last_whole = max((i for i, write in enumerate(writes) if write.whole), default=-1)
+    last_whole = max((i for i, write in enumerate(writes) if write.replaces_all), default=-1)
     added = tuple(record for write in writes[last_whole + 1 :] for record in write.records)
     return (writes[last_whole].records if last_whole >= 0 else None), added
 
@@ -42,23 +42,23 @@
 class RecordFolder:
     """Durable records in memory; what they refer to is shared with whoever else holds it."""
 
-    def __init__(self, kept: Kept | None = None) -> None:
-        self.kept = kept or Kept()
+    def __init__(self, kept: Persisted | None = None) -> None:
+        self.kept = kept or Persisted()
 
-    def open(self, rng: Random) -> Kept:
+    def open(self, rng: Random) -> Persisted:
         """Count a run in it."""
         old = self.kept.identity
         member = old.member or f"{rng.getrandbits(64):016x}"
-        self.kept.identity = Identity(member, old.group, old.life + 1, rng.getrandbits(32))
+        self.kept.identity = Identity(member, old.group, old.generation + 1, rng.getrandbits(32))
         return self._copy()
 
     def write(self, writes: list[Write]) -> None:
         """Add to the list."""
         whole, added = merged(writes)
         if whole is not None:
-            self.kept = Kept()
-            self.kept.take(whole)
-        self.kept.take(added)
+            self.kept = Persisted()
+            self.kept.replay(whole)
+        self.kept.replay(added)
 
     def crash(self, rng: Random) -> None:
         """Nothing of it was torn."""
@@ -67,8 +67,10 @@
         """A copy."""
         return RecordFolder(self._copy())
 
-    def _copy(self) -> Kept:
-        return replace(self.kept, entries=list(self.kept.entries), memory=dict(self.kept.memory))
+    def _copy(self) -> Persisted:
+        return replace(
+            self.kept, entries=list(self.kept.entries), member_records=dict(self.kept.member_records)
+        )
 
 
 class StoreFolder:
@@ -79,15 +81,15 @@
         self.store: Store | None = None
 
     @staticmethod
-    def holding(kept: Kept) -> StoreFolder:
+    def holding(kept: Persisted) -> StoreFolder:
         """A folder that was written before."""
-        base = MAGIC + frame(0, tuple(kept.records()))
+        base = MAGIC + frame(0, tuple(kept.to_records()))
         return StoreFolder(SimStorage({"base-1": base, "log-1": MAGIC}))
 
-    def open(self, rng: Random) -> Kept:
+    def open(self, rng: Random) -> Persisted:
         """Open the store anew."""
         self.store = Store(self.disk, rng)
-        return self.store.kept
+        return self.store.persisted
 
     def write(self, writes: list[Write]) -> None:
         """As the member's thread does."""
--- a/brassweir/lab/models/configfounding.py
+++ b/brassweir/lab/models/configfounding.py
@@ -6,11 +6,11 @@
 
 from brassweir.agreed import commands as level1
 from brassweir.agreed.messages import Membership
-from brassweir.agreed.records import Ballot, Base, Identity, Kept, Snapshot
+from brassweir.agreed.records import Ballot, Base, Identity, Persisted, Snapshot
 from brassweir.agreed.replica import Replica
 from brassweir.configstream.entries import Entry
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.planning import plan
+from brassweir.configstream.publish_plan import make_plan
 from brassweir.lab.models.configfleet import Fleet
 
 GROUP = "0123456789abcdef"
@@ -26,9 +26,9 @@
         for name, place in fleet.places.items():
             self._apply(machine, level1.encode(level1.Join(name, place.zone, place.region, machine.level)))
         self._apply(machine, level1.encode(level1.Format(machine.level)))
-        made = plan(0, machine.configuration.catalog, entries, "operator")
+        made = make_plan(0, machine.configuration.catalog, entries, "operator")
         assert made is not None
-        for command in (*made.pieces, made.last):
+        for command in (*made.stage_commands, made.final_command):
             self._apply(machine, command)
         self.version = machine.configuration.version
         members = tuple(sorted((name, self.member(name)) for name in fleet.voters))
@@ -37,7 +37,7 @@
 
     def _apply(self, machine: ConfiguredMachine, command: bytes) -> None:
         self.index += 1
-        result = level1.result(machine.apply(self.index, command))
+        result = level1.decode_result(machine.apply(self.index, command))
         if not result.ok:
             raise AssertionError(f"{result.field}: {result.why}")
 
@@ -45,10 +45,10 @@
         """The member id of a copy."""
         return f"{name:0>16}"
 
-    def kept(self, name: str) -> Kept:
+    def kept(self, name: str) -> Persisted:
         """What a copy's folder holds."""
         snap = self.snapshot
-        return Kept(
+        return Persisted(
             Identity(self.member(name), GROUP, 1, 1),
             Ballot(TERM, ""),
             Base(snap.index, snap.term, snap.membership, snap.membership_at),
--- a/brassweir/lab/models/configjudge.py
+++ b/brassweir/lab/models/configjudge.py
@@ -9,11 +9,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from brassweir.agreed.commands import result as read_result
+from brassweir.agreed.commands import decode_result as read_result
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Applied, Post
-from brassweir.agreed.messages import Append
-from brassweir.agreed.timing import MOST_BODY
+from brassweir.agreed.events import Applied, Send
+from brassweir.agreed.messages import AppendEntries
+from brassweir.agreed.timing import MAX_BODY_BYTES
 from brassweir.configstream.catalog import Catalog
 from brassweir.configstream.entries import Entry
 from brassweir.lab.models.configmodule import Configuration, Item, ModuleEvent, ToldAll, ToldItems
@@ -73,9 +73,11 @@
 
     def started(self, name: str, core: Core) -> None:
         """A run begins from its folder; what it had applied must be in it."""
-        if core.firm < self.ever_applied.get(name, 0):
-            raise Broken(f"never back: {name} had {self.ever_applied[name]} and starts with {core.firm}")
-        self.applied_to[name] = core.applied
+        if core.durable_commit < self.ever_applied.get(name, 0):
+            raise Broken(
+                f"never back: {name} had {self.ever_applied[name]} and starts with {core.durable_commit}"
+            )
+        self.applied_to[name] = core.applied_index
         self.hearings[name] = Hearing()
 
     def stopped(self, name: str) -> None:
@@ -88,14 +90,14 @@
 
     # Messages
 
-    def sent(self, sender: str, post: Post, size: int) -> None:
+    def sent(self, sender: str, post: Send, size: int) -> None:
         """One leader a term; no message too large."""
         message = post.envelope.body
-        if isinstance(message, Append):
+        if isinstance(message, AppendEntries):
             other = self.leads.setdefault(message.term, sender)
             if other != sender:
                 raise Broken(f"one leader: in term {message.term} {other} and {sender}")
-        if size > MOST_BODY:
+        if size > MAX_BODY_BYTES:
             raise Broken(f"size: {sender} sent {size} bytes of {type(message).__name__}")
 
     # The log
--- a/brassweir/lab/models/configmodule.py
+++ b/brassweir/lab/models/configmodule.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from brassweir.configstream.catalog import Catalog
-from brassweir.configstream.delta import Delta, difference
+from brassweir.configstream.delta import Delta, diff_entries
 from brassweir.configstream.entries import Entry
 from brassweir.lab.models.configfleet import DRAINING
 
@@ -85,7 +85,7 @@
         """Items in order. The catalogs are kept, so that their ids stay theirs."""
         key = (id(old), id(new))
         if key not in self.found:
-            self.found[key] = (old, new, ordered(difference(old, new.entries())))
+            self.found[key] = (old, new, ordered(diff_entries(old, new.entries())))
         return self.found[key][2]
 
 
--- a/brassweir/lab/models/confignode.py
+++ b/brassweir/lab/models/confignode.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Fact, Write
+from brassweir.agreed.events import Event, Write
 from brassweir.configstream.machine import ConfiguredMachine
 from brassweir.lab.models.configfleet import Fleet
 from brassweir.lab.models.configfolder import Folder
@@ -68,5 +68,5 @@
     writing: bool = False
     turning: bool = False  # a loop turn of the module is due
     stalled: float = 0.0
-    inbox: list[Fact] = field(default_factory=list)
+    inbox: list[Event] = field(default_factory=list)
     traffic: Traffic = field(default_factory=Traffic)
--- a/brassweir/lab/models/configoperator.py
+++ b/brassweir/lab/models/configoperator.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brassweir.agreed import facts as agreed
-from brassweir.agreed.commands import result
-from brassweir.configstream import publishing
-from brassweir.configstream.planning import plan
-from brassweir.configstream.publishing import Ended, Publishing
+from brassweir.agreed import events as agreed
+from brassweir.agreed.commands import decode_result
+from brassweir.configstream import publication
+from brassweir.configstream.publication import ProposalEnded, Publication
+from brassweir.configstream.publish_plan import make_plan
 from brassweir.lab.models.configjudge import Expected, List
 from brassweir.lab.models.confignode import Node
 
@@ -29,8 +29,8 @@
     accepted_at: float = -1.0
     version: int = 0
     refused: str = ""
-    ended: list[Ended] = field(default_factory=list)  # not told to the publishing core yet
-    publishing: Publishing | None = None
+    ended: list[ProposalEnded] = field(default_factory=list)  # not told to the publishing core yet
+    publishing: Publication | None = None
 
     @property
     def over(self) -> bool:
@@ -44,7 +44,7 @@
     def __init__(
         self,
         node: Node,
-        give: Callable[[agreed.Fact], None],
+        give: Callable[[agreed.Event], None],
         at: Callable[[float, Callable[[], None]], None],
         expected: dict[bytes, Expected],
     ) -> None:
@@ -65,13 +65,13 @@
         self.tend(now)
         return submission
 
-    def told(self, step: agreed.Told, now: float) -> None:
+    def told(self, step: agreed.Completed, now: float) -> None:
         """How a proposal ended."""
         submission, number = self.tickets.pop(step.ticket, (None, 0))
         if submission is not None:
             outcome = step.outcome
-            came = result(outcome.result) if outcome.how is agreed.How.AGREED else None
-            submission.ended.append(Ended(number, outcome.how, came, outcome.why))
+            came = decode_result(outcome.result) if outcome.how is agreed.OutcomeKind.AGREED else None
+            submission.ended.append(ProposalEnded(number, outcome.how, came, outcome.why))
             self.tend(now)
 
     def tend(self, now: float) -> None:
@@ -88,33 +88,33 @@
         assert machine is not None
         there = machine.configuration
         if submission.publishing is None:
-            made = plan(there.version, there.catalog, submission.entries.values(), PROPOSER)
+            made = make_plan(there.version, there.catalog, submission.entries.values(), PROPOSER)
             if made is None:
                 submission.refused = "nothing changed"
                 return
-            submission.commands = len(made.pieces) + 1
-            submission.publishing = Publishing(made, self.now)
-            self.expected[made.last] = Expected(submission.entries, there.version)
+            submission.commands = len(made.stage_commands) + 1
+            submission.publishing = Publication(made, self.now)
+            self.expected[made.final_command] = Expected(submission.entries, there.version)
         ended, submission.ended = tuple(submission.ended), []
-        known = publishing.Facts(machine.state.level, there.version, there.catalog.digest(), ended)
+        known = publication.PublishInputs(machine.state.level, there.version, there.catalog.digest(), ended)
         for step in submission.publishing.step(self.now, known):
             self._carry_out(submission, step)
 
-    def _carry_out(self, submission: Submission, step: publishing.Step) -> None:
+    def _carry_out(self, submission: Submission, step: publication.Action) -> None:
         match step:
-            case publishing.Propose():
+            case publication.Propose():
                 self._propose(submission, step.number, step.command)
-            case publishing.Forget():
+            case publication.ProposeAbandon():
                 self._propose(None, 0, step.command)
-            case publishing.Done():
+            case publication.Published():
                 submission.accepted_at, submission.version = self.now, step.version
                 self._call_soon(0.0)
-            case publishing.Refused():
-                submission.refused = f"{step.field}: {step.why}"
-            case publishing.Superseded():
-                submission.refused = step.why
-            case publishing.Wait():
-                self._call_soon(step.span)
+            case publication.Rejected():
+                submission.refused = f"{step.field}: {step.reason}"
+            case publication.Superseded():
+                submission.refused = step.reason
+            case publication.Wait():
+                self._call_soon(step.wait_ms)
 
     def _propose(self, submission: Submission | None, number: int, command: bytes) -> None:
         self.ticket += 1
--- a/brassweir/lab/models/configplan.py
+++ b/brassweir/lab/models/configplan.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from brassweir.agreed.core import Core
+from brassweir.configstream.catalog_source import CachingCatalogSource
 from brassweir.configstream.core import ConfiguredCore
 from brassweir.configstream.entries import Entry
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.sharing import Shared
 from brassweir.lab.models.configfleet import DRAINING, ENTRIES, Fleet, endpoint, first_list
 from brassweir.lab.models.configfounding import Founding
 from brassweir.lab.models.configjudge import List
@@ -158,7 +158,7 @@
 
     def world(self, seed: int) -> World:
         """A fleet that starts."""
-        share = Shared()
+        share = CachingCatalogSource()
         return World(self.fleet, self.founding, self.entries, seed, lambda: self.machine(share), self.core)
 
 
--- a/brassweir/lab/models/configworld.py
+++ b/brassweir/lab/models/configworld.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Leave, Told
+from brassweir.agreed.events import Completed, TransferLeadership
 from brassweir.configstream.core import ConfiguredCore
 from brassweir.configstream.fleet import FleetView
 from brassweir.configstream.machine import ConfiguredMachine
@@ -71,7 +71,7 @@
         self.list = entries
         self.operator.submit(entries, self.now)
 
-    def told(self, name: str, step: Told) -> None:
+    def told(self, name: str, step: Completed) -> None:
         """What came of a proposal."""
         if name == PROPOSER:
             self.operator.told(step, self.now)
@@ -107,7 +107,7 @@
 
     def leave(self, name: str, down: float) -> None:
         """A planned restart: hand leadership over, then stop."""
-        self.give(name, Leave())
+        self.give(name, TransferLeadership())
         self.at(self.now + 200.0, self.crash, name, down)
 
     def lose_folder(self, name: str, down: float) -> None:
@@ -175,11 +175,11 @@
         leader = self.leader()
         core = self.nodes[leader].core if leader is not None else None
         if isinstance(core, ConfiguredCore):
-            self.weigh(core.in_force(self.now))
+            self.weigh(core.fleet_view(self.now))
 
     def weigh(self, view: FleetView) -> None:
         """A view counts in force those copies that it does not name as behind or unheard of."""
-        counted = set(self.fleet.names) - {one.name for one in view.behind} - set(view.unheard)
+        counted = set(self.fleet.names) - {one.name for one in view.behind} - set(view.unreported)
         self.judge.view(view.newest, view.in_force, counted, self.out_since, self.now)
         outs = [self.now - self.out_since[name] for name in counted if name in self.out_since]
         self.views.longest_counted = max([self.views.longest_counted, *outs])
--- a/brassweir/lab/models/logfloor.py
+++ b/brassweir/lab/models/logfloor.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import (
+from brassweir.agreed.events import (
     Applied,
-    Copies,
-    Fact,
-    Post,
+    Completed,
+    CopiesChanged,
+    Event,
     Received,
     Restored,
-    Told,
+    Send,
     WakeAt,
     Write,
     WriteFailed,
@@ -55,7 +55,7 @@
     writes: list[Write] = field(default_factory=list)
     writing: bool = False
     stalled: float = 0.0
-    inbox: list[Fact] = field(default_factory=list)
+    inbox: list[Event] = field(default_factory=list)
     saved: dict[str, bytes] | None = None
     messages: int = 0
     bytes: int = 0
@@ -120,11 +120,11 @@
             self.crash(name, "torn", 500.0)
             return
         node.machine = Pile()
-        node.core = self.core_type(name, node.store.kept, node.machine, rng, self.now, self.founders)
-        node.core.snap_every, node.core.keep = int(self.weather.snap), int(self.weather.snap) // 3
+        node.core = self.core_type(name, node.store.persisted, node.machine, rng, self.now, self.founders)
+        node.core.snapshot_every, node.core.entries_kept = int(self.weather.snap), int(self.weather.snap) // 3
         self.judge.started(name, node.core, node.starts)
         node.wake, node.writes, node.writing, node.inbox, node.stalled = 0.0, [], False, [], 0.0
-        self.give(name, Copies(self.names))
+        self.give(name, CopiesChanged(self.names))
 
     def crash(self, name: str, mode: str = "torn", down: float = 500.0) -> None:
         """Its machine stops and is started again."""
@@ -170,7 +170,7 @@
             facts, node.inbox = node.inbox, []
             self.give(name, *facts)
 
-    def give(self, name: str, *facts: Fact) -> None:
+    def give(self, name: str, *facts: Event) -> None:
         """Let it step."""
         node = self.nodes[name]
         if node.core is None:
@@ -181,7 +181,7 @@
         core = node.core
         for step in core.step(self.now, facts):
             match step:
-                case Post():
+                case Send():
                     self.send(name, step)
                 case Write():
                     node.writes.append(step)
@@ -197,9 +197,9 @@
                     self.judge.applied(name, step)
                 case Restored():
                     self.judge.restored(name, step.index, node.machine.taken)
-                case Told():
+                case Completed():
                     self.judge.told(name, step.ticket, step.outcome, self.now)
-        if core.broken and node.core is core:
+        if core.write_error and node.core is core:
             self.judge.stopped(name, core)
             node.core = None
             node.disk.bad_sync = None
@@ -221,7 +221,7 @@
             return
         writes, node.writes, node.writing = node.writes, [], False
         try:
-            at = max((i for i, write in enumerate(writes) if write.whole), default=-1)
+            at = max((i for i, write in enumerate(writes) if write.replaces_all), default=-1)
             if at >= 0:
                 node.store.write_whole(writes[at].records)
             records = tuple(record for write in writes[at + 1 :] for record in write.records)
@@ -237,7 +237,7 @@
 
     # The network
 
-    def send(self, sender: str, post: Post) -> None:
+    def send(self, sender: str, post: Send) -> None:
         """Carry a message, or not."""
         body = encode(post.envelope)
         node = self.nodes[sender]
--- a/brassweir/lab/models/logjudge.py
+++ b/brassweir/lab/models/logjudge.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Applied, How, Outcome, Post
-from brassweir.agreed.messages import COMMAND, MEMBERS, Append, Entry
-from brassweir.agreed.store import Damaged, recover
-from brassweir.agreed.timing import MOST_BODY
+from brassweir.agreed.events import Applied, Outcome, OutcomeKind, Send
+from brassweir.agreed.messages import COMMAND, MEMBERS, AppendEntries, Entry
+from brassweir.agreed.store import StoreDamaged, recover
+from brassweir.agreed.timing import MAX_BODY_BYTES
 from brassweir.lab.simulated.disk import SimStorage
 
 
@@ -46,15 +46,17 @@
 
     def started(self, name: str, core: Core, start: int) -> None:
         """A run begins from its folder; what it had applied must be in it."""
-        self.now_at[name] = core.applied
-        if core.firm < self.upto.get(name, 0):
-            raise Broken(f"never back: {name} had applied {self.upto[name]} and starts with {core.firm}")
+        self.now_at[name] = core.applied_index
+        if core.durable_commit < self.upto.get(name, 0):
+            raise Broken(
+                f"never back: {name} had applied {self.upto[name]} and starts with {core.durable_commit}"
+            )
 
     def stopped(self, name: str, core: Core) -> None:
         """A run ends; what it waited for ends unknown."""
         for ask in self.asks.values():
             if ask.name == name and ask.outcome is None:
-                ask.outcome = Outcome(How.UNKNOWN)
+                ask.outcome = Outcome(OutcomeKind.UNKNOWN)
 
     def forgot(self, name: str) -> None:
         """Its folder was taken away: it may go back."""
@@ -83,10 +85,10 @@
         self.now_at[name] = index
         self.upto[name] = max(self.upto.get(name, 0), index)
 
-    def sent(self, sender: str, post: Post, size: int) -> None:
+    def sent(self, sender: str, post: Send, size: int) -> None:
         """One leader a term; no message too large."""
         message = post.envelope.body
-        if isinstance(message, Append):
+        if isinstance(message, AppendEntries):
             member = post.envelope.member
             if self.leads.setdefault(message.term, member) != member:
                 other = self.leads[message.term]
@@ -95,9 +97,9 @@
                 if entry.kind == MEMBERS and (entry.index, entry.term) not in self.members:
                     before = [index for index, _ in self.members if index < entry.index]
                     self.members.add((entry.index, entry.term))
-                    if before and max(before) > message.commit:
+                    if before and max(before) > message.commit_index:
                         raise Broken(f"one change: at {entry.index}, that at {max(before)} is not agreed")
-        if size > MOST_BODY:
+        if size > MAX_BODY_BYTES:
             raise Broken(f"size: {sender} sent {size} bytes of {type(message).__name__}")
 
     def asked(self, name: str, ticket: int, command: bytes, now: float) -> None:
@@ -112,7 +114,7 @@
         """A client is told."""
         if ticket in self.read_at:
             floor = self.read_at[ticket][1]
-            if outcome.how is How.AGREED and outcome.index < floor:
+            if outcome.how is OutcomeKind.AGREED and outcome.index < floor:
                 raise Broken(f"read: {name} read at {outcome.index}, but {floor} was told before")
             return
         ask = self.asks.get(ticket)
@@ -121,12 +123,12 @@
         if ask.outcome is not None:
             raise Broken(f"told once: {ticket} ended twice")
         ask.outcome = outcome
-        if outcome.how is How.AGREED:
+        if outcome.how is OutcomeKind.AGREED:
             self.told_of += 1
             self.highest_told = max(self.highest_told, outcome.index)
             if self.at_index.get(outcome.index) != ask.command:
                 raise Broken(f"told: {ask.command!r} was told at {outcome.index}, where it does not stand")
-        elif outcome.how is How.REFUSED:
+        elif outcome.how is OutcomeKind.REFUSED:
             self.refused += 1
         else:
             self.unknown += 1
@@ -137,9 +139,9 @@
         for ask in self.asks.values():
             if ask.outcome is None:
                 raise Broken(f"told once: {ask.command!r} never ended")
-            if ask.outcome.how is How.AGREED and ask.command not in self.place:
+            if ask.outcome.how is OutcomeKind.AGREED and ask.command not in self.place:
                 raise Broken(f"told: {ask.command!r} is nowhere")
-            if ask.outcome.how is How.REFUSED and ask.command in self.place:
+            if ask.outcome.how is OutcomeKind.REFUSED and ask.command in self.place:
                 raise Broken(f"refused: {ask.command!r} was refused and took effect")
         for name, pile in piles.items():
             if pile != whole:
@@ -152,14 +154,14 @@
         for name, disk in disks.items():
             try:
                 kept, _ = recover(disk)
-            except Damaged as error:
+            except StoreDamaged as error:
                 raise Broken(f"disk: {name}: {error}") from None
             for entry in kept.entries:
                 other = seen.setdefault((entry.index, entry.term), (name, entry))
                 if other[1] != entry:
                     raise Broken(f"log matching: {name}, {other[0]} differ at {entry.index}, {entry.term}")
                 if (
-                    entry.index <= kept.agreed
+                    entry.index <= kept.commit_index
                     and entry.kind == COMMAND
                     and entry.index in self.at_index
                     and (self.at_index[entry.index] != entry.data)
--- a/brassweir/lab/models/logmodel.py
+++ b/brassweir/lab/models/logmodel.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Fact, Post, Propose, Received, Step, Write, Written
-from brassweir.agreed.messages import AskVote, Entry
-from brassweir.agreed.state import ELECTED, LEADER
+from brassweir.agreed.core_state import ELECTED, LEADER
+from brassweir.agreed.events import Action, Event, Propose, Received, Send, Write, Written
+from brassweir.agreed.messages import Entry, VoteRequest
 from brassweir.lab.models.logjudge import Broken
 from brassweir.lab.models.logscene import Bounds, Place, Scene, clone, start
 
@@ -76,51 +76,51 @@
             (*scene.steps, f"{what} {name}"),
         )
         core = place.core
-        facts: list[Fact] = []
+        facts: list[Event] = []
         match what:
             case "deliver":
                 after.net = scene.net - {message}
-                if isinstance(message[2].body, AskVote):
-                    core.heard = -1e18
+                if isinstance(message[2].body, VoteRequest):
+                    core.leader_heard_at = -1e18
                 facts = [Received(message[0], message[2])]
                 after.steps = (*scene.steps, f"{type(message[2].body).__name__} {message[0]}->{message[1]}")
             case "written":
                 write = place.writes.pop(0)
                 place.kept = clone(place.kept)
-                place.kept.take(write.records)
+                place.kept.replay(write.records)
                 facts = [Written(write.token)]
-                for index in range(old.kept.agreed + 1, place.kept.agreed + 1):
+                for index in range(old.kept.commit_index + 1, place.kept.commit_index + 1):
                     self.took(after, place.kept.entries[index - 1], core.term)
             case "campaign":
-                core.ask(pre=False)
+                core.campaign(pre=False)
             case "propose":
                 after.proposals += 1
                 facts = [Propose(after.proposals, f"{name}{after.proposals}".encode(), 1e18)]
             case "beat":
                 for p in core.progress.values():
-                    p.out, p.next = 0, p.match + 1
-                core.beat()
+                    p.in_flight, p.next_index = 0, p.match_index + 1
+                core.broadcast_heartbeat()
             case "crash":
                 after.crashes += 1
                 identity = place.kept.identity
                 place.kept = clone(place.kept)
-                place.kept.identity = msgspec.structs.replace(identity, life=identity.life + 1)
+                place.kept.identity = msgspec.structs.replace(identity, generation=identity.generation + 1)
                 place.core, place.writes = start(self.kind, name, place.kept), []
                 return after
         return self.settle(after, name, place, core, facts)
 
-    def settle(self, after: Scene, name: str, place: Place, core: Core, facts: list[Fact]) -> Scene:
+    def settle(self, after: Scene, name: str, place: Place, core: Core, facts: list[Event]) -> Scene:
         """Step, and see what it did."""
         try:
-            steps: list[Step] = core.step(0.0, facts)
+            steps: list[Action] = core.step(0.0, facts)
         except AssertionError as error:
             raise Broken(f"core: {error}; by {', '.join(after.steps)}") from None
-        core.elect_at = core.pull_at = core.beat_at = 1e18
-        core.round = 1
+        core.election_deadline = core.pull_at = core.heartbeat_at = 1e18
+        core.heartbeat_round = 1
         net = set(after.net)
         for step in steps:
             match step:
-                case Post() if len(net) < self.bounds.in_flight:
+                case Send() if len(net) < self.bounds.in_flight:
                     net.add((name, step.to, step.envelope))
                 case Write():
                     place.writes.append(step)
@@ -131,7 +131,9 @@
                 raise Broken(f"one leader: {other} and {name} in {core.term}; by {', '.join(after.steps)}")
             after.leads = tuple(sorted({*after.leads, (core.term, name)}))
             for entry, term in after.agreed:
-                if term < core.term and (entry.index > core.log.last or core.log.get(entry.index) != entry):
+                if term < core.term and (
+                    entry.index > core.log.last_index or core.log.get(entry.index) != entry
+                ):
                     raise Broken(f"lost: {name} leads without {entry}; by {', '.join(after.steps)}")
         return after
 
@@ -145,7 +147,7 @@
         after.agreed = (*after.agreed, (entry, term))
 
     def follow(self, scene: Scene, script: str) -> Scene:
-        """Play moves by hand: ``campaign a``, ``written a``, or ``AskVote ab`` for a message on its way."""
+        """Play moves by hand: ``campaign a``, ``written a``, ``VoteRequest ab`` for a message on its way."""
         for move in script.split("; "):
             what, who = move.split()
             if what == "written" and not scene.places[who].writes:
@@ -165,22 +167,22 @@
             c, k = place.core, place.kept
             marks.append(
                 (
-                    c.identity.life,
+                    c.identity.generation,
                     c.term,
                     c.vote,
                     c.role,
                     c.leader,
-                    c.agreed,
-                    c.firm,
-                    c.durable,
-                    c.applied,
+                    c.commit_index,
+                    c.durable_commit,
+                    c.durable_index,
+                    c.applied_index,
                     tuple(c.log.entries),
-                    frozenset(c.granted),
-                    tuple((name, p.match, p.next, p.out) for name, p in c.progress.items()),
-                    tuple((w.last, w.agreed, frozenset(w.posts)) for w in c.waiting),
+                    frozenset(c.votes_granted),
+                    tuple((name, p.match_index, p.next_index, p.in_flight) for name, p in c.progress.items()),
+                    tuple((w.last_index, w.commit_index, frozenset(w.posts)) for w in c.writes_in_flight),
                     tuple(w.records for w in place.writes),
                     tuple(k.entries),
-                    k.agreed,
+                    k.commit_index,
                     k.ballot,
                 )
             )
--- a/brassweir/lab/models/logplan.py
+++ b/brassweir/lab/models/logplan.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import How
+from brassweir.agreed.events import OutcomeKind
 from brassweir.lab.models.logjudge import Broken
 from brassweir.lab.models.logworld import Weather, World
 
@@ -157,7 +157,7 @@
         lambda: (
             world.leader() is not None
             and all(
-                node.core is not None and (node.core.sure or not node.core.votes)
+                node.core is not None and (node.core.identity_confirmed or not node.core.is_voter)
                 for node in world.nodes.values()
             )
         ),
@@ -166,7 +166,7 @@
     wait(world, 9_000.0, lambda: all(ask.outcome is not None for ask in world.judge.asks.values()))
     for ticket in asked:
         ask = world.judge.asks.get(ticket)
-        if ask is None or ask.outcome is None or ask.outcome.how is not How.AGREED:
+        if ask is None or ask.outcome is None or ask.outcome.how is not OutcomeKind.AGREED:
             raise Broken(f"live: {ask} did not succeed, {world.leader()} leads")
     piles = {name: node.machine.taken for name, node in world.nodes.items() if node.core is not None}
     wait(world, 4_000.0, lambda: len({len(node.machine.taken) for node in world.nodes.values()}) == 1)
--- a/brassweir/lab/models/logscene.py
+++ b/brassweir/lab/models/logscene.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Write
+from brassweir.agreed.events import Write
 from brassweir.agreed.messages import MEMBERS, Entry, Envelope, Membership
-from brassweir.agreed.records import Ballot, Identity, Kept
+from brassweir.agreed.records import Ballot, Identity, Persisted
 from brassweir.lab.models.toys import Pile
 
 NAMES = ("a", "b", "c")
@@ -45,7 +45,7 @@
     """One member and its disk."""
 
     core: Core
-    kept: Kept
+    kept: Persisted
     writes: list[Write] = field(default_factory=list)
 
 
@@ -85,15 +85,15 @@
     first = Entry(1, 1, MEMBERS, msgspec.msgpack.encode(membership))
     places = {}
     for name in NAMES:
-        kept = Kept(Identity(name * 2, "g", 1, 1), Ballot(1, ""), entries=[first], agreed=1)
+        kept = Persisted(Identity(name * 2, "g", 1, 1), Ballot(1, ""), entries=[first], commit_index=1)
         places[name] = Place(start(core, name, kept), kept)
     return Scene(places)
 
 
-def start(kind: type[Core], name: str, kept: Kept) -> Core:
+def start(kind: type[Core], name: str, kept: Persisted) -> Core:
     """A run from a folder."""
     core = kind(name, clone(kept), Pile(), Fixed(), 0.0)  # type: ignore[arg-type]
-    core.sure = True
-    core.elect_at = core.pull_at = core.beat_at = 1e18
+    core.identity_confirmed = True
+    core.election_deadline = core.pull_at = core.heartbeat_at = 1e18
     core.step(0.0)
     return core
--- a/brassweir/lab/models/logworld.py
+++ b/brassweir/lab/models/logworld.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brassweir.agreed.facts import Change, Leave, Propose, Read
+from brassweir.agreed.events import ChangeVoter, Propose, ReadCurrent, TransferLeadership
 from brassweir.lab.models.logfloor import Floor, Weather
 
 __all__ = ["Weather", "World"]
@@ -48,7 +48,7 @@
         self.tickets += 1
         if self.nodes[name].core is not None:
             self.judge.reads(name, self.tickets, self.now)
-            self.give(name, Read(self.tickets, self.now + 4_000.0))
+            self.give(name, ReadCurrent(self.tickets, self.now + 4_000.0))
         return self.tickets
 
     def change(self, name: str, votes: bool, span: float = 20_000.0) -> int:
@@ -56,12 +56,12 @@
         self.tickets += 1
         leader = self.leader()
         if leader is not None:
-            self.give(leader, Change(self.tickets, name, votes, self.now + span))
+            self.give(leader, ChangeVoter(self.tickets, name, votes, self.now + span))
         return self.tickets
 
     def leave(self, name: str) -> None:
         """A planned stop: hand over, then stop."""
-        self.give(name, Leave())
+        self.give(name, TransferLeadership())
         self.at(self.now + 200.0, self.crash, name, "kept", 1_000.0)
 
     def leader(self) -> str | None:
--- a/brassweir/lab/models/peernet.py
+++ b/brassweir/lab/models/peernet.py
@@ -13,10 +13,20 @@
 
 from brassweir.core.clock import SimClock
 from brassweir.peers.copies import Copy, Fleet
-from brassweir.peers.liveness import Core
-from brassweir.peers.talk import Changed, Fact, Heard, Listed, NewGeneration, SelfChanged, Send, Step, View
+from brassweir.peers.envelope import Dropped, EnvelopeCodec, Keys
+from brassweir.peers.failure_detector import FailureDetector
+from brassweir.peers.messages import (
+    CopiesChanged,
+    Fact,
+    NewGeneration,
+    Received,
+    SelfStateChanged,
+    Send,
+    StateChanged,
+    Step,
+    View,
+)
 from brassweir.peers.tuning import DEFAULT, Tuning
-from brassweir.peers.wire import Dropped, Keys, Wire
 
 KEY = Keys([b"a key of the simulated network"])
 HEADERS = 28  # bytes of IPv4 and UDP around a datagram
@@ -71,9 +81,9 @@
     def _do(self, step: Step) -> None:
         if isinstance(step, Send):
             self.net.pass_on(self.name, step.to, self.wire.seal(step.to, "live", step.body))
-        elif isinstance(step, Changed):
+        elif isinstance(step, StateChanged):
             self.net.said(self.name, step.name, step.state)
-        elif isinstance(step, SelfChanged):
+        elif isinstance(step, SelfStateChanged):
             self.net.said(self.name, self.name, "doubts" if step.self_suspected else "sure")
         elif isinstance(step, NewGeneration):
             self.wire.begin_generation(step.generation)
@@ -89,7 +99,7 @@
         except Dropped as dropped:
             self.net.dropped[dropped.reason] = self.net.dropped.get(dropped.reason, 0) + 1
             return
-        self.step([Heard(envelope.sender, envelope.generation, envelope.body)])
+        self.step([Received(envelope.sender, envelope.generation, envelope.body)])
 
 
 class Net:
@@ -100,8 +110,8 @@
         copies: Collection[Copy],
         seed: int,
         tuning: Tuning = DEFAULT,
-        make: Callable[[Fleet, int, float, random.Random, Tuning], Core] = Core,
-        make_wire: Callable[[str, int, Keys], Wire] = Wire,
+        make: Callable[[Fleet, int, float, random.Random, Tuning], FailureDetector] = FailureDetector,
+        make_wire: Callable[[str, int, Keys], EnvelopeCodec] = EnvelopeCodec,
     ) -> None:
         self.copies, self.seed, self.tuning, self.make, self.make_wire = copies, seed, tuning, make, make_wire
         self.rng = random.Random(f"{seed} network")
@@ -152,8 +162,8 @@
         """SIGHUP with another file."""
         node = self.nodes[name]
         node.fleet = Fleet(name, copies)
-        node.wire.keep(node.fleet.by_name)
-        node.step([Listed(node.fleet)])
+        node.wire.forget_unlisted(node.fleet.by_name)
+        node.step([CopiesChanged(node.fleet)])
 
     def cut(self, senders: Iterable[str], receivers: Iterable[str], both: bool = False) -> None:
         """Nothing passes from these to those any more; ``both``: nor back."""
--- a/brassweir/lab/models/sitejudges.py
+++ b/brassweir/lab/models/sitejudges.py
@@ -8,8 +8,8 @@
 from functools import partial
 
 from brassweir.lab.models.sitetypes import STEP, Fault, Second, World
-from brassweir.sites.facts import Line, Word
-from brassweir.sites.refusing import admitted
+from brassweir.sites.admission import admitted_rates
+from brassweir.sites.facts import Demand, State
 
 EPS = 1e-6
 SECOND = int(1000.0 / STEP)
@@ -83,7 +83,7 @@
     return broken
 
 
-def _wrong(at: float, lines: list[tuple[Line, float]]) -> list[str]:
+def _wrong(at: float, lines: list[tuple[Demand, float]]) -> list[str]:
     broken = []
     for line, let_in in lines:
         if line.pinned or let_in >= line.rate * (1.0 - EPS):
@@ -91,8 +91,8 @@
         for other, other_in in lines:
             if other.home != line.home or other.pinned or other is line or other_in <= EPS:
                 continue
-            worse = other.worth / other.room < 0.98 * line.worth / line.room
-            equal = abs(other.worth / other.room - line.worth / line.room) < EPS
+            worse = other.worth / other.calls_per_message < 0.98 * line.worth / line.calls_per_message
+            equal = abs(other.worth / other.calls_per_message - line.worth / line.calls_per_message) < EPS
             if worse and other_in > EPS:
                 broken.append(f"{at:.0f}: {line.class_name}/{line.customer} cut before {other.class_name}")
             if equal and let_in <= EPS and other_in >= other.rate * (1.0 - EPS):
@@ -108,8 +108,8 @@
     for second in tape:
         for site, words in second.words.items():
             near = any(one.site == site and one.start <= second.at < one.end + after for one in struck)
-            if words.get(Word.LOST) and not near:
-                broken.append(f"{second.at:.0f}: {site} by {words[Word.LOST]}")
+            if words.get(State.LOST) and not near:
+                broken.append(f"{second.at:.0f}: {site} by {words[State.LOST]}")
     return broken
 
 
@@ -117,7 +117,7 @@
     """Ms until so many of the live copies took a lost site for lost."""
     for second in tape:
         words = second.words.get(fault.site, {})
-        if second.at >= fault.start and words and words.get(Word.LOST, 0) >= share * sum(words.values()):
+        if second.at >= fault.start and words and words.get(State.LOST, 0) >= share * sum(words.values()):
             return second.at - fault.start
     return None
 
@@ -157,7 +157,7 @@
     used, at home and, within the stated share, elsewhere, the most worthy first. An upper bound."""
     got = asked = 0.0
     for second in tape:
-        lines: dict[Line, float] = {}
+        lines: dict[Demand, float] = {}
         for line, _ in second.refused:
             kind = replace(line, rate=0.0)
             lines[kind] = lines.get(kind, 0.0) + line.rate
@@ -171,6 +171,6 @@
         share = min(1.0, room / (sum(over.values()) or 1.0))
         for home in second.demand:
             here = [line for line in whole if line.home == home]
-            rates = admitted(here, second.bears[home], over[home] * share, 0.0)
+            rates = admitted_rates(here, second.bears[home], over[home] * share, 0.0)
             got += sum(rate * line.worth for rate, line in zip(rates, here, strict=True))
     return got / asked
--- a/brassweir/lab/models/sitelog.py
+++ b/brassweir/lab/models/sitelog.py
@@ -6,9 +6,9 @@
 import bisect
 
 from brassweir.lab.models.sitetypes import World
-from brassweir.sites import plan as planning
-from brassweir.sites.agreeing import agree
-from brassweir.sites.facts import Agreed, Copy, Plan, Word
+from brassweir.sites import planning
+from brassweir.sites.agreement import next_agreed_state
+from brassweir.sites.facts import Copy, LogState, Plan, State
 
 ELECTION = 2000.0  # ms without a log after the leader's site is lost
 SILENT = 2000.0  # ms after which the log holds a site's copies for gone
@@ -24,13 +24,13 @@
         self.leader = self.sites[0]
         self.reached, self.ready_at, self.led_since = True, 0.0, -1e9
         self.gone: dict[str, float] = {}
-        self.rooms: tuple[planning.Room, ...] = ()
+        self.rooms: tuple[planning.SiteLoad, ...] = ()
         self.plan: Plan | None = None
-        words = dict.fromkeys(self.sites, Word.WELL)
-        self.states: list[Agreed] = [Agreed(0, 0.0, words)]
+        words = dict.fromkeys(self.sites, State.WELL)
+        self.states: list[LogState] = [LogState(0, 0.0, words)]
         self.times: list[float] = [-1e12]
 
-    def at(self, now: float) -> Agreed:
+    def at(self, now: float) -> LogState:
         """The state as it stood then."""
         return self.states[bisect.bisect_right(self.times, now) - 1]
 
@@ -38,7 +38,7 @@
         self,
         now: float,
         live: list[Copy],
-        said: dict[str, dict[str, Word]],
+        said: dict[str, dict[str, State]],
         loads: dict[str, float],
         off: bool,
     ) -> None:
@@ -59,14 +59,16 @@
         if not self.reached:
             return
         last = self.states[-1]
-        words = {site: agree(last.words[site], site, said[site], self.copies) for site in self.sites}
+        words = {
+            site: next_agreed_state(last.states[site], site, said[site], self.copies) for site in self.sites
+        }
         silent = frozenset(site for site, at in self.gone.items() if now - at >= SILENT)
         rooms = tuple(
-            planning.Room(site, loads[site], self.world.capacity[site], spill=self.world.spill)
+            planning.SiteLoad(site, loads[site], self.world.capacity[site], spill=self.world.spill)
             for site in self.sites
         )
-        if not self.rooms or planning.moved(self.rooms, rooms):
-            self.rooms, self.plan = rooms, planning.plan(last.version + 1, rooms)
-        if words != last.words or silent != last.silent or self.plan is not last.plan:
-            self.states.append(Agreed(last.version + 1, now, words, silent, self.plan))
+        if not self.rooms or planning.plan_outdated(self.rooms, rooms):
+            self.rooms, self.plan = rooms, planning.make_plan(last.version + 1, rooms)
+        if words != last.states or silent != last.silent or self.plan is not last.plan:
+            self.states.append(LogState(last.version + 1, now, words, silent, self.plan))
             self.times.append(now)
--- a/brassweir/lab/models/siteoffer.py
+++ b/brassweir/lab/models/siteoffer.py
@@ -5,18 +5,18 @@
 from collections.abc import Mapping
 
 from brassweir.lab.models.sitetypes import Second, Stepping, World
-from brassweir.sites.facts import Copy, Facts, Line, Word
-from brassweir.sites.steps import Admit
+from brassweir.sites.facts import Copy, Demand, Facts, State
+from brassweir.sites.steps import AdmissionLimit
 
 LineKey = tuple[str, str, str]  # class, customer, home
-Said = dict[str, tuple[Word | None, float, float]]  # by site: the word, and calls that passed and failed
+Said = dict[str, tuple[State | None, float, float]]  # by site: the word, and calls that passed and failed
 LetIn = dict[str, tuple[float, float]]  # by home: rates that are pinned to it, and that may go elsewhere
 
 
-def client_lines(world: World, asked: Mapping[str, float], part: float) -> tuple[Line, ...]:
+def client_lines(world: World, asked: Mapping[str, float], part: float) -> tuple[Demand, ...]:
     """The lines of a copy that has this part of what is asked of each site."""
     return tuple(
-        Line(name, customer, site, rate * part * share, worth, 1.0, window, pinned)
+        Demand(name, customer, site, rate * part * share, worth, 1.0, window, pinned)
         for site, rate in asked.items()
         for name, customer, share, worth, window, pinned in (
             ("news", "big", 0.5, 1.0, 60_000.0, False),
@@ -32,7 +32,7 @@
     return {
         (step.line.class_name, step.line.customer, step.line.home): step.rate
         for step in view.step(now, facts)
-        if isinstance(step, Admit)
+        if isinstance(step, AdmissionLimit)
     }
 
 
@@ -41,13 +41,13 @@
     said, verdicts = Said(), view.verdicts
     for site in world.capacity:
         if sum(counted := verdicts.evidence.counts(site)) > 0.0:
-            said[site] = (verdicts.says(site), *counted)
+            said[site] = (verdicts.own_report(site), *counted)
         counts = second.words.setdefault(site, {})
-        counts[view.word(site)] = counts.get(view.word(site), 0) + 1
+        counts[view.state(site)] = counts.get(view.state(site), 0) + 1
     return said
 
 
-def words_said(said: Mapping[Copy, Said], world: World) -> dict[str, dict[str, Word]]:
+def words_said(said: Mapping[Copy, Said], world: World) -> dict[str, dict[str, State]]:
     """The word of each copy that has one, by site."""
     return {
         site: {
--- a/brassweir/lab/models/siteplain.py
+++ b/brassweir/lab/models/siteplain.py
@@ -5,9 +5,9 @@
 import math
 from random import Random
 
-from brassweir.sites.facts import Facts, Setup, Word
+from brassweir.sites.facts import Facts, Setup, State
 from brassweir.sites.steps import Step
-from brassweir.sites.verdict import Verdicts
+from brassweir.sites.verdict import SiteVerdicts
 
 SEEN = 1000.0  # ms of failing until a site is left
 TRY = 2000.0  # ms until it is tried again, with all that belongs there
@@ -17,15 +17,15 @@
     """Leaves a site where most calls fail, sends its load evenly to all others, and comes back in full."""
 
     def __init__(self, setup: Setup, rng: Random) -> None:
-        self.setup, self.verdicts = setup, Verdicts(setup)
+        self.setup, self.verdicts = setup, SiteVerdicts(setup)
         self.home = dict.fromkeys(setup.sites, math.inf)
         self.spill: dict[tuple[str, str], float] = {}
         self.bad_since: dict[str, float] = {}
         self.left_at: dict[str, float] = {}
 
-    def word(self, site: str) -> Word:
+    def state(self, site: str) -> State:
         """Lost or well."""
-        return Word.LOST if site in self.left_at else Word.WELL
+        return State.LOST if site in self.left_at else State.WELL
 
     def step(self, now: float, facts: Facts) -> list[Step]:
         """Own endings alone."""
--- a/brassweir/lab/models/sitetypes.py
+++ b/brassweir/lab/models/sitetypes.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Literal, Protocol
 
-from brassweir.sites.facts import Facts, Line, Word
+from brassweir.sites.facts import Demand, Facts, State
 from brassweir.sites.steps import Step
-from brassweir.sites.verdict import Verdicts
+from brassweir.sites.verdict import SiteVerdicts
 
 STEP = 250.0  # ms
 GOSSIP = 4  # other copies that one hears of in a step: flat in the size of the fleet
@@ -54,10 +54,10 @@
 
     home: dict[str, float]
     spill: dict[tuple[str, str], float]
-    verdicts: Verdicts
+    verdicts: SiteVerdicts
 
     def step(self, now: float, facts: Facts) -> list[Step]: ...
-    def word(self, site: str) -> Word: ...
+    def state(self, site: str) -> State: ...
 
 
 @dataclass(slots=True)
@@ -71,8 +71,8 @@
     whole: dict[str, float] = field(default_factory=dict)  # of what it takes when warm, no fault
     warm: dict[str, float] = field(default_factory=dict)
     spilled: dict[tuple[str, str], float] = field(default_factory=dict)
-    words: dict[str, dict[Word, int]] = field(default_factory=dict)  # acted on by how many live copies
-    refused: list[tuple[Line, float]] = field(default_factory=list)  # by copy in turn: line and rate let in
+    words: dict[str, dict[State, int]] = field(default_factory=dict)  # acted on by how many live copies
+    refused: list[tuple[Demand, float]] = field(default_factory=list)  # by copy in turn: line and rate let in
     by_copy: list[int] = field(default_factory=list)  # where each copy's lines begin
     worth: float = 0.0
     asked: float = 0.0
--- a/brassweir/lab/models/siteworld.py
+++ b/brassweir/lab/models/siteworld.py
@@ -32,8 +32,8 @@
     Stepping,
     World,
 )
-from brassweir.sites.facts import Agreed, Copy, Ending, Facts, Line, Peer, Setup, Witness, Word
-from brassweir.sites.view import View
+from brassweir.sites.facts import Copy, Demand, Facts, LogState, Outcomes, PeerState, Setup, State, Witness
+from brassweir.sites.view import SitesView
 
 
 class SiteWorld:
@@ -44,7 +44,7 @@
         world: World,
         faults: tuple[Fault, ...],
         seed: int,
-        make: Callable[[Setup, Random], Stepping] = View,
+        make: Callable[[Setup, Random], Stepping] = SitesView,
     ) -> None:
         self.world, self.faults, self.rng, self.make = world, faults, Random(seed), make
         self.copies = tuple(Copy(f"{site}{i}", site) for site in world.capacity for i in range(world.copies))
@@ -55,9 +55,9 @@
         )
         self.at_site = {site: [one for one in self.endpoints if one.zone == site] for site in world.capacity}
         self.views = {copy: self._fresh(copy) for copy in self.copies}
-        self.heard: dict[Copy, Agreed] = {}
-        self.said: dict[Copy, dict[str, tuple[Word | None, float, float]]] = {one: {} for one in self.copies}
-        self.endings: dict[Copy, list[Ending]] = {copy: [] for copy in self.copies}
+        self.heard: dict[Copy, LogState] = {}
+        self.said: dict[Copy, dict[str, tuple[State | None, float, float]]] = {one: {} for one in self.copies}
+        self.endings: dict[Copy, list[Outcomes]] = {copy: [] for copy in self.copies}
         self.weight = {copy: 1.0 + world.uneven * (2 * self.rng.random() - 1) for copy in self.copies}
         self.rank = {copy: self.rng.random() for copy in self.copies}  # who is struck by a share of copies
         self.log = SiteLog(world, self.copies)
@@ -105,9 +105,9 @@
             self._demand_by_site(now),
             self.on(now, "log") is not None,
         )
-        silent = {copy.name: Peer.DEAD for copy, at in self.dead_since.items() if now - at >= NOTICED}
+        silent = {copy.name: PeerState.DEAD for copy, at in self.dead_since.items() if now - at >= NOTICED}
         away = {
-            site: {copy.name: Peer.DEAD for copy in self.copies if copy.site != site}
+            site: {copy.name: PeerState.DEAD for copy in self.copies if copy.site != site}
             for site in self.world.capacity
         }
         talk = [copy for copy in live if copy not in cut]
@@ -178,7 +178,7 @@
             for site, rate in self.world.capacity.items()
         }
 
-    def _demand(self, now: float, live: list[Copy]) -> dict[Copy, tuple[Line, ...]]:
+    def _demand(self, now: float, live: list[Copy]) -> dict[Copy, tuple[Demand, ...]]:
         """Clients of copies that are gone go to the others; each copy's demand moves by some per cent."""
         total = sum(self.weight[copy] for copy in live) or 1.0
         found = {}
@@ -206,7 +206,7 @@
         spread: dict[Copy, dict[str, float]] = {copy: {} for copy in calls}
         sums = {one.name: 0.0 for one in self.endpoints}
         for copy, by_site in calls.items():
-            dead = self.views[copy].verdicts.evidence.dead
+            dead = self.views[copy].verdicts.evidence.failed_endpoints
             for site, rate in by_site.items():
                 if copy in cut and site != copy.site:
                     continue
@@ -235,7 +235,7 @@
                 heard = passes * (1.0 - (lost.share if lost else 0.0))
                 count = STEP / 1000.0
                 self.endings[copy].append(
-                    Ending(one.name, heard * count, (rate - passes) * count, (passes - heard) * count)
+                    Outcomes(one.name, heard * count, (rate - passes) * count, (passes - heard) * count)
                 )
                 second.worth += heard * self.mean[copy]
                 second.lost_calls[one.zone] = second.lost_calls.get(one.zone, 0.0) + (rate - heard) * count
--- a/brassweir/lab/rigs/idle.py
+++ b/brassweir/lab/rigs/idle.py
@@ -113,7 +113,7 @@
 ) -> None:
     """Hand each message in at its time, whatever became of those before, and wait for the last answer."""
     start = loop.time() + 0.2
-    numbers = sender.list.numbers.listed
+    numbers = sender.endpoints.numbers.listed
     left = len(arrivals.at)
     done = loop.create_future()
     classes = ("status", "order", "payment")
--- a/brassweir/peers/claims.py
+++ b/brassweir/peers/claims.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from brassweir.peers.wire import Number
+from brassweir.peers.envelope import Number
 
 ALIVE, SUSPECTED, DEAD = 0, 1, 2
-WORDS = ("alive", "suspected", "dead")
+STATUS_NAMES = ("alive", "suspected", "dead")
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
@@ -27,7 +27,7 @@
     by: str = ""
 
 
-class Weight(Enum):
+class ClaimEffect(Enum):
     """What a claim does to what is held."""
 
     STALE = "stale"  # nothing
@@ -36,7 +36,7 @@
     DOUBT = "doubt"  # found dead by another: suspected here, at the least time-out
 
 
-class Standing:
+class MemberState:
     """What is held of one copy; ``generation`` 0: never heard of, taken for alive because it is listed."""
 
     __slots__ = ("incarnation", "generation", "status", "told")
@@ -51,18 +51,18 @@
         return Claim(name, self.generation, self.incarnation, self.status, by)
 
 
-def weigh(held: Standing, claim: Claim, joins: bool = False) -> Weight:
+def claim_effect(held: MemberState, claim: Claim, joins: bool = False) -> ClaimEffect:
     """Which counts. A death found by others is looked into; one that ``joins`` and knows nothing takes it."""
     mine, theirs = (held.generation, held.incarnation), (claim.generation, claim.incarnation)
     if theirs < mine or claim.status > DEAD:
-        return Weight.STALE
+        return ClaimEffect.STALE
     newer = theirs > mine
     if claim.status == ALIVE:
-        return Weight.TAKE if newer else Weight.STALE
+        return ClaimEffect.TAKE if newer else ClaimEffect.STALE
     if claim.status == SUSPECTED:
         if newer or held.status == ALIVE:
-            return Weight.TAKE
-        return Weight.CONFIRM if held.status == SUSPECTED else Weight.STALE
+            return ClaimEffect.TAKE
+        return ClaimEffect.CONFIRM if held.status == SUSPECTED else ClaimEffect.STALE
     if claim.by == claim.name or held.status == DEAD:
-        return Weight.TAKE if newer or held.status != DEAD else Weight.STALE
-    return Weight.TAKE if joins and held.generation == 0 and held.status == ALIVE else Weight.DOUBT
+        return ClaimEffect.TAKE if newer or held.status != DEAD else ClaimEffect.STALE
+    return ClaimEffect.TAKE if joins and held.generation == 0 and held.status == ALIVE else ClaimEffect.DOUBT
--- a/brassweir/peers/copies.py
+++ b/brassweir/peers/copies.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-LONGEST_NAME = 64  # bytes; a name stands in every message
+MAX_NAME_BYTES = 64  # bytes; a name stands in every message
 
 
 class CopiesError(ValueError):
@@ -96,9 +96,9 @@
     def _check(copy: Copy) -> None:
         for field in ("name", "site", "region"):
             value = getattr(copy, field)
-            if not value or not value.isprintable() or len(value.encode()) > LONGEST_NAME:
+            if not value or not value.isprintable() or len(value.encode()) > MAX_NAME_BYTES:
                 raise CopiesError(
-                    f"copies: {copy.name!r}: {field}: {value!r} is not 1 to {LONGEST_NAME} "
+                    f"copies: {copy.name!r}: {field}: {value!r} is not 1 to {MAX_NAME_BYTES} "
                     "bytes of printable text"
                 )
         copy.host_port()
--- a/brassweir/peers/sharing.py
+++ b/brassweir/peers/dissemination.py
@@ -6,14 +6,14 @@
 
 from brassweir.peers.claims import ALIVE, Claim
 from brassweir.peers.copies import Fleet
-from brassweir.peers.table import Table
+from brassweir.peers.membership import MembershipTable
 from brassweir.peers.tuning import Tuning
 
 
-class Sharing:
+class Dissemination:
     """Reads a copy's table; ``asking`` is how many answers with state it still wants."""
 
-    def __init__(self, table: Table, fleet: Fleet, tuning: Tuning, rng: random.Random) -> None:
+    def __init__(self, table: MembershipTable, fleet: Fleet, tuning: Tuning, rng: random.Random) -> None:
         self.table, self.tuning, self.rng = table, tuning, rng
         self.turn = 0
         self.listed(fleet)
--- a/brassweir/peers/wire.py
+++ b/brassweir/peers/envelope.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from brassweir.peers.replay import OLD, SEEN, Window
+from brassweir.peers.replay_window import OLD, SEEN, ReplayWindow
 
 VERSION = 1
-MOST_BODY = 8_000  # bytes of a body; a datagram stays in one UDP message on any loopback or jumbo path
-MOST_DATAGRAM = MOST_BODY + 400  # bytes; the rest of an envelope with two names of the longest kind
-DIGEST = 16  # bytes
-SHORTEST_KEY = 16  # bytes; fewer can be searched through
-LONGEST_KEY = 64  # bytes; what BLAKE2b takes, longer ones are hashed to it
+MAX_BODY_BYTES = 8_000  # bytes of a body; a datagram stays in one UDP message on any loopback or jumbo path
+MAX_DATAGRAM_BYTES = MAX_BODY_BYTES + 400  # bytes; the rest of an envelope with two names of the longest kind
+DIGEST_BYTES = 16  # bytes
+MIN_KEY_BYTES = 16  # bytes; fewer can be searched through
+MAX_KEY_BYTES = 64  # bytes; what BLAKE2b takes, longer ones are hashed to it
 Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 
 
@@ -51,9 +51,9 @@
 def read_key(data: bytes, field: str) -> bytes:
     """A key file's bytes less white space at both ends. Raises KeyFault naming ``field``."""
     key = data.strip()
-    if len(key) < SHORTEST_KEY:
-        raise KeyFault(f"{field}: a key of {len(key)} bytes; at least {SHORTEST_KEY} are asked for")
-    return key if len(key) <= LONGEST_KEY else hashlib.blake2b(key).digest()
+    if len(key) < MIN_KEY_BYTES:
+        raise KeyFault(f"{field}: a key of {len(key)} bytes; at least {MIN_KEY_BYTES} are asked for")
+    return key if len(key) <= MAX_KEY_BYTES else hashlib.blake2b(key).digest()
 
 
 class Keys:
@@ -68,22 +68,22 @@
         """The digest of ``data``."""
         return self._digest(self.keys[0], data)
 
-    def fits(self, digest: bytes, data: bytes) -> bool:
+    def verify(self, digest: bytes, data: bytes) -> bool:
         """Was ``data`` sealed with one of the keys?"""
         return any(hmac.compare_digest(digest, self._digest(key, data)) for key in self.keys)
 
     @staticmethod
     def _digest(key: bytes, data: bytes) -> bytes:
-        return hashlib.blake2b(data, key=key, digest_size=DIGEST, person=b"brassweir peers").digest()
+        return hashlib.blake2b(data, key=key, digest_size=DIGEST_BYTES, person=b"brassweir peers").digest()
 
 
-class Wire:
+class EnvelopeCodec:
     """One copy's end: seals what it sends, opens what it is sent."""
 
     def __init__(self, own: str, generation: int, keys: Keys) -> None:
         self.own, self.generation, self.keys = own, generation, keys
         self.sent: Counter[str] = Counter()  # messages to each receiver in this generation
-        self.windows: dict[str, Window] = {}
+        self.windows: dict[str, ReplayWindow] = {}
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Envelope)
 
@@ -92,14 +92,14 @@
         self.generation = generation
         self.sent.clear()
 
-    def keep(self, names: Collection[str]) -> None:
+    def forget_unlisted(self, names: Collection[str]) -> None:
         """Forget those that are no longer listed."""
         for name in [one for one in self.windows if one not in names]:
             del self.windows[name]
 
     def seal(self, to: str, kind: str, body: bytes) -> bytes:
         """One datagram. Raises Dropped("large")."""
-        if len(body) > MOST_BODY:
+        if len(body) > MAX_BODY_BYTES:
             raise Dropped("large")
         self.sent[to] += 1
         data = self._encoder.encode(Envelope(kind, self.own, to, self.generation, self.sent[to], body))
@@ -114,14 +114,14 @@
         Raises Dropped: large, short, version, seal, form, stranger, misdirected, old_life, kind, doubled,
         late.
         """
-        if len(datagram) > MOST_DATAGRAM:
+        if len(datagram) > MAX_DATAGRAM_BYTES:
             raise Dropped("large")
-        if len(datagram) <= 1 + DIGEST:
+        if len(datagram) <= 1 + DIGEST_BYTES:
             raise Dropped("short")
         if datagram[0] != VERSION:
             raise Dropped("version")
-        data = datagram[1 + DIGEST :]
-        if not self.keys.fits(datagram[1 : 1 + DIGEST], datagram[:1] + data):
+        data = datagram[1 + DIGEST_BYTES :]
+        if not self.keys.verify(datagram[1 : 1 + DIGEST_BYTES], datagram[:1] + data):
             raise Dropped("seal")
         try:
             envelope = self._decoder.decode(data)
@@ -131,7 +131,7 @@
             raise Dropped("stranger")
         if envelope.receiver != self.own:
             raise Dropped("misdirected")
-        if len(envelope.body) > MOST_BODY:
+        if len(envelope.body) > MAX_BODY_BYTES:
             raise Dropped("large")
         self._number(envelope, once)
         if envelope.kind not in kinds:
@@ -141,7 +141,7 @@
     def _number(self, envelope: Envelope, once: Collection[str]) -> None:
         window = self.windows.get(envelope.sender)
         if window is None or envelope.generation > window.generation:
-            window = self.windows[envelope.sender] = Window(envelope.generation)
+            window = self.windows[envelope.sender] = ReplayWindow(envelope.generation)
         elif envelope.generation < window.generation:
             raise Dropped("old_life")
         how = window.take(envelope.number)
--- a/brassweir/peers/liveness.py
+++ b/brassweir/peers/failure_detector.py
@@ -11,38 +11,38 @@
 from collections.abc import Iterable
 
 from brassweir.peers.claims import ALIVE, DEAD, Claim
-from brassweir.peers.contact import Contact
 from brassweir.peers.copies import Fleet
+from brassweir.peers.dissemination import Dissemination
 from brassweir.peers.health import Health
-from brassweir.peers.helping import Errand, Errands
-from brassweir.peers.pace import Pace
-from brassweir.peers.probing import Prober
-from brassweir.peers.sharing import Sharing
-from brassweir.peers.showing import Showing
-from brassweir.peers.table import Table
-from brassweir.peers.talk import (
+from brassweir.peers.indirect_probes import IndirectProbe, IndirectProbes
+from brassweir.peers.isolation import IsolationDetector
+from brassweir.peers.local_view import LocalView
+from brassweir.peers.membership import MembershipTable
+from brassweir.peers.messages import (
     ACK,
     ASK,
     NACK,
     PING,
     PUSH,
+    CopiesChanged,
     Fact,
-    Heard,
-    Late,
-    Listed,
+    LoopDelayed,
     NewGeneration,
+    Received,
     Send,
     Step,
-    Talk,
-    TalkError,
+    SwimMessage,
+    SwimMessageError,
     View,
     pack,
     unpack,
 )
+from brassweir.peers.probing import Prober
+from brassweir.peers.rtt import RttEstimator
 from brassweir.peers.tuning import DEFAULT, Tuning
 
 
-class Core:
+class FailureDetector:
     """One copy's liveness. ``counts`` is for metrics: what happened, by word."""
 
     def __init__(
@@ -50,17 +50,17 @@
     ) -> None:
         self.fleet, self.rng, self.tuning = fleet, rng, tuning
         self.counts: Counter[str] = Counter()
-        self.health, self.pace = Health(tuning), Pace(tuning)
-        self.contact = Contact(fleet, now, tuning)
-        self.table = Table(fleet, generation, now, tuning, self.health, self.pace)
-        self.prober, self.errands = Prober(tuning, self.pace, rng), Errands()
-        self.sharing = Sharing(self.table, fleet, tuning, rng)
+        self.health, self.pace = Health(tuning), RttEstimator(tuning)
+        self.contact = IsolationDetector(fleet, now, tuning)
+        self.table = MembershipTable(fleet, generation, now, tuning, self.health, self.pace)
+        self.prober, self.errands = Prober(tuning, self.pace, rng), IndirectProbes()
+        self.sharing = Dissemination(self.table, fleet, tuning, rng)
         self.left = False
         self.due = now
         self.next_probe = now + rng.random() * tuning.period
         self.next_retry = now
         self.next_push = float("-inf")
-        self.showing = Showing(fleet, self.table, self.contact, self.health, tuning)
+        self.showing = LocalView(fleet, self.table, self.contact, self.health, tuning)
         self.steps: list[Step] = []
 
     def step(self, now: float, facts: Iterable[Fact] = ()) -> list[Step]:
@@ -68,11 +68,11 @@
         if now > self.due + self.tuning.stall:
             self._stalled(now, now - self.due)
         for fact in facts:
-            if isinstance(fact, Heard):
+            if isinstance(fact, Received):
                 self._heard(fact, now)
-            elif isinstance(fact, Late):
+            elif isinstance(fact, LoopDelayed):
                 self.health.late(fact.ms)
-            elif isinstance(fact, Listed):
+            elif isinstance(fact, CopiesChanged):
                 self._listed(fact.fleet, now)
             else:
                 self._leave()
@@ -88,14 +88,14 @@
 
     # ---- facts
 
-    def _heard(self, fact: Heard, now: float) -> None:
+    def _heard(self, fact: Received, now: float) -> None:
         sender = fact.sender
         held = self.table.standings.get(sender)
         if held is None:
             return
         try:
             talk = unpack(fact.body)
-        except TalkError:
+        except SwimMessageError:
             self.counts["bad_body"] += 1
             return
         self.contact.hear(sender, now)
@@ -125,7 +125,7 @@
         if generation is not None:
             self.steps.append(NewGeneration(generation))
 
-    def _answered(self, sender: str, talk: Talk, now: float) -> None:
+    def _answered(self, sender: str, talk: SwimMessage, now: float) -> None:
         errand = self.errands.answered(talk.number, sender)
         if errand is not None:
             self._send(errand.asker, ACK, errand.number, self.sharing.known(errand.about), errand.about)
@@ -138,8 +138,8 @@
             self.health.answered()
         self.sharing.synced()
 
-    def _asked(self, sender: str, talk: Talk, now: float) -> None:
-        errand = Errand(sender, talk.number, talk.about, now + self.pace.answer)
+    def _asked(self, sender: str, talk: SwimMessage, now: float) -> None:
+        errand = IndirectProbe(sender, talk.number, talk.about, now + self.pace.answer)
         number = self.errands.take(errand) if talk.about in self.table.standings else None
         if number is None:
             self._send(sender, NACK, talk.number, (), talk.about)
@@ -246,5 +246,5 @@
     def _send(
         self, to: str, what: int, number: int, claims: Iterable[Claim], about: str = "", sync: bool = False
     ) -> None:
-        talk = Talk(what, number, self.table.incarnation, tuple(claims), about, sync)
+        talk = SwimMessage(what, number, self.table.incarnation, tuple(claims), about, sync)
         self.steps.append(Send(to, pack(talk)))
--- a/brassweir/peers/news.py
+++ b/brassweir/peers/gossip_queue.py
@@ -9,7 +9,7 @@
 from brassweir.peers.tuning import Tuning
 
 
-class News:
+class GossipQueue:
     """Claims by name and, for suspicions, by who suspects; each with how often it went out."""
 
     def __init__(self, tuning: Tuning) -> None:
--- a/brassweir/peers/helping.py
+++ b/brassweir/peers/indirect_probes.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Errand:
+class IndirectProbe:
     """``asker`` wants to know of ``about``; ``number`` is the asker's."""
 
     asker: str
@@ -18,14 +18,14 @@
     until: float
 
 
-class Errands:
+class IndirectProbes:
     """Those under way, by the number of our ping, in the order of their ends."""
 
     def __init__(self) -> None:
-        self.open: dict[int, Errand] = {}
+        self.open: dict[int, IndirectProbe] = {}
         self.number = FIRST
 
-    def take(self, errand: Errand) -> int | None:
+    def take(self, errand: IndirectProbe) -> int | None:
         """The number of the ping to send; None if there are too many."""
         if len(self.open) >= MOST:
             return None
@@ -33,12 +33,12 @@
         self.open[self.number] = errand
         return self.number
 
-    def answered(self, number: int, sender: str) -> Errand | None:
+    def answered(self, number: int, sender: str) -> IndirectProbe | None:
         """The one that this answer ends."""
         errand = self.open.get(number)
         return self.open.pop(number) if errand is not None and errand.about == sender else None
 
-    def over(self, now: float) -> list[Errand]:
+    def over(self, now: float) -> list[IndirectProbe]:
         """Those whose time is over, taken out."""
         ended = [number for number, errand in self.open.items() if errand.until <= now]
         return [self.open.pop(number) for number in ended]
--- a/brassweir/peers/contact.py
+++ b/brassweir/peers/isolation.py
@@ -11,7 +11,7 @@
 ENOUGH = 2  # copies whose probes failed since any was heard, where there are so many
 
 
-class Scope:
+class PeerSet:
     """A set of copies that go silent together: all others, or those of other sites."""
 
     def __init__(self, now: float) -> None:
@@ -28,13 +28,13 @@
         self.failed &= names
 
 
-class Contact:
+class IsolationDetector:
     """When each copy was heard last, at first hand."""
 
     def __init__(self, fleet: Fleet, now: float, tuning: Tuning) -> None:
         self.tuning = tuning
         self.last: dict[str, float] = {}
-        self.all, self.outside = Scope(now), Scope(now)
+        self.all, self.outside = PeerSet(now), PeerSet(now)
         self.listed(fleet, now)
 
     def listed(self, fleet: Fleet, now: float) -> None:
--- a/brassweir/peers/showing.py
+++ b/brassweir/peers/local_view.py
@@ -5,29 +5,31 @@
 import math
 from collections import Counter
 
-from brassweir.peers.claims import ALIVE, DEAD, SUSPECTED, WORDS
-from brassweir.peers.contact import Contact
+from brassweir.peers.claims import ALIVE, DEAD, STATUS_NAMES, SUSPECTED
 from brassweir.peers.copies import Fleet
 from brassweir.peers.health import Health
-from brassweir.peers.table import Table
-from brassweir.peers.talk import Changed, SelfChanged, View
+from brassweir.peers.isolation import IsolationDetector
+from brassweir.peers.membership import MembershipTable
+from brassweir.peers.messages import SelfStateChanged, StateChanged, View
 from brassweir.peers.tuning import Tuning
 
 
-class Showing:
+class LocalView:
     """Keeps what was shown last, so that only changes are told."""
 
-    def __init__(self, fleet: Fleet, table: Table, contact: Contact, health: Health, tuning: Tuning) -> None:
+    def __init__(
+        self, fleet: Fleet, table: MembershipTable, contact: IsolationDetector, health: Health, tuning: Tuning
+    ) -> None:
         self.table, self.contact, self.health, self.tuning = table, contact, health, tuning
         self.healing: set[str] = set()  # were cut off and not heard since
         self.heal_until = math.inf
         self.states: dict[str, str] = {}
-        self.own = SelfChanged(False, False, False)
+        self.own = SelfStateChanged(False, False, False)
         self.listed(fleet)
 
     def listed(self, fleet: Fleet) -> None:
         """Another list of copies."""
-        self.states = {copy.name: self.states.get(copy.name, WORDS[ALIVE]) for copy in fleet.others}
+        self.states = {copy.name: self.states.get(copy.name, STATUS_NAMES[ALIVE]) for copy in fleet.others}
         self.healing &= self.states.keys()
 
     def hear(self, name: str) -> None:
@@ -58,12 +60,12 @@
         level = self.contact.level(name)
         status = self.table.standings[name].status
         if level == 2:
-            return WORDS[DEAD]
-        return WORDS[max(status, SUSPECTED) if level or name in self.healing else status]
+            return STATUS_NAMES[DEAD]
+        return STATUS_NAMES[max(status, SUSPECTED) if level or name in self.healing else status]
 
-    def steps(self, now: float, counts: Counter[str]) -> list[Changed | SelfChanged]:
+    def steps(self, now: float, counts: Counter[str]) -> list[StateChanged | SelfStateChanged]:
         """What is shown differently from now on."""
-        steps: list[Changed | SelfChanged] = []
+        steps: list[StateChanged | SelfStateChanged] = []
         if self.table.changed:
             changed, self.table.changed = self.table.changed, set()
             for name in sorted(changed & self.states.keys()):
@@ -71,9 +73,9 @@
                 if state != self.states[name]:
                     self.states[name] = state
                     counts[f"became_{state}"] += 1
-                    steps.append(Changed(name, state))
+                    steps.append(StateChanged(name, state))
         alone, outside = self.contact.all.level == 2, self.contact.outside.level == 2
-        own = SelfChanged(self.health.doubts(now) or alone, alone, alone or outside)
+        own = SelfStateChanged(self.health.doubts(now) or alone, alone, alone or outside)
         if own != self.own:
             self.own = own
             steps.append(own)
--- a/brassweir/peers/table.py
+++ b/brassweir/peers/membership.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Callable
 
-from brassweir.peers.claims import ALIVE, DEAD, SUSPECTED, Claim, Standing, Weight, weigh
-from brassweir.peers.contact import Contact
+from brassweir.peers.claims import ALIVE, DEAD, SUSPECTED, Claim, ClaimEffect, MemberState, claim_effect
 from brassweir.peers.copies import Fleet
+from brassweir.peers.gossip_queue import GossipQueue
 from brassweir.peers.health import Health
-from brassweir.peers.news import News
-from brassweir.peers.pace import Pace
+from brassweir.peers.isolation import IsolationDetector
+from brassweir.peers.rtt import RttEstimator
 from brassweir.peers.suspicion import Span, Suspicion, span
 from brassweir.peers.tuning import Tuning
 
@@ -18,17 +18,17 @@
 MANY = 8  # with more suspicions than this, all are looked at twice as often instead of each at its time
 
 
-class Table:
+class MembershipTable:
     """The shared part of a copy's state; ``changed`` collects the names whose standing changed."""
 
     def __init__(
-        self, fleet: Fleet, generation: int, now: float, tuning: Tuning, health: Health, pace: Pace
+        self, fleet: Fleet, generation: int, now: float, tuning: Tuning, health: Health, pace: RttEstimator
     ) -> None:
         self.tuning, self.health, self.pace = tuning, health, pace
         self.own, self.generation, self.incarnation = fleet.own.name, generation, 0
         self.renewed_at = float("-inf")
-        self.news = News(tuning)
-        self.standings: dict[str, Standing] = {}
+        self.news = GossipQueue(tuning)
+        self.standings: dict[str, MemberState] = {}
         self.suspicions: dict[str, Suspicion] = {}
         self.dead: frozenset[str] = frozenset()
         self.changed: set[str] = set()
@@ -44,7 +44,7 @@
         for name in set(self.standings) - set(names):
             self.suspicions.pop(name, None)
             self.news.drop(name)
-        self.standings = {name: self.standings.get(name) or Standing() for name in names}
+        self.standings = {name: self.standings.get(name) or MemberState() for name in names}
         self.dead = frozenset(name for name in self.dead if name in self.standings)
         self.changed |= set(names)
 
@@ -59,13 +59,13 @@
         held = self.standings.get(claim.name)
         if held is None:
             return None  # not in this copy's file
-        weight = weigh(held, claim, joins=now < self.joins_until)
-        if weight is Weight.TAKE:
+        weight = claim_effect(held, claim, joins=now < self.joins_until)
+        if weight is ClaimEffect.TAKE:
             self.take(claim, now)
-        elif weight is Weight.CONFIRM:
+        elif weight is ClaimEffect.CONFIRM:
             if self.suspicions[claim.name].confirm(claim.by, self.span().enough):
                 self.news.put(claim)
-        elif weight is Weight.DOUBT:
+        elif weight is ClaimEffect.DOUBT:
             if held.status == ALIVE or (held.generation, held.incarnation) < (
                 claim.generation,
                 claim.incarnation,
@@ -140,7 +140,7 @@
         """The time-outs of now."""
         return span(self.tuning, self.size, self.health.score, self.pace)
 
-    def expire(self, now: float, contact: Contact, call: Callable[[str], None]) -> None:
+    def expire(self, now: float, contact: IsolationDetector, call: Callable[[str], None]) -> None:
         """Find those dead whose suspicion ran out, never without having called them oneself."""
         lasting = self.span()
         for name, suspicion in list(self.suspicions.items()):
--- a/brassweir/peers/talk.py
+++ b/brassweir/peers/messages.py
@@ -8,12 +8,12 @@
 
 from brassweir.peers.claims import Claim
 from brassweir.peers.copies import Fleet
-from brassweir.peers.wire import Number
+from brassweir.peers.envelope import Number
 
 PING, ACK, ASK, NACK, PUSH = 1, 2, 3, 4, 5
 
 
-class Talk(msgspec.Struct, array_like=True, frozen=True):
+class SwimMessage(msgspec.Struct, array_like=True, frozen=True):
     """One message. Fields that a later version adds at the end are passed over."""
 
     what: Number
@@ -24,29 +24,29 @@
     sync: bool = False  # asks for state in the answer
 
 
-class TalkError(ValueError):
+class SwimMessageError(ValueError):
     """A body that is none of ours."""
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Talk)
+_decoder = msgspec.msgpack.Decoder(SwimMessage)
 
 
-def pack(talk: Talk) -> bytes:
+def pack(talk: SwimMessage) -> bytes:
     """As a body."""
     return _encoder.encode(talk)
 
 
-def unpack(body: bytes) -> Talk:
+def unpack(body: bytes) -> SwimMessage:
     """From a body. Raises TalkError."""
     try:
         return _decoder.decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise TalkError(str(error)) from None
+        raise SwimMessageError(str(error)) from None
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class Received:
     """Fact: a sealed message of kind "live" from the process ``generation`` of ``sender``."""
 
     sender: str
@@ -55,14 +55,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
+class LoopDelayed:
     """Fact: the own loop ran so late (ms)."""
 
     ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class CopiesChanged:
     """Fact: another copies file."""
 
     fleet: Fleet
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class StateChanged:
     """Step: the view of one copy is another now: alive, suspected, dead."""
 
     name: str
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SelfChanged:
+class SelfStateChanged:
     """Step: what this copy thinks of itself is another now."""
 
     self_suspected: bool
@@ -105,8 +105,8 @@
     generation: int
 
 
-Fact = Heard | Late | Listed | Leave
-Step = Send | Changed | SelfChanged | NewGeneration
+Fact = Received | LoopDelayed | CopiesChanged | Leave
+Step = Send | StateChanged | SelfStateChanged | NewGeneration
 
 
 @dataclass(frozen=True, slots=True)
--- a/brassweir/peers/port.py
+++ b/brassweir/peers/port.py
@@ -13,24 +13,24 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import cast
 
+from brassweir.peers.addresses import Addresses
 from brassweir.peers.copies import Copy, Fleet, host_port
-from brassweir.peers.liveness import Core
-from brassweir.peers.resolving import Addresses
-from brassweir.peers.talk import (
-    Changed,
+from brassweir.peers.envelope import MAX_BODY_BYTES, Dropped, EnvelopeCodec, Keys
+from brassweir.peers.failure_detector import FailureDetector
+from brassweir.peers.messages import (
+    CopiesChanged,
     Fact,
-    Heard,
-    Late,
     Leave,
-    Listed,
+    LoopDelayed,
     NewGeneration,
-    SelfChanged,
+    Received,
+    SelfStateChanged,
     Send,
+    StateChanged,
     Step,
     View,
 )
 from brassweir.peers.tuning import DEFAULT, Tuning
-from brassweir.peers.wire import MOST_BODY, Dropped, Keys, Wire
 
 BUFFER = 1 << 20  # bytes asked of the kernel: what comes while the process stands still for some seconds
 LIVE = "live"  # the kind that liveness speaks
@@ -56,16 +56,16 @@
         self.tuning = tuning
         self.rng = random.Random(seed)
         self.generation = generation if generation is not None else int(time.time() * 1_000)
-        self.wire = Wire(own, self.generation, Keys(keys))
+        self.wire = EnvelopeCodec(own, self.generation, Keys(keys))
         self.counts: Counter[str] = Counter()
         self.bytes_sent = self.bytes_taken = 0
         self.handlers: dict[str, Handler] = {}
         self.once = {LIVE}
         self.addresses = Addresses(self.fleet)
-        self.core: Core | None = None
+        self.core: FailureDetector | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.on_change: list[Callable[[str, str], None]] = []
-        self.on_self: list[Callable[[SelfChanged], None]] = []
+        self.on_self: list[Callable[[SelfStateChanged], None]] = []
         self._timer: asyncio.TimerHandle | None = None
         self._wake = 0.0
 
@@ -76,7 +76,7 @@
         loop = self.loop = asyncio.get_running_loop()
         await self.addresses.resolve(loop)
         await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
-        self.core = Core(self.fleet, self.generation, self._now(), self.rng, self.tuning)
+        self.core = FailureDetector(self.fleet, self.generation, self._now(), self.rng, self.tuning)
         self._step()
 
     async def stop(self) -> None:
@@ -101,8 +101,8 @@
     def send(self, to: str, kind: str, body: bytes) -> bool:
         """Send it, or not: False for a copy that is not listed, a body too large, or a closed port."""
         address = self.addresses.of.get(to)
-        if to not in self.fleet or to == self.fleet.own.name or len(body) > MOST_BODY:
-            self.counts["unsent_large" if len(body) > MOST_BODY else "unsent_unknown"] += 1
+        if to not in self.fleet or to == self.fleet.own.name or len(body) > MAX_BODY_BYTES:
+            self.counts["unsent_large" if len(body) > MAX_BODY_BYTES else "unsent_unknown"] += 1
             return False
         if self.transport is None or self.transport.is_closing() or address is None:
             self.counts["unsent_closed" if address is not None else "unsent_address"] += 1
@@ -122,11 +122,11 @@
         fleet = Fleet(self.fleet.own.name, copies)
         ring = Keys(keys) if keys is not None else self.wire.keys
         self.fleet, self.wire.keys = fleet, ring
-        self.wire.keep(fleet.by_name)
+        self.wire.forget_unlisted(fleet.by_name)
         self.addresses.listed(fleet)
         if self.core is not None and self.transport is not None:
             self.resolving = asyncio.ensure_future(self.addresses.resolve(self.loop))
-            self._step([Listed(fleet)])
+            self._step([CopiesChanged(fleet)])
 
     def view(self) -> View:
         """What this copy thinks of all now; before the start all count as alive."""
@@ -171,7 +171,7 @@
         self.counts[f"taken_{envelope.kind}"] += 1
         if envelope.kind == LIVE:
             if self.core is not None:
-                self._step([Heard(envelope.sender, envelope.generation, envelope.body)])
+                self._step([Received(envelope.sender, envelope.generation, envelope.body)])
             return
         try:
             self.handlers[envelope.kind](envelope.sender, envelope.body)
@@ -182,7 +182,7 @@
     def _due(self) -> None:
         self._timer = None  # it has fired, perhaps a moment early: a loop keeps its time coarsely
         late = self._now() - self._wake
-        self._step([Late(late)] if late >= self.tuning.late else [])
+        self._step([LoopDelayed(late)] if late >= self.tuning.late else [])
 
     def _step(self, facts: Iterable[Fact] = ()) -> None:
         assert self.core is not None
@@ -199,7 +199,7 @@
             self.send(step.to, LIVE, step.body)
         elif isinstance(step, NewGeneration):
             self.wire.begin_generation(step.generation)
-        elif isinstance(step, Changed):
+        elif isinstance(step, StateChanged):
             for told in self.on_change:
                 told(step.name, step.state)
         else:
--- a/brassweir/peers/probing.py
+++ b/brassweir/peers/probing.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 
 from brassweir.peers.copies import Fleet
-from brassweir.peers.pace import Pace
-from brassweir.peers.talk import ASK, PING
+from brassweir.peers.messages import ASK, PING
+from brassweir.peers.rtt import RttEstimator
 from brassweir.peers.tuning import Tuning
 
 Ask = tuple[int, str, str, int]
@@ -45,7 +45,7 @@
 class Prober:
     """Round robin over a shuffled list: each copy is probed once before any is probed again."""
 
-    def __init__(self, tuning: Tuning, pace: Pace, rng: random.Random) -> None:
+    def __init__(self, tuning: Tuning, pace: RttEstimator, rng: random.Random) -> None:
         self.tuning, self.pace, self.rng = tuning, pace, rng
         self.ring: list[str] = []
         self.open: list[Probe] = []
--- a/brassweir/peers/replay.py
+++ b/brassweir/peers/replay_window.py
@@ -6,7 +6,7 @@
 WIDTH = 1024  # messages of one pair that may overtake one another; later ones are taken for doubled
 
 
-class Window:
+class ReplayWindow:
     """Bit ``i`` of ``seen`` stands for the number ``top - i``."""
 
     __slots__ = ("generation", "seen", "top")
--- a/brassweir/peers/pace.py
+++ b/brassweir/peers/rtt.py
@@ -9,7 +9,7 @@
 FORGET = 1 / 16  # share of a new sample in the share of lost pings: some seconds of probes
 
 
-class Pace:
+class RttEstimator:
     """Mean and deviation of the way there and back (ms), and the share of pings without an answer."""
 
     def __init__(self, tuning: Tuning) -> None:
--- a/brassweir/peers/suspicion.py
+++ b/brassweir/peers/suspicion.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from brassweir.peers.pace import Pace
+from brassweir.peers.rtt import RttEstimator
 from brassweir.peers.tuning import Tuning
 
 # Parts of its time at which the suspected one is asked itself, once each; more often where messages get lost.
@@ -24,7 +24,7 @@
     calls: tuple[float, ...]
 
 
-def span(tuning: Tuning, fleet: int, score: int, pace: Pace) -> Span:
+def span(tuning: Tuning, fleet: int, score: int, pace: RttEstimator) -> Span:
     """``score``: local health; ``pace``: how long answers take."""
     least = tuning.suspect_least * max(1.0, math.log10(max(fleet, 1)))
     trips = tuning.suspect_trips * (pace.answer - tuning.answer_least)
--- a/brassweir/regions/epochs.py
+++ b/brassweir/regions/epochs.py
@@ -17,7 +17,7 @@
 MOST_NUMBER = 1 << 53  # of epochs and turns: every reader of JSON has it exactly
 # ms that earlier owners are told of beyond what is needed: forgetting one early could let a message run
 # twice, and keeping one costs some bytes. So a publisher's clock that is wrong by less harms nobody.
-KEEP_LONGER = 600_000.0
+KEEP_PAST_MS = 600_000.0
 
 
 class EpochError(ValueError):
@@ -109,7 +109,7 @@
                 )
 
 
-def follows(newer: Epoch, older: Epoch) -> None:
+def check_follows(newer: Epoch, older: Epoch) -> None:
     """Raise EpochError unless ``newer`` may be taken after ``older``: never back, never a place to two.
 
     What an older epoch granted must still be told of, as long as it lasts: else a region that has not heard
@@ -144,7 +144,7 @@
     return list(zip(cuts, cuts[1:], strict=False))
 
 
-def succeeds(newer: Epoch, older: Epoch, lost: str = "") -> None:
+def check_succeeds(newer: Epoch, older: Epoch, lost: str = "") -> None:
     """Raise EpochError unless ``newer`` may come right after ``older`` where both are known to all.
 
     Stricter than :func:`follows`, which allows for what head office ended: no grant of ``older`` may be cut
@@ -170,7 +170,7 @@
             and grant.high <= one.high
             and one.ends >= grant.ends
         ]
-        if not gone and newer.issued < grant.ends + KEEP_LONGER:
+        if not gone and newer.issued < grant.ends + KEEP_PAST_MS:
             raise EpochError(
                 f"past: epoch {newer.number} forgets too early that {grant.region} held places "
                 f"from {grant.low}"
--- a/brassweir/regions/ownership.py
+++ b/brassweir/regions/ownership.py
@@ -11,11 +11,11 @@
 from enum import Enum, auto
 
 from brassweir.interface import Effect
-from brassweir.regions.epochs import Epoch, EpochError, Grant, follows, place
+from brassweir.regions.epochs import Epoch, EpochError, Grant, check_follows, place
 
 
 @dataclass(frozen=True, slots=True)
-class Assumed:
+class Assumptions:
     """What is assumed and checked. Times in ms.
 
     ``clock_error``: no region's clock is further than this from the true time. ``longest``: the longest
@@ -23,12 +23,12 @@
     answer.
     """
 
-    clock_error: float
-    longest: float
-    asks_on: float
+    clock_error_ms: float
+    max_deadline_ms: float
+    answer_window_ms: float
 
 
-class Why(Enum):
+class Reason(Enum):
     """Why a message is not taken here."""
 
     ELSEWHERE = auto()  # another region owns it
@@ -40,13 +40,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotHere:
+class OwnershipRefusal:
     """Refuse, before any effect. ``region`` is where to go, empty if that cannot be said; ``after`` (ms)
     when."""
 
-    why: Why
+    reason: Reason
     region: str = ""
-    after: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 AGAIN = 2000.0  # ms: when to come back where nothing better is known; head office renews more often than that
@@ -55,40 +55,40 @@
 class Ownership:
     """One sender's view. It starts with what it knew before a restart, and never goes back."""
 
-    def __init__(self, region: str, assumed: Assumed, known: Epoch | None = None) -> None:
+    def __init__(self, region: str, assumed: Assumptions, known: Epoch | None = None) -> None:
         self.region, self.assumed, self.epoch = region, assumed, known
-        self.offset: float | None = None  # wall less monotonic time, as first seen
-        self.stepped = False
+        self.clock_offset: float | None = None  # wall less monotonic time, as first seen
+        self.clock_stepped = False
 
-    def learn(self, epoch: Epoch) -> bool:
+    def accept(self, epoch: Epoch) -> bool:
         """Take what head office published; false if it is what is known. Raises EpochError, and changes
         nothing."""
         if self.epoch is not None:
             if epoch == self.epoch:
                 return False
-            follows(epoch, self.epoch)
+            check_follows(epoch, self.epoch)
         self.epoch = epoch
         return True
 
-    def tick(self, wall: float, monotonic: float) -> None:
+    def check_clocks(self, wall: float, monotonic: float) -> None:
         """Compare the clocks: a wall clock that steps by more than the assumed error is not trusted again.
 
         Only a restart, after which the operator has looked, clears that.
         """
-        if self.offset is None:
-            self.offset = wall - monotonic
-        elif abs(wall - monotonic - self.offset) > self.assumed.clock_error:
-            self.stepped = True
+        if self.clock_offset is None:
+            self.clock_offset = wall - monotonic
+        elif abs(wall - monotonic - self.clock_offset) > self.assumed.clock_error_ms:
+            self.clock_stepped = True
 
-    def trusted(self, wall: float) -> bool:
+    def clock_trusted(self, wall: float) -> bool:
         """Can the clock be believed? What was issued cannot lie in the future by more than both clocks'
         errors."""
-        ahead = self.epoch is not None and self.epoch.issued > wall + 2.0 * self.assumed.clock_error
-        return not self.stepped and not ahead
+        ahead = self.epoch is not None and self.epoch.issued > wall + 2.0 * self.assumed.clock_error_ms
+        return not self.clock_stepped and not ahead
 
-    def may(
+    def refusal(
         self, effect: Effect, owner: str, identity: str, wall: float, born: float | None = None
-    ) -> NotHere | None:
+    ) -> OwnershipRefusal | None:
         """None if a message may be taken here now; else why not. ``born`` is when its client made it (ms,
         wall).
 
@@ -97,28 +97,28 @@
         if effect is Effect.SAFE:
             return None
         if self.epoch is None:
-            return NotHere(Why.UNKNOWN, "", AGAIN)
-        if not self.trusted(wall):
-            return NotHere(Why.CLOCK, "", AGAIN)
-        spot, error = place(owner, identity), self.assumed.clock_error
+            return OwnershipRefusal(Reason.UNKNOWN, "", AGAIN)
+        if not self.clock_trusted(wall):
+            return OwnershipRefusal(Reason.CLOCK, "", AGAIN)
+        spot, error = place(owner, identity), self.assumed.clock_error_ms
         grant = next(one for one in self.epoch.grants if one.low <= spot < one.high)
         if grant.region != self.region:
-            return NotHere(Why.ELSEWHERE, grant.region, max(0.0, grant.begins - wall))
+            return OwnershipRefusal(Reason.ELSEWHERE, grant.region, max(0.0, grant.begins - wall))
         if wall < grant.begins + error:
-            return NotHere(Why.MOVING, self.region, grant.begins + error - wall)
+            return OwnershipRefusal(Reason.MOVING, self.region, grant.begins + error - wall)
         if wall >= grant.ends - error:
-            return NotHere(Why.LAPSED, "", AGAIN)
-        earlier = self._before(spot, grant)
+            return OwnershipRefusal(Reason.LAPSED, "", AGAIN)
+        earlier = self._previous_grant(spot, grant)
         if earlier is None:
             return None
         # Another region may have carried it out, unless it was surely born after that one had ended.
         if born is not None and earlier.ends + 2.0 * error <= born <= wall + 2.0 * error:
             return None
-        if wall >= earlier.ends + self.assumed.longest + self.assumed.asks_on + 2.0 * error:
+        if wall >= earlier.ends + self.assumed.max_deadline_ms + self.assumed.answer_window_ms + 2.0 * error:
             return None  # whoever asked that one has stopped asking
-        return NotHere(Why.BORN_ELSEWHERE, earlier.region, AGAIN)
+        return OwnershipRefusal(Reason.BORN_ELSEWHERE, earlier.region, AGAIN)
 
-    def _before(self, spot: int, grant: Grant) -> Grant | None:
+    def _previous_grant(self, spot: int, grant: Grant) -> Grant | None:
         """Who owned a place last before us, if another did."""
         assert self.epoch is not None
         others = [
@@ -134,4 +134,4 @@
         return next((one.url for one in known if one.region == region), "")
 
 
-__all__ = ["Assumed", "EpochError", "NotHere", "Ownership", "Why"]
+__all__ = ["Assumptions", "EpochError", "OwnershipRefusal", "Ownership", "Reason"]
--- a/brassweir/regions/planning.py
+++ b/brassweir/regions/planning.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from brassweir.regions.epochs import KEEP_LONGER, PLACES, Address, Epoch, EpochError, Grant, check
-from brassweir.regions.ownership import Assumed
+from brassweir.regions.epochs import KEEP_PAST_MS, PLACES, Address, Epoch, EpochError, Grant, check
+from brassweir.regions.ownership import Assumptions
 
 
-def first(regions: Mapping[str, str], now: float, lease: float) -> Epoch:
+def first_epoch(regions: Mapping[str, str], now: float, lease: float) -> Epoch:
     """All places split evenly between regions (name: URL), each for one lease (ms)."""
     names = sorted(regions)
     edges = [round(PLACES * i / len(names)) for i in range(len(names) + 1)]
@@ -22,12 +22,14 @@
     return epoch
 
 
-def renewed(epoch: Epoch, now: float, lease: float, assumed: Assumed) -> Epoch:
+def renewed(epoch: Epoch, now: float, lease: float, assumed: Assumptions) -> Epoch:
     """The same owners for another lease. One that lapsed goes on too: nobody else was given its places."""
     grants = tuple(
         msgspec.structs.replace(one, ends=max(one.ends, max(now, one.begins) + lease)) for one in epoch.grants
     )
-    made = Epoch(epoch.number, now, grants, epoch.regions, _still(epoch.past, now, assumed), epoch.turn)
+    made = Epoch(
+        epoch.number, now, grants, epoch.regions, _retained_past(epoch.past, now, assumed), epoch.turn
+    )
     check(made)
     return made
 
@@ -37,9 +39,9 @@
     return msgspec.structs.replace(epoch, number=epoch.number + 1, issued=now, turn=epoch.turn + 1)
 
 
-def _still(past: Sequence[Grant], now: float, assumed: Assumed) -> tuple[Grant, ...]:
+def _retained_past(past: Sequence[Grant], now: float, assumed: Assumptions) -> tuple[Grant, ...]:
     """Earlier owners that messages may still be asked from."""
-    span = assumed.longest + assumed.asks_on + 4.0 * assumed.clock_error + KEEP_LONGER
+    span = assumed.max_deadline_ms + assumed.answer_window_ms + 4.0 * assumed.clock_error_ms + KEEP_PAST_MS
     return tuple(one for one in past if now < one.ends + span)
 
 
@@ -49,10 +51,10 @@
     classes."""
 
     epoch: Epoch
-    pause: float
+    pause_ms: float
 
 
-def moved(epoch: Epoch, low: int, high: int, to: str, now: float, lease: float, assumed: Assumed) -> Move:
+def moved(epoch: Epoch, low: int, high: int, to: str, now: float, lease: float, assumed: Assumptions) -> Move:
     """Give the places ``low`` to ``high`` to another region.
 
     Their owner ends with the lease it has: it may not hear of this. The new one begins once the last attempt
@@ -63,7 +65,7 @@
     if to not in {one.region for one in epoch.regions}:
         raise EpochError(f"{to!r} is no region")
     grants: list[Grant] = []
-    past = list(_still(epoch.past, now, assumed))
+    past = list(_retained_past(epoch.past, now, assumed))
     pause = 0.0
     for one in epoch.grants:
         cut_low, cut_high = max(one.low, low), min(one.high, high)
@@ -74,17 +76,17 @@
             grants.append(Grant(one.region, one.low, cut_low, one.begins, one.ends))
         if cut_high < one.high:
             grants.append(Grant(one.region, cut_high, one.high, one.begins, one.ends))
-        begins = max(one.ends, now) + assumed.longest + 2.0 * assumed.clock_error
+        begins = max(one.ends, now) + assumed.max_deadline_ms + 2.0 * assumed.clock_error_ms
         past.append(Grant(one.region, cut_low, cut_high, one.begins, one.ends))
         grants.append(Grant(to, cut_low, cut_high, begins, begins + lease))
-        pause = max(pause, begins + assumed.clock_error - max(now, one.ends - assumed.clock_error))
+        pause = max(pause, begins + assumed.clock_error_ms - max(now, one.ends - assumed.clock_error_ms))
     grants.sort(key=lambda one: one.low)
     made = Epoch(epoch.number + 1, now, tuple(grants), epoch.regions, tuple(past), epoch.turn)
     check(made)
     return Move(made, pause)
 
 
-def drained(epoch: Epoch, region: str, now: float, lease: float, assumed: Assumed) -> Move:
+def drained(epoch: Epoch, region: str, now: float, lease: float, assumed: Assumptions) -> Move:
     """Give all of a region's places to the others, in equal parts. Raises EpochError."""
     others = [one.region for one in epoch.regions if one.region != region]
     if not others:
@@ -105,21 +107,23 @@
                         step.epoch.past,
                         epoch.turn,
                     ),
-                    max(pause, step.pause),
+                    max(pause, step.pause_ms),
                 )
     check(move)
     return Move(move, pause)
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LossStatement:
     """What an operator states of a region that is gone for good; each must be true before a take-over."""
 
     senders_stopped: bool  # no process of it runs, and none will be started on its journals
     journals_kept: bool  # its journals are kept: what it carried out can be looked up in them
 
 
-def taken_over(epoch: Epoch, region: str, now: float, lease: float, assumed: Assumed, lost: Lost) -> Move:
+def taken_over(
+    epoch: Epoch, region: str, now: float, lease: float, assumed: Assumptions, lost: LossStatement
+) -> Move:
     """Give a lost region's places away without waiting for its lease. Raises EpochError if that is not safe
     to do.
 
@@ -137,6 +141,8 @@
         for one in epoch.grants
     )
     ended = msgspec.structs.replace(epoch, issued=now, grants=grants)
-    made = drained(ended, region, now, lease, Assumed(assumed.clock_error, 0.0, assumed.asks_on))
+    made = drained(
+        ended, region, now, lease, Assumptions(assumed.clock_error_ms, 0.0, assumed.answer_window_ms)
+    )
     check(made.epoch)
     return made
--- a/brassweir/regions/shares.py
+++ b/brassweir/regions/shares.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 
 from brassweir.regions.epochs import PLACES, Epoch
-from brassweir.regions.ownership import Assumed
+from brassweir.regions.ownership import Assumptions
 
 OWNED = 0.8  # of a limit goes by ownership: most load is keyed or unsafe where a limit matters
 START = 0.25  # of its part that a region uses when it comes back; partners come back cold about so
@@ -26,11 +26,11 @@
 STEP = 0.02
 
 
-def owned(epoch: Epoch | None, region: str, wall: float, assumed: Assumed) -> float:
+def owned(epoch: Epoch | None, region: str, wall: float, assumed: Assumptions) -> float:
     """The part of all places that a region may take messages of now, by its own clock."""
     if epoch is None:
         return 0.0
-    error = assumed.clock_error
+    error = assumed.clock_error_ms
     held = sum(
         one.high - one.low
         for one in epoch.grants
@@ -39,7 +39,7 @@
     return held / PLACES
 
 
-def part(epoch: Epoch | None, region: str, wall: float, assumed: Assumed) -> float:
+def part(epoch: Epoch | None, region: str, wall: float, assumed: Assumptions) -> float:
     """The part of every limit that is a region's now, before any ramp. Nothing is known: an even part of
     nothing.
 
@@ -52,12 +52,12 @@
 
 
 @dataclass(slots=True)
-class Shares:
+class LimitShare:
     """One sender's part over time: ramps up, follows down at once, and tells only of changes that matter."""
 
     region: str
-    assumed: Assumed
-    told: float = 0.0
+    assumed: Assumptions
+    reported: float = 0.0
     up_since: float | None = None  # when the part last rose from what was used before
     base: float = 0.0  # what was used then
     parts: list[tuple[float, float]] = field(default_factory=list)  # (when, part): the last one seen
@@ -79,8 +79,12 @@
     def changed(self, epoch: Epoch | None, wall: float, monotonic: float, trusted: bool = True) -> bool:
         """Is the part to be told anew? A fall is told at once, a rise by steps."""
         used = self.now(epoch, wall, monotonic, trusted)
-        if used < self.told or used - self.told >= STEP or (used > self.told and used == self._whole()):
-            self.told = used
+        if (
+            used < self.reported
+            or used - self.reported >= STEP
+            or (used > self.reported and used == self._whole())
+        ):
+            self.reported = used
             return True
         return False
 
--- a/brassweir/regions/sources.py
+++ b/brassweir/regions/sources.py
@@ -26,7 +26,7 @@
     return Source.AGREED if epoch.turn % 2 else Source.FILE
 
 
-def takes(source: Source, newer: Epoch, known: Epoch | None) -> None:
+def check_source(source: Source, newer: Epoch, known: Epoch | None) -> None:
     """Raise EpochError unless ``newer`` may come from this source, after what is known."""
     if known is not None and newer.turn < known.turn:
         raise EpochError(
--- a/brassweir/service/agreedside.py
+++ b/brassweir/service/agreed_log.py
@@ -8,26 +8,26 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from brassweir.agreed.facts import Leave, Outcome
+from brassweir.agreed.core_state import LEADER
+from brassweir.agreed.events import Outcome, TransferLeadership
 from brassweir.agreed.machine import Machine
 from brassweir.agreed.member import Member
-from brassweir.agreed.state import LEADER
 from brassweir.config.copies import agreed_directory
 from brassweir.config.model import CopyConfig, CopyModel
 from brassweir.peers.port import PeerPort
-from brassweir.service.agreedgroup import Note
-from brassweir.service.agreeing import Agreeing
-from brassweir.service.region import Region
-from brassweir.service.regionlog import RegionLog
+from brassweir.service.log_maintenance import LogMaintenance
+from brassweir.service.log_member import Note
+from brassweir.service.log_ownership import LogOwnership
+from brassweir.service.region_ownership import RegionOwnership
 
 if TYPE_CHECKING:
     from brassweir.service.configuration import FleetConfiguration
-    from brassweir.service.following import Follower
+    from brassweir.service.version_follower import Follower
 
 SHOWN = ("term", "last", "agreed", "applied", "waiting", "age_ms")  # of the status, as metrics
 
 
-class AgreedSide:
+class AgreedLog:
     """One copy's part in the log; the group that its dealings speak to."""
 
     def __init__(
@@ -37,7 +37,7 @@
         me: CopyModel,
         copies: tuple[CopyModel, ...],
         port: PeerPort,
-        region: Region | None,
+        region: RegionOwnership | None,
         note: Note,
         follower: Follower | None = None,
     ) -> None:
@@ -58,25 +58,25 @@
             self.machine = machine = ConfiguredMachine()
             self.member = Member(me.name, folder, machine, port, given.voters, names, ConfiguredCore)
             self.configuration = FleetConfiguration(self.member, machine, self, follower, base, note)
-        self.deals = Agreeing(
+        self.maintenance = LogMaintenance(
             me,
             self.machine,
             self,
-            region if isinstance(region, RegionLog) else None,
+            region if isinstance(region, LogOwnership) else None,
             given.lease_ms,
             base / given.first_epoch if given.first_epoch else None,
             note,
         )
-        self.member.on_apply.append(lambda *_: self.deals.hear())
-        self.member.on_restore.append(lambda _: self.deals.hear())
+        self.member.on_apply.append(lambda *_: self.maintenance.hear())
+        self.member.on_restore.append(lambda _: self.maintenance.hear())
         self.note, self.port = note, port
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Open the folder and take part."""
         await self.member.start()
-        self.deals.desired.read(False)
-        self.task = asyncio.create_task(self.deals.run())
+        self.maintenance.desired.read(False)
+        self.task = asyncio.create_task(self.maintenance.run())
         self.task.add_done_callback(self._ended)
         if self.configuration is not None:
             self.configuration.start()
@@ -89,10 +89,10 @@
     def reload(self, config: CopyConfig, copies: tuple[CopyModel, ...], gone: set[str]) -> None:
         """An operator asks: other copies, other voters, the next epoch."""
         self.member.reload(tuple(one.name for one in copies))
-        self.deals.membership.left |= gone
+        self.maintenance.membership.left |= gone
         if config.agreed is not None:
-            self.deals.membership.want_voters(frozenset(config.agreed.voters))
-        self.deals.desired.read(True)
+            self.maintenance.membership.want_voters(frozenset(config.agreed.voters))
+        self.maintenance.desired.read(True)
         if self.configuration is not None:
             self.configuration.reload(config.configuration)
 
@@ -107,7 +107,7 @@
     def hand_over(self) -> None:
         """Let another lead, if this one does."""
         if self.member.core is not None and self.member.core.role == LEADER:
-            self.member.take(Leave())
+            self.member.submit(TransferLeadership())
 
     def alive(self) -> frozenset[str]:
         """Copies that are thought to be there, this one among them."""
@@ -124,7 +124,7 @@
 
     def state(self) -> dict[str, Any]:
         """What operators are shown."""
-        return self.deals.state()
+        return self.maintenance.state()
 
     def counts(self) -> dict[str, float]:
         """For metrics."""
@@ -143,7 +143,7 @@
 
     def abort(self) -> None:
         """End what this copy does of its own."""
-        for task in (self.task, self.deals.membership.changing):
+        for task in (self.task, self.maintenance.membership.changing):
             if task is not None:
                 task.cancel()
         if self.configuration is not None:
--- a/brassweir/service/as2_connector.py
+++ b/brassweir/service/as2_connector.py
@@ -14,24 +14,24 @@
 from brassweir.core.ledger import Waiter
 from brassweir.core.ports import Carrier, Submission
 from brassweir.net.server import Server
-from brassweir.service.connector import Parts
+from brassweir.service.connector import ConnectorContext
 from brassweir.service.wiring import partnerships
 
 
 class As2Connector:
     """Clients and partners over AS2. Raises ConfigError where a key or certificate cannot be read."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: ConnectorContext) -> None:
         sender = parts.config.sender
         self.parts = parts
         self.book: Partnerships = replace(
-            partnerships(parts.config, parts.base), listed=parts.list.numbers.listed
+            partnerships(parts.config, parts.base), listed=parts.endpoints.numbers.listed
         )
         self.receipts = Receipts()
         self.owed = Owed(parts.pools, parts.note)
         self.carrier = As2Carrier(
             self.book,
-            parts.list,
+            parts.endpoints,
             parts.pools,
             self.receipts,
             parts.offload,
@@ -45,7 +45,7 @@
         self.server: Server | None = None
         self.port = 0
 
-    def open(self, engine: Engine) -> None:
+    def create_front(self, engine: Engine) -> None:
         """Make the front."""
         parts = self.parts
         self.front = As2Front(
@@ -56,10 +56,10 @@
             parts.offload,
             parts.note,
             margin=parts.config.sender.answer_margin_ms,
-            most=parts.bounds.body_bytes,
-            told=parts.told,
+            most=parts.limits.body_bytes,
+            told=parts.receipt_delivered,
         )
-        self.server = Server(self.front, parts.bounds, parts.complain)
+        self.server = Server(self.front, parts.limits, parts.report_bad_request)
 
     async def start(self) -> dict[str, object]:
         """Listen, if the settings say where."""
@@ -74,11 +74,11 @@
             "clients": len(self.book.clients),
         }
 
-    def owing(self, message: int, submission: Submission) -> Waiter | None:
+    def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
         """The client's receipt URL, if it has one still."""
         return self.front.owing(message, submission) if self.front is not None else None
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Nothing yet: partners bring receipts to the same address, until nothing waits for one."""
 
     def drain(self) -> None:
@@ -86,7 +86,7 @@
         if self.server is not None:
             self.server.drain()
 
-    async def settle(self, span: float) -> None:
+    async def flush(self, span: float) -> None:
         """Bring the receipts that are owed."""
         await self.owed.settle(span)
 
--- a/brassweir/service/checking.py
+++ b/brassweir/service/checking.py
@@ -11,11 +11,11 @@
 from brassweir.config.model.config import ENDPOINTS_IN_LOG
 from brassweir.config.settings import load_settings
 from brassweir.regions.epochs import EpochError, parse
-from brassweir.service.descriptors import needed, plan
 from brassweir.service.forward_connector import KeyFiles
 from brassweir.service.keyfiles import credentials, peer_keys, secrets
-from brassweir.service.listed import Numbers
 from brassweir.service.listfile import read_list
+from brassweir.service.open_file_limit import descriptors_needed, plan_soft_limit
+from brassweir.service.resolved_list import DestinationNumbers
 from brassweir.service.wiring import partnerships, settings
 
 
@@ -37,7 +37,7 @@
     problems: list[str] = []
     try:
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        plan(needed(config), 0, hard if hard >= 0 else 1 << 62)
+        plan_soft_limit(descriptors_needed(config), 0, hard if hard >= 0 else 1 << 62)
         settings(config)
         if config.identity is not None:
             partnerships(config, path.parent)
@@ -62,7 +62,7 @@
     if config.endpoints == ENDPOINTS_IN_LOG and not found.exists():
         return [f"{path}: endpoints: agreed needs agreed.configuration; and there is no file of that name"]
     try:
-        read_list(found, config, Numbers(config))
+        read_list(found, config, DestinationNumbers(config))
     except ConfigError as error:
         return error.problems
     return []
@@ -78,7 +78,7 @@
     try:
         read_edited(found)
         if isinstance(config, Config) and config.endpoints_in_log:
-            read_list(found, config, Numbers(config))
+            read_list(found, config, DestinationNumbers(config))
     except ConfigError as error:
         return error.problems
     return []
--- a/brassweir/service/configuration.py
+++ b/brassweir/service/configuration.py
@@ -8,22 +8,22 @@
 from typing import Any, Protocol
 
 from brassweir.agreed.commands import Format, encode
-from brassweir.agreed.facts import InForce, Outcome
+from brassweir.agreed.core_state import LEADER
+from brassweir.agreed.events import Outcome, VersionInForce
 from brassweir.agreed.member import Member
-from brassweir.agreed.state import LEADER
 from brassweir.config.model import ConfigurationModel
 from brassweir.configstream.commands import LEVEL
 from brassweir.configstream.core import ConfiguredCore
 from brassweir.configstream.machine import ConfiguredMachine
 from brassweir.service.configuration_view import counts, shown
-from brassweir.service.following import Follower, Holder
 from brassweir.service.publisher import Note, Publisher
+from brassweir.service.version_follower import Follower, PassiveFollower
 
 LOOK = 0.1  # seconds between two looks: at the machine, the core, and the members' levels
 RAISING = 3000.0  # ms until a proposal counts as unknown
 
 
-class Group(Protocol):
+class LogProposer(Protocol):
     """What is needed of the copy's part in the log."""
 
     async def propose(self, command: bytes, timeout_ms: float) -> Outcome:
@@ -44,20 +44,20 @@
         self,
         member: Member,
         machine: ConfiguredMachine,
-        group: Group,
+        group: LogProposer,
         follower: Follower | None,
         base: Path,
         note: Note,
     ) -> None:
         self.member, self.machine, self.group = member, machine, group
         self.follower, self.note = follower, note
-        accepts = follower.check if follower is not None else Holder().check
+        accepts = follower.check if follower is not None else PassiveFollower().check
         self.publisher = Publisher(member.name, machine, group.propose, base, note, accepts)
         self.followed = 0
         self._acknowledged: tuple[object, int] = (None, 0)
         self.task: asyncio.Task[None] | None = None
         if follower is not None:
-            follower.on_told = lambda _: self._acknowledge()
+            follower.on_in_force = lambda _: self._acknowledge()
         member.on_apply.append(lambda *_: self.hear())
         member.on_restore.append(lambda _: self.hear())
 
@@ -98,10 +98,10 @@
         core = self.core
         if self.follower is None or core is None:
             return
-        said = (core, self.follower.told)
+        said = (core, self.follower.in_force)
         if said != self._acknowledged:
             self._acknowledged = said
-            self.member.take(InForce(self.follower.told))
+            self.member.submit(VersionInForce(self.follower.in_force))
 
     def _may_raise(self) -> bool:
         """Does this copy lead, and do all members, and all that are alive are, read the next level?"""
--- a/brassweir/service/configuration_view.py
+++ b/brassweir/service/configuration_view.py
@@ -9,8 +9,8 @@
 from brassweir.configstream.core import ConfiguredCore
 from brassweir.configstream.fleet import FleetView
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.service.following import Follower
 from brassweir.service.publisher import Edit
+from brassweir.service.version_follower import Follower
 
 NEVER = 1e15  # ms: an age above this means that nothing was ever known
 
@@ -20,7 +20,7 @@
 ) -> dict[str, Any]:
     """This copy's own state; at the leader the fleet's as well."""
     there = machine.configuration
-    view = core.in_force(_now()) if core is not None else None
+    view = core.fleet_view(_now()) if core is not None else None
     return {
         "level": machine.state.level,
         "version": there.version,
@@ -28,10 +28,10 @@
         "endpoints": there.catalog.size,
         "digest": there.catalog.digest(),
         "source": "agreed" if follower is not None else "file",
-        "in_force": follower.told if follower is not None else 0,
+        "in_force": follower.in_force if follower is not None else 0,
         "refused": follower.refused if follower is not None else "",
         "knowledge_age_ms": _age(core),
-        "out_of_contact": core is None or core.out_of_contact(_now()),
+        "out_of_contact": core is None or core.exceeds_max_staleness(_now()),
         "leader": core.leader if core is not None else "",
         "edit": asdict(edit),
         "fleet": _fleet(view) if view is not None and view.leading else None,
@@ -46,19 +46,19 @@
     found = {
         "version": float(machine.configuration.version),
         "endpoints": float(machine.configuration.catalog.size),
-        "in_force": float(follower.told if follower is not None else 0),
+        "in_force": float(follower.in_force if follower is not None else 0),
         "knowledge_age_ms": -1.0 if age is None else age,
-        "out_of_contact": float(core is None or core.out_of_contact(_now())),
+        "out_of_contact": float(core is None or core.exceeds_max_staleness(_now())),
     }
-    view = core.in_force(_now()) if core is not None else None
+    view = core.fleet_view(_now()) if core is not None else None
     if view is not None and view.leading:
         found |= {
             "fleet_newest": float(view.newest),
             "fleet_copies": float(view.copies),
             "fleet_in_force": float(view.in_force),
             "fleet_behind": float(len(view.behind)),
-            "fleet_unheard": float(len(view.unheard)),
-            "fleet_longest_behind_ms": max((one.ms for one in view.behind), default=0.0),
+            "fleet_unheard": float(len(view.unreported)),
+            "fleet_longest_behind_ms": max((one.lag_ms for one in view.behind), default=0.0),
         }
     return found
 
@@ -69,15 +69,15 @@
         "copies": view.copies,
         "in_force": view.in_force,
         "behind": [
-            {"copy": one.name, "version": one.version, "for_ms": round(one.ms)} for one in view.behind
+            {"copy": one.name, "version": one.version, "for_ms": round(one.lag_ms)} for one in view.behind
         ],
-        "unheard": list(view.unheard),
+        "unheard": list(view.unreported),
     }
 
 
 def _age(core: ConfiguredCore | None) -> float | None:
     """Ms; None if nothing was ever known."""
-    age = core.knowledge_age(_now()) if core is not None else NEVER
+    age = core.staleness_ms(_now()) if core is not None else NEVER
     return round(age, 1) if age < NEVER else None
 
 
--- a/brassweir/service/connector.py
+++ b/brassweir/service/connector.py
@@ -25,20 +25,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class ConnectorContext:
     """What all connectors of one process share. Paths of the settings count from ``base``."""
 
     config: Config
     base: Path
     classes: Mapping[str, MessageClass]
-    list: EndpointSource
+    endpoints: EndpointSource
     pools: PoolManager
     offload: Offload
-    bounds: Limits
+    limits: Limits
     metrics: Metrics
     note: Note
-    complain: Callable[[str, int, str], None]  # peer, status, reason
-    told: Callable[[int], None]  # the receipt owed for a message was brought
+    report_bad_request: Callable[[str, int, str], None]  # peer, status, reason
+    receipt_delivered: Callable[[int], None]  # the receipt owed for a message was brought
 
 
 class Connector(Protocol):
@@ -46,22 +46,22 @@
 
     carriers: Mapping[str, Carrier]  # by kind of destination
 
-    def open(self, engine: Engine) -> None:
+    def create_front(self, engine: Engine) -> None:
         """The engine is there: make the front. Nothing is listened to yet."""
 
     async def start(self) -> dict[str, object]:
         """Listen; returns what the log is to say of it. Raises OSError."""
 
-    def owing(self, message: int, submission: Submission) -> Waiter | None:
+    def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
         """Who waits for the answer of a message of this connector from before a restart."""
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """The drain begins: nothing new from now on, as far as that can be told here."""
 
     def drain(self) -> None:
         """All is answered: close every connection as soon as its answer is written."""
 
-    async def settle(self, span: float) -> None:
+    async def flush(self, span: float) -> None:
         """Wait up to so many seconds for what is still owed, then drop it."""
 
     @property
--- a/brassweir/service/controlmachine.py
+++ b/brassweir/service/controlmachine.py
@@ -10,21 +10,21 @@
 from brassweir.core.clock import LoopClock
 from brassweir.net.server import Server
 from brassweir.observe.metrics import Metrics
+from brassweir.service.observer import Observer
 from brassweir.service.operations import Operations
-from brassweir.service.regionof import region_of
+from brassweir.service.ownership_factory import create_ownership
+from brassweir.service.peer_group import PeerGroup
 from brassweir.service.runtime import measure_stalls
-from brassweir.service.together import Together
-from brassweir.service.watch import Observer
 from brassweir.service.wiring import limits
 
 if TYPE_CHECKING:
-    from brassweir.service.following import Follower
+    from brassweir.service.version_follower import Follower
 
 
 class ControlMachine:
     """A running control machine. Made inside the loop that it will run on."""
 
-    waits = False  # for a first endpoint list
+    waiting_for_list = False  # for a first endpoint list
 
     def __init__(self, config: ControlConfig, base: Path, log: Any) -> None:
         """Wire everything together; paths count from ``base``. Raises ConfigError."""
@@ -32,25 +32,27 @@
         self.config, self.log = config, log.bind(sender=config.sender.name)
         self.metrics = Metrics()
         self.observer = Observer(self.log, self.metrics, LoopClock(loop), lambda _: "")
-        self.region = region_of(config, base, {}, self.metrics, self.observer.note)
-        self.together = Together(
+        self.region = create_ownership(config, base, {}, self.metrics, self.observer.note)
+        self.peer_group = PeerGroup(
             config, base, self.region, self.metrics, self.observer.note, self._follower()
         )
         self.stopping = False
         operations = Operations(
-            self.metrics, self.together.states, lambda: "draining" if self.stopping else ""
+            self.metrics, self.peer_group.states, lambda: "draining" if self.stopping else ""
         )
         self.server = Server(operations.answer, limits(config), self._complain)
-        self.broken: asyncio.Future[BaseException] = loop.create_future()  # there is no journal to break
+        self.journal_failure: asyncio.Future[BaseException] = (
+            loop.create_future()
+        )  # there is no journal to break
         self.tasks: list[asyncio.Task[None]] = []
 
     def _follower(self) -> Follower | None:
         """Imported only where the settings have it."""
         if self.config.configuration is None:
             return None
-        from brassweir.service.following import Holder
+        from brassweir.service.version_follower import PassiveFollower
 
-        return Holder()
+        return PassiveFollower()
 
     def _complain(self, peer: str, status: int, reason: str) -> None:
         self.observer.note("bad_request", {"peer": peer, "status": status, "reason": reason})
@@ -61,7 +63,7 @@
         if self.config.sender.metrics:
             host, _, port = self.config.sender.metrics.rpartition(":")
             said["metrics_port"] = await self.server.listen(host, int(port))
-        said.update(await self.together.start())
+        said.update(await self.peer_group.start())
         self.tasks.append(asyncio.create_task(measure_stalls(self.metrics.loop_stall)))
         if self.region is not None:
             self.region.look()
@@ -71,8 +73,8 @@
     async def drain(self) -> None:
         """Let another lead, and end."""
         self.stopping = True
-        self.together.hand_over()
-        await self.together.stop()
+        self.peer_group.hand_over()
+        await self.peer_group.stop()
         self.log.info("stopped")
         self.stop()
 
@@ -81,4 +83,4 @@
         for task in self.tasks:
             task.cancel()
         self.server.abort()
-        self.together.abort()
+        self.peer_group.abort()
--- a/brassweir/service/desired.py
+++ b/brassweir/service/desired_epoch.py
@@ -10,10 +10,10 @@
 
 from brassweir.agreed.commands import Publish
 from brassweir.agreed.machine import Machine
-from brassweir.agreed.reconciliation import proposal, recent
-from brassweir.regions.epochs import Epoch, EpochError, follows, parse
-from brassweir.service.agreedgroup import Group, Note, propose
-from brassweir.service.regionlog import RegionLog
+from brassweir.agreed.reconciliation import check_recent, reconciled
+from brassweir.regions.epochs import Epoch, EpochError, check_follows, parse
+from brassweir.service.log_member import LogMember, Note, propose
+from brassweir.service.log_ownership import LogOwnership
 
 DESIRED_FOR = 15.0  # seconds that a desired epoch is tried for, until it is told as not done
 
@@ -24,8 +24,8 @@
     def __init__(
         self,
         machine: Machine,
-        group: Group,
-        region: RegionLog | None,
+        group: LogMember,
+        region: LogOwnership | None,
         lease: float,
         path: Path | None,
         note: Note,
@@ -67,7 +67,7 @@
             self.epoch = None if agreed is not None else desired
             return
         wall = self.region.wall()
-        if not self.region.own.trusted(wall):
+        if not self.region.ownership.clock_trusted(wall):
             self._end("wish_refused", desired, "this copy does not trust its clock")
             return
         granted = self.machine.state.granted
@@ -87,15 +87,15 @@
             self._end("wish_refused", desired, f"{result.field}: {result.why}")
 
     def _plan(
-        self, region: RegionLog, desired: Epoch, agreed: Epoch | None, wall: float
+        self, region: LogOwnership, desired: Epoch, agreed: Epoch | None, wall: float
     ) -> tuple[Epoch, str] | None:
         """What to publish, and the region that it states as lost ("" for none); None for nothing."""
-        known = region.own.epoch
+        known = region.ownership.epoch
         if agreed is None and known is not None:
-            follows(desired, known)  # a log founded anew must not go back behind what copies know
+            check_follows(desired, known)  # a log founded anew must not go back behind what copies know
         if agreed is None and not self.by_operator:
-            recent(desired, wall)
-        return proposal(desired, agreed, wall, self.lease, region.own.assumed)
+            check_recent(desired, wall)
+        return reconciled(desired, agreed, wall, self.lease, region.ownership.assumed)
 
     def _end(self, event: str, desired: Epoch, error: str) -> None:
         if self.epoch is desired:
--- a/brassweir/service/editedlist.py
+++ b/brassweir/service/editedlist.py
@@ -13,8 +13,8 @@
 from brassweir.config.load import ConfigError
 from brassweir.configstream.catalog import Catalog
 from brassweir.configstream.entries import Entry, EntryError, validate
-from brassweir.service.listed import Home
 from brassweir.service.listfile import read_entries
+from brassweir.service.resolved_list import ListEntry
 
 MOST_PROBLEMS = 20  # told at once
 
@@ -38,7 +38,7 @@
     fresh.replace(path)
 
 
-def _entry(one: Home) -> Entry:
+def _entry(one: ListEntry) -> Entry:
     return Entry(
         one.name, one.url, one.destination or "", one.partner or "", one.kind, one.zone, one.state, one.rate
     )
--- a/brassweir/service/endpointsource.py
+++ b/brassweir/service/endpointsource.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from brassweir.service.listed import Numbers
+from brassweir.service.resolved_list import DestinationNumbers
 
 
 class EndpointSource(Protocol):
     """Tells the decision module of the endpoints, and knows where each one is."""
 
-    numbers: Numbers
+    numbers: DestinationNumbers
     scale: Callable[[], float]  # the part of each listed rate that is ours
 
     def url(self, endpoint: str) -> str | None:
--- a/brassweir/service/regionfile.py
+++ b/brassweir/service/file_ownership.py
@@ -7,12 +7,12 @@
 
 from brassweir.interface import MessageClass
 from brassweir.regions.epochs import parse
-from brassweir.regions.ownership import Assumed
+from brassweir.regions.ownership import Assumptions
 from brassweir.regions.sources import Source
-from brassweir.service.region import Region
+from brassweir.service.region_ownership import RegionOwnership
 
 
-class RegionFile(Region):
+class FileOwnership(RegionOwnership):
     """Ownership fed by head office's file."""
 
     source = Source.FILE
@@ -22,7 +22,7 @@
         region: str,
         path: Path,
         state: Path,
-        assumed: Assumed,
+        assumed: Assumptions,
         classes: dict[str, MessageClass],
         note: Callable[[str, dict[str, object]], None],
         counted: Callable[[str], None] = lambda _: None,
--- a/brassweir/service/forward_connector.py
+++ b/brassweir/service/forward_connector.py
@@ -16,7 +16,7 @@
 from brassweir.forward.front import ForwardFront
 from brassweir.forward.ports import Source
 from brassweir.observe.metrics import Metrics
-from brassweir.service.connector import Note, Parts
+from brassweir.service.connector import ConnectorContext, Note
 from brassweir.service.keyfiles import credentials, secret_line
 from brassweir.service.wiring import bounds, tag_rules
 from brassweir.undelivered.item import UndeliveredItem
@@ -78,7 +78,7 @@
         return any(self.users.values())
 
 
-class ThreadKeeps:
+class ThreadedUndeliveredStore:
     """The undelivered store on a thread of its own."""
 
     def __init__(self, kept: UndeliveredStore) -> None:
@@ -117,7 +117,7 @@
         self.metrics.forward_connections.set(connections)
 
 
-def kept_folder(config: ForwardModel, sender: str, base: Path) -> Path:
+def undelivered_directory(config: ForwardModel, sender: str, base: Path) -> Path:
     """Where undelivered chunks are."""
     return base / (config.kept or Path(f"{sender}.kept"))
 
@@ -125,13 +125,13 @@
 class ForwardConnector:
     """Sources and destinations over forward. Raises ConfigError where a key or directory cannot be used."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: ConnectorContext) -> None:
         config = parts.config
         sender = config.sender
         self.parts = parts
         self.carriers: Mapping[str, Carrier] = {
             kind.name: ForwardCarrier(
-                parts.list,
+                parts.endpoints,
                 parts.pools,
                 credentials(kind, sender.name, parts.base),
                 parts.offload,
@@ -145,17 +145,17 @@
             if kind.carrier == "forward"
         }
         self.front: ForwardFront | None = None
-        self.keeps: ThreadKeeps | None = None
+        self.keeps: ThreadedUndeliveredStore | None = None
         self.port = 0
         if config.forward is not None:
             self.files = KeyFiles(config.forward, parts.base, parts.note)
-            folder = kept_folder(config.forward, sender.name, parts.base)
+            folder = undelivered_directory(config.forward, sender.name, parts.base)
             try:
-                self.keeps = ThreadKeeps(UndeliveredStore(folder, config.forward.kept_bytes))
+                self.keeps = ThreadedUndeliveredStore(UndeliveredStore(folder, config.forward.kept_bytes))
             except OSError as error:
                 raise ConfigError([f"forward.kept: {folder}: {error.strerror or error}"]) from None
 
-    def open(self, engine: Engine) -> None:
+    def create_front(self, engine: Engine) -> None:
         """Make the front, if there is one."""
         config = self.parts.config.forward
         if config is None or self.keeps is None:
@@ -169,7 +169,7 @@
             self.files,
             config.hostname or self.parts.config.sender.name,
             self.parts.classes,
-            self.parts.list.numbers.number,
+            self.parts.endpoints.numbers.number,
             engine,
             self.parts.offload,
             self.keeps,
@@ -192,11 +192,11 @@
             "forward_sources": len(config.sources),
         }
 
-    def owing(self, message: int, submission: Submission) -> Waiter | None:
+    def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
         """Nobody: a source that heard nothing sends its chunk again, and is told then."""
         return None
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Read no new chunk."""
         if self.front is not None:
             self.front.stop_taking()
@@ -206,7 +206,7 @@
         if self.front is not None:
             self.front.drain()
 
-    async def settle(self, span: float) -> None:
+    async def flush(self, span: float) -> None:
         """Nothing is owed beyond the connections."""
 
     @property
--- a/brassweir/service/listfile.py
+++ b/brassweir/service/listfile.py
@@ -16,19 +16,25 @@
 from brassweir.config.load import ConfigError, load
 from brassweir.config.model import Config, EndpointList
 from brassweir.destinations.list_updates import ListUpdateQueue
-from brassweir.service.listed import Home, Listed, Numbers, listed, scaled
+from brassweir.service.resolved_list import (
+    DestinationNumbers,
+    ListEntry,
+    ResolvedList,
+    resolve_list,
+    scale_rates,
+)
 
 LOOK = 0.1  # seconds between two looks: drains are to be known well within any grace
 
 
-def read_entries(path: Path) -> Sequence[Home]:
+def read_entries(path: Path) -> Sequence[ListEntry]:
     """Read a list as it stands, YAML or JSON lines by its name. Raises ConfigError."""
     return lines.read(path) if path.suffix == ".jsonl" else load(path, EndpointList).endpoints
 
 
-def read_list(path: Path, config: Config, numbers: Numbers) -> Listed:
+def read_list(path: Path, config: Config, numbers: DestinationNumbers) -> ResolvedList:
     """Read a list and check it against the settings. Raises ConfigError."""
-    return listed(read_entries(path), config, numbers, str(path))
+    return resolve_list(read_entries(path), config, numbers, str(path))
 
 
 class ListFile:
@@ -42,7 +48,7 @@
         note: Callable[[str, dict[str, object]], None],
     ) -> None:
         self.path, self.config, self.tell, self.note = path, config, tell, note
-        self.numbers = Numbers(config)
+        self.numbers = DestinationNumbers(config)
         self.urls: dict[str, str] = {}
         self.intake = ListUpdateQueue()
         self.seen: object = None
@@ -81,8 +87,8 @@
                 self.tell(news)
                 await asyncio.sleep(0)  # one step a turn: all else goes on between
 
-    def _take(self, found: Listed) -> None:
-        count = self.intake.replace_all(scaled(found.infos, self.scale()))
+    def _take(self, found: ResolvedList) -> None:
+        count = self.intake.replace_all(scale_rates(found.infos, self.scale()))
         # Removed endpoints keep their address while an attempt that is out may need it: until the next list.
         gone = {
             name: self.urls[name]
--- a/brassweir/service/agreeing.py
+++ b/brassweir/service/log_maintenance.py
@@ -11,27 +11,27 @@
 from typing import Any
 
 from brassweir.agreed.commands import Publish
-from brassweir.agreed.contents import lost_regions
+from brassweir.agreed.lease_renewal import GiveUpLeadership, LeaseRenewal, ProposeRenewal, RenewalInputs
 from brassweir.agreed.machine import Machine
-from brassweir.agreed.renewing import Facts, GiveAway, Renew, Renewing
+from brassweir.agreed.machine_state import lost_regions
 from brassweir.config.model import CopyModel
-from brassweir.service.agreedgroup import Group, Note, propose
-from brassweir.service.desired import DesiredEpoch
+from brassweir.service.desired_epoch import DesiredEpoch
+from brassweir.service.log_member import LogMember, Note, propose
+from brassweir.service.log_ownership import LogOwnership
 from brassweir.service.membership import Membership
-from brassweir.service.regionlog import RegionLog
 
 LOOK = 0.1  # seconds between two looks: well within a tenth of the shortest lease
 
 
-class Agreeing:
+class LogMaintenance:
     """One copy's dealings with the log. ``region`` is there where epochs come from it."""
 
     def __init__(
         self,
         me: CopyModel,
         machine: Machine,
-        group: Group,
-        region: RegionLog | None,
+        group: LogMember,
+        region: LogOwnership | None,
         lease: float,
         first: Path | None,
         note: Note,
@@ -40,15 +40,15 @@
         self.lease, self.note = lease, note
         self.membership = Membership(me, machine, group, note)
         self.desired = DesiredEpoch(machine, group, region, lease, first, note)
-        self.renewing = Renewing()
+        self.renewing = LeaseRenewal()
         self.said = self.refused = ""
 
     def hear(self) -> None:
         """The machine has changed, or may have."""
         if self.region is not None:
             self.region.applied(self.machine.state.epoch)
-        if self.machine.beyond and self.said != self.machine.beyond:
-            self.said = self.machine.beyond
+        if self.machine.unsupported and self.said != self.machine.unsupported:
+            self.said = self.machine.unsupported
             self.note("agreed_beyond", {"error": self.said})
             self.group.give_up()
 
@@ -58,7 +58,7 @@
             await asyncio.sleep(LOOK)
             self.hear()  # nothing may have been applied, and a disk may have room again
             leader = self.group.status()["leader"]
-            if leader and not self.machine.beyond:
+            if leader and not self.machine.unsupported:
                 await self._renew(leader == self.me.name)
                 await self.membership.join()
                 await self.membership.remove_left()
@@ -69,13 +69,13 @@
     async def _renew(self, leading: bool) -> None:
         if self.region is None:
             return
-        state, wall, own = self.machine.state, self.region.wall(), self.region.own
+        state, wall, own = self.machine.state, self.region.wall(), self.region.ownership
         step = self.renewing.step(
             time.monotonic() * 1000.0,
-            Facts(
+            RenewalInputs(
                 leading,
                 wall,
-                own.trusted(wall),
+                own.clock_trusted(wall),
                 state.epoch,
                 state.granted,
                 self.lease,
@@ -84,10 +84,10 @@
                 lost_regions(state) if leading else frozenset(),
             ),
         )
-        if isinstance(step, GiveAway):
+        if isinstance(step, GiveUpLeadership):
             self.note("lead_given_away", {"why": step.why})
             self.group.hand_over()
-        elif isinstance(step, Renew):
+        elif isinstance(step, ProposeRenewal):
             result = await propose(self.group, Publish(step.epoch, step.after))
             error = f"{result.field}: {result.why}" if result and result.field not in ("", "after") else ""
             if error != self.refused:
@@ -104,7 +104,7 @@
             "level": state.level,
             "index": state.index,
             "digest": self.machine.digest(),
-            "beyond": self.machine.beyond,
+            "beyond": self.machine.unsupported,
             "granted": state.granted,
             "epoch": None
             if epoch is None
--- a/brassweir/service/agreedgroup.py
+++ b/brassweir/service/log_member.py
@@ -26,7 +26,7 @@
     def why(self) -> str: ...
 
 
-class Group(Protocol):
+class LogMember(Protocol):
     """What is needed of the member."""
 
     async def propose(self, command: bytes, timeout_ms: float) -> ProposalOutcome:
@@ -48,7 +48,7 @@
         """Let a copy vote, or no longer; for the leader only."""
 
 
-async def propose(group: Group, command: Command) -> Result | None:
+async def propose(group: LogMember, command: Command) -> Result | None:
     """The result of a command; None if it is not known, or was not taken."""
     try:
         outcome = await group.propose(commands.encode(command), PROPOSAL_TIMEOUT)
@@ -56,4 +56,4 @@
         return Result(False, 0, "command", str(error))
     if outcome.how != "agreed":
         return None
-    return commands.result(outcome.result)
+    return commands.decode_result(outcome.result)
--- a/brassweir/service/regionlog.py
+++ b/brassweir/service/log_ownership.py
@@ -8,10 +8,10 @@
 
 from brassweir.regions.epochs import Epoch
 from brassweir.regions.sources import Source
-from brassweir.service.region import Region
+from brassweir.service.region_ownership import RegionOwnership
 
 
-class RegionLog(Region):
+class LogOwnership(RegionOwnership):
     """Ownership fed by the agreed log."""
 
     source = Source.AGREED
@@ -24,7 +24,7 @@
             self.look()
 
     def _behind(self, epoch: Epoch) -> bool:
-        known = self.own.epoch
+        known = self.ownership.epoch
         return known is not None and (epoch.turn, epoch.number, epoch.issued) < (
             known.turn,
             known.number,
@@ -35,5 +35,5 @@
         """Take the newest: again at each look, for a disk that was full may have room now."""
         super().look()
         latest = self.latest
-        if latest is not None and latest != self.own.epoch:
+        if latest is not None and latest != self.ownership.epoch:
             self.take(lambda: latest, "agreed log")
--- a/brassweir/service/membership.py
+++ b/brassweir/service/membership.py
@@ -8,7 +8,7 @@
 from brassweir.agreed.commands import Join, Leave
 from brassweir.agreed.machine import Machine
 from brassweir.config.model import CopyModel
-from brassweir.service.agreedgroup import Group, Note, propose
+from brassweir.service.log_member import LogMember, Note, propose
 
 RETRY = 5.0  # seconds between two tries to join, or to change a voter
 CHANGE_TIMEOUT = 60_000.0  # ms for one change of a voter: it has to have the whole log first
@@ -18,7 +18,7 @@
 class Membership:
     """One copy's own membership, and the members and voters that an operator has told it of."""
 
-    def __init__(self, me: CopyModel, machine: Machine, group: Group, note: Note) -> None:
+    def __init__(self, me: CopyModel, machine: Machine, group: LogMember, note: Note) -> None:
         self.me, self.machine, self.group, self.note = me, machine, group, note
         self.join_after = self.vote_after = 0.0
         self.joined = False
--- a/brassweir/service/descriptors.py
+++ b/brassweir/service/open_file_limit.py
@@ -10,13 +10,13 @@
 SPARE = 64  # descriptors for files, the loop, threads and logs
 
 
-def needed(config: Config) -> int:
+def descriptors_needed(config: Config) -> int:
     """Descriptors that the settings can come to use."""
     sources = config.forward.connections if config.forward is not None else 0
     return config.limits.connections + config.sender.connections + sources + SPARE
 
 
-def plan(need: int, soft: int, hard: int) -> int:
+def plan_soft_limit(need: int, soft: int, hard: int) -> int:
     """The soft limit to set. Raises ConfigError if even the hard limit is too low."""
     if need <= soft:
         return soft
@@ -31,10 +31,12 @@
     )
 
 
-def secure(config: Config) -> None:
+def raise_soft_limit(config: Config) -> None:
     """Make sure that the settings can be carried. Raises ConfigError."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     unlimited = 1 << 62
-    wanted = plan(needed(config), unlimited if soft < 0 else soft, unlimited if hard < 0 else hard)
+    wanted = plan_soft_limit(
+        descriptors_needed(config), unlimited if soft < 0 else soft, unlimited if hard < 0 else hard
+    )
     if soft >= 0 and wanted != soft:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
--- a/brassweir/service/together.py
+++ b/brassweir/service/peer_group.py
@@ -18,21 +18,21 @@
 from brassweir.peers.copies import Copy
 from brassweir.peers.port import PeerPort
 from brassweir.service.keyfiles import peer_keys
-from brassweir.service.region import Region
+from brassweir.service.region_ownership import RegionOwnership
 
 if TYPE_CHECKING:
-    from brassweir.service.agreedside import AgreedSide
-    from brassweir.service.following import Follower
+    from brassweir.service.agreed_log import AgreedLog
+    from brassweir.service.version_follower import Follower
 
 
-class Together:
+class PeerGroup:
     """One copy among others."""
 
     def __init__(
         self,
         config: CopyConfig,
         base: Path,
-        region: Region | None,
+        region: RegionOwnership | None,
         metrics: Metrics,
         note: Callable[[str, dict[str, object]], None],
         follower: Follower | None = None,
@@ -48,11 +48,11 @@
         metrics.add_gauges(
             "brassweir_peers", "Messages between copies, and copies by what is known of them", self.counts
         )
-        self.agreed: AgreedSide | None = None
+        self.agreed: AgreedLog | None = None
         if config.agreed is not None:
-            from brassweir.service.agreedside import AgreedSide
+            from brassweir.service.agreed_log import AgreedLog
 
-            self.agreed = AgreedSide(config, base, self.me, self.copies, self.port, region, note, follower)
+            self.agreed = AgreedLog(config, base, self.me, self.copies, self.port, region, note, follower)
             self.states["/agreed"] = self.agreed.state
             metrics.add_gauges("brassweir_agreed", "The agreed log as this copy sees it", self.agreed.counts)
             configuration = self.agreed.configuration
--- a/brassweir/service/process.py
+++ b/brassweir/service/process.py
@@ -21,21 +21,21 @@
 from brassweir.net.server import Server
 from brassweir.observe.metrics import Metrics
 from brassweir.service.as2_connector import As2Connector
-from brassweir.service.connector import Connector, Parts
-from brassweir.service.descriptors import secure
+from brassweir.service.connector import Connector, ConnectorContext
 from brassweir.service.forward_connector import ForwardConnector
 from brassweir.service.journaling import JournalUnusable, ProcessJournal
 from brassweir.service.listfile import ListFile
-from brassweir.service.plain import Plain
-from brassweir.service.recovery import keeping_of, recover
-from brassweir.service.regionof import region_of
-from brassweir.service.runtime import measure_stalls, settle
-from brassweir.service.watch import Observer
+from brassweir.service.observer import Observer
+from brassweir.service.open_file_limit import raise_soft_limit
+from brassweir.service.ownership_factory import create_ownership
+from brassweir.service.recovery import journal_settings, recover
+from brassweir.service.runtime import freeze_heap, measure_stalls
+from brassweir.service.sender_operations import SenderOperations
 from brassweir.service.webhook_connector import WebhookConnector
 from brassweir.service.wiring import limits, settings
 
 if TYPE_CHECKING:
-    from brassweir.service.together import Together
+    from brassweir.service.peer_group import PeerGroup
     from brassweir.service.versionedlist import VersionedList
 
 _ANSWERS = 0.2  # share of the drain's grace kept for answers to be written and receipts to be brought
@@ -49,7 +49,7 @@
         loop = asyncio.get_running_loop()
         sender = config.sender
         self.config, self.log = config, log.bind(sender=sender.name)
-        secure(config)
+        raise_soft_limit(config)
         given = settings(config)
         classes = {cls.name: cls for cls in given.classes}
         self.clock = LoopClock(loop)
@@ -66,12 +66,12 @@
         )
         self.offload = Offload(sender.crypto_threads)
         note = self.observer.note
-        self.list = self._endpoints(base)
-        parts = Parts(
+        self.endpoints = self._endpoints(base)
+        parts = ConnectorContext(
             config,
             base,
             classes,
-            self.list,
+            self.endpoints,
             self.pools,
             self.offload,
             bounds,
@@ -88,7 +88,7 @@
         self.carriers: dict[str, Carrier] = {}
         for connector in self.connectors:
             self.carriers.update(connector.carriers)
-        self.broken: asyncio.Future[BaseException] = loop.create_future()
+        self.journal_failure: asyncio.Future[BaseException] = loop.create_future()
         self.journal = self._journal(base, classes) if sender.journaled else None
         seed = sender.seed if sender.seed is not None else random.SystemRandom().getrandbits(48)
         self.engine = Engine(
@@ -101,41 +101,41 @@
             retention_ms=sender.remember_ms,
             max_ended=sender.remember_most,
         )
-        self.region = region_of(config, base, classes, self.metrics, note)
+        self.region = create_ownership(config, base, classes, self.metrics, note)
         if self.region is not None:
             self.engine.admission_check = self.region.admits
         for connector in self.connectors:
-            connector.open(self.engine)
-        self.together = self._together(base)
-        states = self.together.states if self.together is not None else {}
-        self.waits = False  # for a first endpoint list
+            connector.create_front(self.engine)
+        self.peer_group = self._together(base)
+        states = self.peer_group.states if self.peer_group is not None else {}
+        self.waiting_for_list = False  # for a first endpoint list
         self.starting = "starting" if config.endpoints_in_log else ""
-        plain = Plain(self.engine, self.list.numbers, self.metrics, self.clock, states, lambda: self.starting)
-        self.plain = Server(plain.answer, bounds, self._complain)
+        plain = SenderOperations(
+            self.engine, self.endpoints.numbers, self.metrics, self.clock, states, lambda: self.starting
+        )
+        self.operations_server = Server(plain.answer, bounds, self._complain)
         self.tasks: list[asyncio.Task[None]] = []
         self.metrics_port = 0
 
     def _journal(self, base: Path, classes: dict[str, api.MessageClass]) -> ProcessJournal:
-        keeping = keeping_of(self.config.sender, base, classes)
+        keeping = journal_settings(self.config.sender, base, classes)
         try:
-            return ProcessJournal(keeping, self.list.numbers.name, self._broken, self.observer.note)
+            return ProcessJournal(keeping, self.endpoints.numbers.name, self._broken, self.observer.note)
         except JournalUnusable as error:
             raise ConfigError([str(error)]) from None
 
-    def _together(self, base: Path) -> Together | None:
-        """What copies share. Imported only where the settings have it: others pay nothing."""
+    def _together(self, base: Path) -> PeerGroup | None:
         if self.config.peers is None:
             return None
-        from brassweir.service.together import Together
+        from brassweir.service.peer_group import PeerGroup  # other processes never load it
 
-        versions = self.list if not isinstance(self.list, ListFile) else None
-        return Together(self.config, base, self.region, self.metrics, self.observer.note, versions)
+        versions = self.endpoints if not isinstance(self.endpoints, ListFile) else None
+        return PeerGroup(self.config, base, self.region, self.metrics, self.observer.note, versions)
 
     def _endpoints(self, base: Path) -> ListFile | VersionedList:
-        """The endpoint list. What follows the log is imported only where the settings have it."""
         if not self.config.endpoints_in_log:
             return ListFile(base / self.config.endpoints, self.config, self._news, self.observer.note)
-        from brassweir.service.versionedlist import VersionedList
+        from brassweir.service.versionedlist import VersionedList  # other processes never load it
 
         return VersionedList(self.config, self._news, self.observer.note)
 
@@ -160,12 +160,12 @@
         self.log.error("journal_broken", error=str(error))
         for connector in self.connectors:
             connector.abort()
-        if not self.broken.done():
-            self.broken.set_result(error)
+        if not self.journal_failure.done():
+            self.journal_failure.set_result(error)
 
     def _owing(self, message: int, submission: Submission) -> Waiter | None:
         """The connector that took a message knows who waits for it."""
-        waiters = (connector.owing(message, submission) for connector in self.connectors)
+        waiters = (connector.restored_waiter(message, submission) for connector in self.connectors)
         return next((waiter for waiter in waiters if waiter), None)
 
     def _complain(self, peer: str, status: int, reason: str) -> None:
@@ -176,28 +176,28 @@
         if self.region is not None:
             self.region.look()
             self.region.part_changed()
-            self.list.scale = self.region.part
+            self.endpoints.scale = self.region.part
         said: dict[str, object] = {}
         first = self.config.endpoints_in_log  # then the log is what the list comes from
         if first:
             said.update(await self._take_part())
-        self.waits = True
-        await self.list.open()
-        self.waits = False
+        self.waiting_for_list = True
+        await self.endpoints.open()
+        self.waiting_for_list = False
         if self.journal is not None:
-            await recover(self.journal, self.list.numbers, self.engine, self._owing, self.log)
+            await recover(self.journal, self.endpoints.numbers, self.engine, self._owing, self.log)
         for connector in self.connectors:
             said.update(await connector.start())
         if not first:
             said.update(await self._take_part())
-        settle()
+        freeze_heap()
         loop = asyncio.get_running_loop()
         self.tasks = [
-            loop.create_task(self.list.watch()),
+            loop.create_task(self.endpoints.watch()),
             loop.create_task(measure_stalls(self.metrics.loop_stall)),
         ]
         if self.region is not None:
-            self.tasks.append(loop.create_task(self.region.watch(self.list.again)))
+            self.tasks.append(loop.create_task(self.region.watch(self.endpoints.again)))
         self.starting = ""
         self.log.info("started", metrics_port=self.metrics_port, **said)
 
@@ -205,8 +205,8 @@
         """Show operators what there is, and take part in what copies share."""
         if self.config.sender.metrics:
             host, _, port = self.config.sender.metrics.rpartition(":")
-            self.metrics_port = await self.plain.listen(host, int(port))
-        return await self.together.start() if self.together is not None else {}
+            self.metrics_port = await self.operations_server.listen(host, int(port))
+        return await self.peer_group.start() if self.peer_group is not None else {}
 
     async def drain(self) -> None:
         """Take nothing new, let open work end, answer what is left, and close: all within the grace."""
@@ -215,9 +215,9 @@
         end = loop.time() + grace
         self.engine.stop_accepting()
         for connector in self.connectors:
-            connector.stop_taking()
-        if self.together is not None:
-            self.together.hand_over()
+            connector.stop_accepting()
+        if self.peer_group is not None:
+            self.peer_group.hand_over()
         self.log.info("draining", open=len(self.engine.ledger.open_messages()), grace_ms=round(grace * 1000))
         # Partners bring receipts to our own address: it stays open until nothing waits for one.
         while self.engine.ledger.open_messages() and loop.time() < end - _ANSWERS * grace:
@@ -227,12 +227,12 @@
         for connector in self.connectors:
             connector.drain()
         for connector in self.connectors:
-            await connector.settle(max(0.0, end - loop.time() - 0.1))
+            await connector.flush(max(0.0, end - loop.time() - 0.1))
         while (left := sum(connector.connections for connector in self.connectors)) and loop.time() < end:
             await asyncio.sleep(0.02)
         self.log.info("stopped", answered_at_the_end=cut, connections_left=left)
-        if self.together is not None:
-            await self.together.stop()
+        if self.peer_group is not None:
+            await self.peer_group.stop()
         self.stop()
 
     def stop(self) -> None:
@@ -241,9 +241,9 @@
             task.cancel()
         for connector in self.connectors:
             connector.abort()
-        self.plain.abort()
-        if self.together is not None:
-            self.together.abort()
+        self.operations_server.abort()
+        if self.peer_group is not None:
+            self.peer_group.abort()
         self.pools.close_all_idle()
         self.offload.close()
         if self.journal is not None:
--- a/brassweir/service/publisher.py
+++ b/brassweir/service/publisher.py
@@ -16,26 +16,26 @@
 from typing import Any
 
 from brassweir.agreed import commands
-from brassweir.agreed.facts import How, Outcome
+from brassweir.agreed.events import Outcome, OutcomeKind
 from brassweir.config.load import ConfigError
 from brassweir.config.model import ConfigurationModel
-from brassweir.configstream.checking import CheckError, Confirmation
-from brassweir.configstream.delta import difference
+from brassweir.configstream.delta import diff_entries
 from brassweir.configstream.entries import Entry
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.planning import Plan, plan
-from brassweir.configstream.publishing import (
-    Done,
-    Ended,
-    Facts,
-    Forget,
+from brassweir.configstream.publication import (
+    Action,
+    ProposalEnded,
     Propose,
-    Publishing,
-    Refused,
-    Step,
+    ProposeAbandon,
+    Publication,
+    Published,
+    PublishInputs,
+    Rejected,
     Superseded,
     Wait,
 )
+from brassweir.configstream.publish_plan import PublishPlan, make_plan
+from brassweir.configstream.validation import Confirmation, InvalidChange
 from brassweir.service.editedlist import read_edited, write_list
 
 PROPOSING = 3000.0  # ms until a proposal counts as unknown: a new leader is there by then
@@ -74,7 +74,7 @@
         self.remembered = base / f"{name}.configuration"
         self.edit = Edit("none")
         self.task: asyncio.Task[None] | None = None
-        self._ended: list[Ended] = []
+        self._ended: list[ProposalEnded] = []
         self._news = asyncio.Event()
         self._asking: set[asyncio.Task[None]] = set()
 
@@ -101,15 +101,15 @@
         try:
             entries = await asyncio.to_thread(self._read, path)
             if self._made_from() == version:
-                made = await asyncio.to_thread(plan, version, catalog, entries, self.name, confirmation)
-            elif await asyncio.to_thread(difference, catalog, entries):
+                made = await asyncio.to_thread(make_plan, version, catalog, entries, self.name, confirmation)
+            elif await asyncio.to_thread(diff_entries, catalog, entries):
                 return await self._outdated(path)
             else:
                 made = None
         except ConfigError as error:
             return self._refuse(path, "list", "; ".join(error.problems[:20]))
-        except CheckError as error:
-            return self._refuse(path, error.field, error.why)
+        except InvalidChange as error:
+            return self._refuse(path, error.field, error.reason)
         if made is None:
             return self._unchanged(path, version)
         await self._propose(path, made)
@@ -140,14 +140,14 @@
             f"to {shown}: bring its changes into the list, and ask again",
         )
 
-    async def _propose(self, path: Path, made: Plan) -> None:
-        publishing = Publishing(made, _now())
+    async def _propose(self, path: Path, made: PublishPlan) -> None:
+        publishing = Publication(made, _now())
         self._ended = []
         while True:
             self._news.clear()
             ended, self._ended = tuple(self._ended), []
             there = self.machine.configuration
-            facts = Facts(self.machine.state.level, there.version, there.catalog.digest(), ended)
+            facts = PublishInputs(self.machine.state.level, there.version, there.catalog.digest(), ended)
             for step in publishing.step(_now(), facts):
                 if isinstance(step, Superseded):
                     await self._outdated(path)
@@ -155,15 +155,15 @@
                     return
                 await self._carry_out(step)
 
-    async def _carry_out(self, step: Step) -> None:
+    async def _carry_out(self, step: Action) -> None:
         match step:
             case Propose():
                 self._start(self._propose_one(step))
-            case Forget():
+            case ProposeAbandon():
                 self._start(self._forget(step))
             case Wait():
                 try:
-                    await asyncio.wait_for(self._news.wait(), step.span / 1000.0)
+                    await asyncio.wait_for(self._news.wait(), step.wait_ms / 1000.0)
                 except TimeoutError:
                     pass
 
@@ -174,23 +174,23 @@
 
     async def _propose_one(self, step: Propose) -> None:
         told = await self.ask(step.command, PROPOSING)
-        result = commands.result(told.result) if told.how is How.AGREED else None
-        self._ended.append(Ended(step.number, told.how, result, told.why))
+        result = commands.decode_result(told.result) if told.how is OutcomeKind.AGREED else None
+        self._ended.append(ProposalEnded(step.number, told.how, result, told.why))
         self._news.set()
 
-    async def _forget(self, step: Forget) -> None:
+    async def _forget(self, step: ProposeAbandon) -> None:
         await self.ask(step.command, PROPOSING)
 
-    def _end(self, path: Path, made: Plan, step: Step) -> bool:
+    def _end(self, path: Path, made: PublishPlan, step: Action) -> bool:
         match step:
-            case Done():
+            case Published():
                 self._remember(step.version)
                 self._ended_as("agreed", step.version)
                 said = {"path": str(path), "version": step.version}
                 self.note("configuration_agreed", {**said, "changed": made.changed, "removed": made.removed})
-            case Refused():
-                self._refuse(path, step.field, step.why)
-        return isinstance(step, Done | Refused | Superseded)
+            case Rejected():
+                self._refuse(path, step.field, step.reason)
+        return isinstance(step, Published | Rejected | Superseded)
 
     def _refuse(self, path: Path, field: str, why: str) -> None:
         self._ended_as("refused", 0, field, why)
--- a/brassweir/service/recovery.py
+++ b/brassweir/service/recovery.py
@@ -14,10 +14,10 @@
 from brassweir.interface import MessageClass
 from brassweir.journal.restart import apply_plan
 from brassweir.service.journaling import JournalSettings, ProcessJournal
-from brassweir.service.listed import Numbers
+from brassweir.service.resolved_list import DestinationNumbers
 
 
-def keeping_of(sender: SenderModel, base: Path, classes: Mapping[str, MessageClass]) -> JournalSettings:
+def journal_settings(sender: SenderModel, base: Path, classes: Mapping[str, MessageClass]) -> JournalSettings:
     """Where a sender keeps its journal, and what it has to know for that."""
     return JournalSettings(
         base / (sender.journal or Path(f"{sender.name}.journal")),
@@ -30,7 +30,7 @@
 
 async def recover(
     journal: ProcessJournal,
-    numbers: Numbers,
+    numbers: DestinationNumbers,
     engine: Engine,
     owing: Callable[[int, Submission], Waiter | None],
     log: Any,
--- a/brassweir/service/region.py
+++ b/brassweir/service/region_ownership.py
@@ -18,23 +18,23 @@
 from brassweir.core.ports import Answer, FinalAnswer, Submission
 from brassweir.interface import MessageClass
 from brassweir.regions.epochs import Epoch, EpochError, parse
-from brassweir.regions.ownership import Assumed, Ownership, Why
-from brassweir.regions.shares import Shares
-from brassweir.regions.sources import Source, takes
+from brassweir.regions.ownership import Assumptions, Ownership, Reason
+from brassweir.regions.shares import LimitShare
+from brassweir.regions.sources import Source, check_source
 
 LEAST = 0.001  # of a limit: a rate of nothing would read as no limit
 LOOK = 0.25  # seconds between two looks
 WORDS = {
-    Why.ELSEWHERE: "not here: this message belongs to region {region}, {url}",
-    Why.MOVING: "not yet: this message's place is moving to this region",
-    Why.LAPSED: "not here: this region cannot show that the message is still its own",
-    Why.BORN_ELSEWHERE: "not here: when this message was made it belonged to region {region}, {url}",
-    Why.CLOCK: "not here: this sender's clock cannot be trusted",
-    Why.UNKNOWN: "not here: nothing is known yet of who owns this message",
+    Reason.ELSEWHERE: "not here: this message belongs to region {region}, {url}",
+    Reason.MOVING: "not yet: this message's place is moving to this region",
+    Reason.LAPSED: "not here: this region cannot show that the message is still its own",
+    Reason.BORN_ELSEWHERE: "not here: when this message was made it belonged to region {region}, {url}",
+    Reason.CLOCK: "not here: this sender's clock cannot be trusted",
+    Reason.UNKNOWN: "not here: nothing is known yet of who owns this message",
 }
 
 
-class Region:
+class RegionOwnership:
     """One sender's ownership; a source feeds :meth:`take`."""
 
     source: Source
@@ -43,7 +43,7 @@
         self,
         region: str,
         state: Path,
-        assumed: Assumed,
+        assumed: Assumptions,
         classes: dict[str, MessageClass],
         note: Callable[[str, dict[str, object]], None],
         counted: Callable[[str], None] = lambda _: None,
@@ -59,19 +59,21 @@
                     "newest: put it back, or remove it once the source is known to be new"
                 ]
             ) from None
-        self.own = Ownership(region, assumed, known)
+        self.ownership = Ownership(region, assumed, known)
         self.complained = ""
-        self.shares = Shares(region, assumed)
+        self.shares = LimitShare(region, assumed)
 
     def part(self) -> float:
         """The part of every partner's limit that this region may use now."""
-        return self.shares.told
+        return self.shares.reported
 
     def part_changed(self) -> bool:
         """Is that part to be told anew? The least part keeps a told limit told: none would mean no limit."""
         wall = self.wall()
-        changed = self.shares.changed(self.own.epoch, wall, time.monotonic() * 1000.0, self.own.trusted(wall))
-        self.shares.told = max(LEAST, self.shares.told)
+        changed = self.shares.changed(
+            self.ownership.epoch, wall, time.monotonic() * 1000.0, self.ownership.clock_trusted(wall)
+        )
+        self.shares.reported = max(LEAST, self.shares.reported)
         return changed
 
     def look(self) -> None:
@@ -81,20 +83,20 @@
     def wall(self) -> float:
         """The wall clock (ms), compared with the monotonic one first: a step is seen before it is used."""
         wall = time.time() * 1000.0
-        self.own.tick(wall, time.monotonic() * 1000.0)
+        self.ownership.check_clocks(wall, time.monotonic() * 1000.0)
         return wall
 
     def take(self, read: Callable[[], Epoch], where: str) -> None:
         """Take an epoch on, on disk first; what may not be taken is complained of."""
         try:
             epoch = read()
-            before = self.own.epoch
-            takes(self.source, epoch, before)
-            if self.own.learn(epoch):
+            before = self.ownership.epoch
+            check_source(self.source, epoch, before)
+            if self.ownership.accept(epoch):
                 try:
                     self._keep(epoch)
                 except OSError:
-                    self.own.epoch = before  # not on disk: it does not count
+                    self.ownership.epoch = before  # not on disk: it does not count
                     raise
                 self.note("epoch", {"number": epoch.number, "issued": epoch.issued})
             self.complained = ""
@@ -128,9 +130,9 @@
         """The refusal of a message that is not to be taken here, with where and when to come back; else
         None."""
         effect = self.classes[given.class_name].effect
-        found = self.own.may(effect, given.owner, given.identity, self.wall(), given.created_at)
+        found = self.ownership.refusal(effect, given.owner, given.identity, self.wall(), given.created_at)
         if found is None:
             return None
-        self.counted(found.why.name.lower())
-        words = WORDS[found.why].format(region=found.region, url=self.own.url(found.region))
-        return FinalAnswer(Answer.REFUSED, words, found.after)
+        self.counted(found.reason.name.lower())
+        words = WORDS[found.reason].format(region=found.region, url=self.ownership.url(found.region))
+        return FinalAnswer(Answer.REFUSED, words, found.retry_after_ms)
--- a/brassweir/service/listed.py
+++ b/brassweir/service/resolved_list.py
@@ -12,7 +12,7 @@
 from brassweir.config.model import Config
 
 
-class Numbers:
+class DestinationNumbers:
     """The number that the decisions know a destination by: partners in the order of the settings, others as
     they are first listed. A number is never given to another."""
 
@@ -40,7 +40,7 @@
         return self.names[number - 1] if 0 < number <= len(self.names) else ""
 
 
-class Home(Protocol):
+class ListEntry(Protocol):
     """What both forms of the list say of an endpoint."""
 
     @property
@@ -62,19 +62,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ResolvedList:
     """A list as the module is told it, and the URL of each endpoint."""
 
     infos: list[api.EndpointInfo]
     urls: dict[str, str]
 
 
-def scaled(infos: Iterable[api.EndpointInfo], scale: float) -> list[api.EndpointInfo]:
+def scale_rates(infos: Iterable[api.EndpointInfo], scale: float) -> list[api.EndpointInfo]:
     """Endpoints with this part of their rates."""
     return [replace(info, rate=info.rate * scale) if info.rate else info for info in infos]
 
 
-def listed(entries: Sequence[Home], config: Config, numbers: Numbers, name: str) -> Listed:
+def resolve_list(
+    entries: Sequence[ListEntry], config: Config, numbers: DestinationNumbers, name: str
+) -> ResolvedList:
     """Check a list against the settings. Raises ConfigError, and then numbers nothing."""
     carriers = {kind.name: kind.carrier for kind in config.kinds}
     problems: list[str] = []
@@ -111,4 +113,4 @@
         )
         for one in entries
     ]
-    return Listed(infos, {info.name: one.url for info, one in zip(infos, entries, strict=True)})
+    return ResolvedList(infos, {info.name: one.url for info, one in zip(infos, entries, strict=True)})
--- a/brassweir/service/runtime.py
+++ b/brassweir/service/runtime.py
@@ -17,15 +17,15 @@
 STALL_SPAN = 10.0  # seconds that the longest delay is told of, or more
 
 
-def settle() -> None:
+def freeze_heap() -> None:
     """What stands now stands for good: the collector need not walk the whole list again and again."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECT)
-    yield_often()
+    shorten_switch_interval()
 
 
-def yield_often() -> None:
+def shorten_switch_interval() -> None:
     """Threads that work on lists let the loop go on soon, each time that it lets go of the interpreter."""
     sys.setswitchinterval(SWITCH)
 
--- a/brassweir/service/plain.py
+++ b/brassweir/service/sender_operations.py
@@ -10,11 +10,11 @@
 from brassweir.destinations import inspection
 from brassweir.net.server import Request, Response
 from brassweir.observe.metrics import Metrics
-from brassweir.service.listed import Numbers
 from brassweir.service.operations import Operations, States, as_json
+from brassweir.service.resolved_list import DestinationNumbers
 
 
-class Plain(Operations):
+class SenderOperations(Operations):
     """Answers each request from what is there now."""
 
     also = " and /destinations"
@@ -22,7 +22,7 @@
     def __init__(
         self,
         engine: Engine,
-        numbers: Numbers,
+        numbers: DestinationNumbers,
         metrics: Metrics,
         clock: LoopClock,
         states: States,
--- a/brassweir/service/serving.py
+++ b/brassweir/service/serving.py
@@ -12,7 +12,7 @@
 from brassweir.config.settings import load_settings
 from brassweir.journal.group import JournalBroken
 from brassweir.service.process import SenderProcess
-from brassweir.service.runtime import yield_often
+from brassweir.service.runtime import shorten_switch_interval
 
 if TYPE_CHECKING:
     from brassweir.service.controlmachine import ControlMachine
@@ -20,7 +20,7 @@
 LOOK = 0.05  # seconds between two looks at a start that is to end
 
 
-def process_of(path: Path, log: Any) -> SenderProcess | ControlMachine:
+def create_process(path: Path, log: Any) -> SenderProcess | ControlMachine:
     """What the settings are of: a sender or a control machine. Raises ConfigError."""
     config = load_settings(path)
     if isinstance(config, Config):
@@ -33,29 +33,29 @@
 async def serve(path: Path, log: Any) -> None:
     """Run a process until SIGTERM or SIGINT, then drain it. Raises ConfigError and OSError, and Broken once
     the journal's disk can no longer be trusted."""
-    yield_often()  # from the start on: the first list is the longest
-    process = process_of(path, log)
+    shorten_switch_interval()  # from the start on: the first list is the longest
+    process = create_process(path, log)
     loop = asyncio.get_running_loop()
     told = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told.set)
-    if process.together is not None:
+    if process.peer_group is not None:
         loop.add_signal_handler(signal.SIGHUP, reload, process, path)
     stop = loop.create_task(told.wait())
     await _started(process, stop)
-    either: set[asyncio.Future[Any]] = {stop, process.broken}
+    either: set[asyncio.Future[Any]] = {stop, process.journal_failure}
     await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
-    if process.broken.done():
-        raise JournalBroken(str(process.broken.result()))
+    if process.journal_failure.done():
+        raise JournalBroken(str(process.journal_failure.result()))
     await process.drain()
 
 
 async def _started(process: SenderProcess | ControlMachine, stop: asyncio.Task[Any]) -> None:
     """Start; an operator's stop does not wait for a first endpoint list, and for all else of a start."""
     start = asyncio.ensure_future(process.start())
-    await asyncio.wait({start, stop, process.broken}, return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait({start, stop, process.journal_failure}, return_when=asyncio.FIRST_COMPLETED)
     while not start.done():
-        if process.waits:
+        if process.waiting_for_list:
             start.cancel()
         await asyncio.wait({start}, timeout=LOOK)
     if not start.cancelled():
@@ -64,10 +64,10 @@
 
 def reload(process: SenderProcess | ControlMachine, path: Path) -> None:
     """SIGHUP: what copies share is read again, by the settings as they are now; all else needs a restart."""
-    assert process.together is not None
+    assert process.peer_group is not None
     try:
         config = load_settings(path)
     except ConfigError as error:
         process.observer.note("peers_refused", {"problems": error.problems[:20]})
         return
-    process.together.reload(config)
+    process.peer_group.reload(config)
--- a/brassweir/service/following.py
+++ b/brassweir/service/version_follower.py
@@ -12,9 +12,9 @@
 class Follower(Protocol):
     """Puts versions in force here, the newest in the end."""
 
-    told: int  # the version that is in force here; 0: none
+    in_force: int  # the version that is in force here; 0: none
     refused: str  # why a newer version cannot be used here; empty if none was refused
-    on_told: Callable[[int], None]
+    on_in_force: Callable[[int], None]
 
     def follow(self, version: int, catalog: Catalog) -> None:
         """This is the newest version now."""
@@ -23,18 +23,18 @@
         """Could these be in force here? On a thread. Raises ConfigError."""
 
 
-class Holder:
+class PassiveFollower:
     """Follows where nothing is delivered: a version is in force once it is held."""
 
     def __init__(self) -> None:
-        self.told = 0
+        self.in_force = 0
         self.refused = ""
-        self.on_told: Callable[[int], None] = lambda _: None
+        self.on_in_force: Callable[[int], None] = lambda _: None
 
     def follow(self, version: int, catalog: Catalog) -> None:
         """In force at once."""
-        self.told = version
-        self.on_told(version)
+        self.in_force = version
+        self.on_in_force(version)
 
     def check(self, entries: Sequence[Entry]) -> None:
         """Any could."""
--- a/brassweir/service/versionedlist.py
+++ b/brassweir/service/versionedlist.py
@@ -16,10 +16,10 @@
 from brassweir.config.load import ConfigError
 from brassweir.config.model import Config
 from brassweir.configstream.catalog import EMPTY, Catalog
-from brassweir.configstream.delta import Delta, between
+from brassweir.configstream.delta import Delta, diff_catalogs
 from brassweir.configstream.entries import Entry
 from brassweir.destinations.list_updates import ListUpdateQueue
-from brassweir.service.listed import Numbers, listed, scaled
+from brassweir.service.resolved_list import DestinationNumbers, resolve_list, scale_rates
 
 KEEP_URL = 60.0  # seconds that a removed endpoint keeps its address, for attempts that are out
 Note = Callable[[str, dict[str, object]], None]
@@ -30,12 +30,12 @@
 
     def __init__(self, config: Config, tell: Callable[[api.ListUpdate], None], note: Note) -> None:
         self.config, self.tell, self.note = config, tell, note
-        self.numbers = Numbers(config)
+        self.numbers = DestinationNumbers(config)
         self.scale: Callable[[], float] = lambda: 1.0
         self.intake = ListUpdateQueue()
-        self.told = 0
+        self.in_force = 0
         self.refused = ""
-        self.on_told: Callable[[int], None] = lambda _: None
+        self.on_in_force: Callable[[int], None] = lambda _: None
         self._urls: dict[str, str] = {}
         self._leaving: dict[str, float] = {}  # removed endpoints, and since when (s)
         self._newest: tuple[int, Catalog] = (0, EMPTY)
@@ -54,7 +54,9 @@
 
     def check(self, entries: Sequence[Entry]) -> None:
         """Could these be in force here? On a thread. Raises ConfigError."""
-        listed([_home(entry) for entry in entries], self.config, Numbers(self.config), "the list")
+        resolve_list(
+            [_home(entry) for entry in entries], self.config, DestinationNumbers(self.config), "the list"
+        )
 
     def again(self) -> None:
         """The part of each rate that is ours has changed."""
@@ -63,7 +65,7 @@
 
     async def open(self) -> None:
         """Wait for the first version that can be used, and tell it."""
-        while not self.told:
+        while not self.in_force:
             await self._advance()
 
     async def watch(self) -> None:
@@ -88,10 +90,12 @@
 
     def _take(self, version: int, catalog: Catalog, rescaled: bool) -> None:
         """Compare with what was taken last. On a thread, while the loop tells nothing. Raises ConfigError."""
-        delta = between(self._taken[1], catalog)
+        delta = diff_catalogs(self._taken[1], catalog)
         changed = tuple(catalog.entries()) if rescaled else delta.changed
-        found = listed([_home(entry) for entry in changed], self.config, self.numbers, f"version {version}")
-        count = self.intake.apply(scaled(found.infos, self.scale()), delta.removed)
+        found = resolve_list(
+            [_home(entry) for entry in changed], self.config, self.numbers, f"version {version}"
+        )
+        count = self.intake.apply(scale_rates(found.infos, self.scale()), delta.removed)
         self._keep_urls(found.urls, delta.removed)
         self._taken = (version, catalog)
         self._say(delta, count)
@@ -128,9 +132,9 @@
             await asyncio.sleep(0)
             if self._changed.is_set():
                 return
-        if self.told != self._taken[0]:
-            self.told = self._taken[0]
-            self.on_told(self.told)
+        if self.in_force != self._taken[0]:
+            self.in_force = self._taken[0]
+            self.on_in_force(self.in_force)
 
 
 def _home(entry: Entry) -> lines.Entry:
--- a/brassweir/sites/refusing.py
+++ b/brassweir/sites/admission.py
@@ -15,19 +15,19 @@
 from enum import Enum
 
 from brassweir.interface import Effect, MessageClass
-from brassweir.sites.facts import Line
+from brassweir.sites.facts import Demand
 
 EQUAL = 0.99  # of the worth per room of the first of a standing, down to which others stand alike
 
 
-def density(line: Line) -> float:
+def density(line: Demand) -> float:
     """Worth lost per unit of room."""
-    return line.worth / line.room
+    return line.worth / line.calls_per_message
 
 
-def standings(lines: Sequence[Line]) -> list[list[Line]]:
+def equal_groups(lines: Sequence[Demand]) -> list[list[Demand]]:
     """Lines of equal standing together, the most worth per room first."""
-    groups: list[list[Line]] = []
+    groups: list[list[Demand]] = []
     for line in sorted(lines, key=density, reverse=True):
         if groups and density(line) >= EQUAL * density(groups[-1][0]):
             groups[-1].append(line)
@@ -36,11 +36,11 @@
     return groups
 
 
-def order(lines: Sequence[Line], come_back: float) -> list[list[Line]]:
+def order(lines: Sequence[Demand], come_back: float) -> list[list[Demand]]:
     """In which order lines are refused, first first; those in one list share."""
     late = [line for line in lines if line.pinned and line.window < come_back]
     rest = [line for line in lines if not (line.pinned and line.window < come_back)]
-    return ([late] if late else []) + standings(rest)[::-1]
+    return ([late] if late else []) + equal_groups(rest)[::-1]
 
 
 def fill(asked: Sequence[float], room: float) -> list[float]:
@@ -53,7 +53,7 @@
     return given
 
 
-def admitted(lines: Sequence[Line], home: float, away: float, come_back: float) -> list[float]:
+def admitted_rates(lines: Sequence[Demand], home: float, away: float, come_back: float) -> list[float]:
     """The rate of each line that has room: ``home`` calls a second at its own site, which pinned lines
     need, and ``away`` elsewhere, which the others use first. ``come_back``: ms until the site does."""
     given = dict.fromkeys(range(len(lines)), 0.0)
@@ -61,7 +61,7 @@
     for group in reversed(order(lines, come_back)):
         if group[0].pinned and group[0].window < come_back:
             continue
-        asked = [line.rate * line.room for line in group]
+        asked = [line.rate * line.calls_per_message for line in group]
         level = fill(asked, home + away)
         fixed = [i for i, line in enumerate(group) if line.pinned]
         if sum(level[i] for i in fixed) > home:
@@ -73,7 +73,7 @@
             for i, rate in zip(free, fill([asked[i] for i in free], rest), strict=True):
                 level[i] = rate
         for i, line in enumerate(group):
-            given[numbers[id(line)]] = level[i] / line.room
+            given[numbers[id(line)]] = level[i] / line.calls_per_message
         pinned = sum(level[i] for i in fixed)
         free_use = sum(level) - pinned
         home -= pinned + max(0.0, free_use - away)
--- a/brassweir/sites/evidence.py
+++ b/brassweir/sites/evidence.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from brassweir.interface import EndpointInfo
-from brassweir.sites.facts import Ending
+from brassweir.sites.facts import Outcomes
 
 WINDOW = 2000.0  # ms of endings that count: some ten calls of a copy at common loads
 OUT = 0.5  # share of calls that end badly from which an endpoint counts as out, a site as failing
@@ -19,17 +19,17 @@
 
     def __init__(self, endpoints: Iterable[EndpointInfo]) -> None:
         self.listed = {one.name: one for one in endpoints}
-        self.told: deque[tuple[float, Ending]] = deque()
+        self.told: deque[tuple[float, Outcomes]] = deque()
         self.by_endpoint = {name: [0.0, 0.0] for name in self.listed}
         self.by_site = {one.zone: [0.0, 0.0] for one in self.listed.values()}
         self.at_site: dict[str, list[str]] = {site: [] for site in self.by_site}
         for one in self.listed.values():
             self.at_site[one.zone].append(one.name)
         # endpoints whose last calls failed; few go there, so it stays till some pass
-        self.dead: set[str] = set()
+        self.failed_endpoints: set[str] = set()
         self.last_pass = dict.fromkeys(self.by_site, -math.inf)
 
-    def step(self, now: float, endings: Iterable[Ending]) -> None:
+    def step(self, now: float, endings: Iterable[Outcomes]) -> None:
         """Take in what ended; endings of endpoints that are not listed are passed over."""
         while self.told and self.told[0][0] <= now - WINDOW:
             self._add(self.told.popleft()[1], -1.0)
@@ -41,11 +41,11 @@
             if one.passes > 0.0:
                 self.last_pass[self.listed[one.endpoint].zone] = now
             if passes + bad >= LEAST / 3 and bad >= OUT * (passes + bad):
-                self.dead.add(one.endpoint)
+                self.failed_endpoints.add(one.endpoint)
             elif one.passes > 0.0 and bad < OUT * (passes + bad):
-                self.dead.discard(one.endpoint)
+                self.failed_endpoints.discard(one.endpoint)
 
-    def _add(self, one: Ending, sign: float) -> list[float]:
+    def _add(self, one: Outcomes, sign: float) -> list[float]:
         # A lost answer is no answer: time-outs count as failures do.
         passes, bad = sign * one.passes, sign * (one.failures + one.timeouts)
         both = self.by_endpoint[one.endpoint], self.by_site[self.listed[one.endpoint].zone]
@@ -75,16 +75,16 @@
         seen = [
             self.listed[name]
             for name in self.at_site[site]
-            if name in self.dead or sum(self.by_endpoint[name]) > 0.0
+            if name in self.failed_endpoints or sum(self.by_endpoint[name]) > 0.0
         ]
-        dead = sum(one.rate for one in seen if one.name in self.dead)
+        dead = sum(one.rate for one in seen if one.name in self.failed_endpoints)
         return dead * 2 > sum(one.rate for one in seen)
 
     def left(self, site: str) -> float:
         """The share of a site's listed rate that stands at endpoints not known to be dead."""
-        dead = sum(self.listed[name].rate for name in self.at_site[site] if name in self.dead)
+        dead = sum(self.listed[name].rate for name in self.at_site[site] if name in self.failed_endpoints)
         return 1.0 - dead / (sum(self.listed[name].rate for name in self.at_site[site]) or 1.0)
 
     def forget(self, site: str) -> None:
         """A site returns: all its endpoints are to be tried anew."""
-        self.dead.difference_update(self.at_site[site])
+        self.failed_endpoints.difference_update(self.at_site[site])
