--- a/brassweir/sites/facts.py
+++ b/brassweir/sites/facts.py
@@ -10,7 +10,7 @@
 from brassweir.interface import EndpointInfo
 
 
-class Word(Enum):
+class State(Enum):
     """What is thought of a site's endpoints; in order of severity."""
 
     WELL = "well"
@@ -19,10 +19,10 @@
     LOST = "lost"
 
 
-SEVERITY = {word: number for number, word in enumerate(Word)}
+SEVERITY = {state: number for number, state in enumerate(State)}
 
 
-class Peer(Enum):
+class PeerState(Enum):
     """What liveness says of a copy."""
 
     ALIVE = "alive"
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class Outcomes:
     """How own calls to an endpoint ended since the last step; time-outs are not among the failures."""
 
     endpoint: str
@@ -56,14 +56,14 @@
 
     copy: str
     about: str
-    word: Word | None  # None: too few calls to say anything, but the counts are there
+    state: State | None  # None: too few calls to say anything, but the counts are there
     age: float
     passes: float = 0.0
     failures: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class Demand:
     """Demand of one class and customer for one home site, as handed in at this copy.
 
     ``worth`` is of one message, ``room`` the calls that one needs, ``window`` the ms in which it may still be
@@ -75,7 +75,7 @@
     home: str
     rate: float
     worth: float = 1.0
-    room: float = 1.0
+    calls_per_message: float = 1.0
     window: float = 30_000.0
     pinned: bool = False
 
@@ -90,13 +90,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Agreed:
+class LogState:
     """The agreed log's state. ``as_of``: when, on the own clock, the question was **asked** to which this is
     the answer; never when it came. ``silent``: sites whose copies are agreed to be gone."""
 
     version: int
     as_of: float
-    words: Mapping[str, Word]
+    states: Mapping[str, State]
     silent: frozenset[str] = frozenset()
     plan: Plan | None = None
     led_since: float = math.inf  # on the own clock: since when the log has had a leader without a break
@@ -106,12 +106,12 @@
 class Facts:
     """All that has come since the last step. ``late``: the own loop or process was late (it stalled)."""
 
-    endings: tuple[Ending, ...] = ()
+    endings: tuple[Outcomes, ...] = ()
     witnesses: tuple[Witness, ...] = ()
-    peers: Mapping[str, Peer] = field(default_factory=dict)
+    peers: Mapping[str, PeerState] = field(default_factory=dict)
     late: bool = False
-    agreed: Agreed | None = None
-    demand: tuple[Line, ...] = ()
+    agreed: LogState | None = None
+    demand: tuple[Demand, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/brassweir/sites/plan.py
+++ b/brassweir/sites/planning.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class SiteLoad:
     """What one site bears and carries. ``listed`` 0: unknown, then what was ``served`` counts.
     ``full_at``: the rate at which it last turned calls away. ``connections`` 0: no known limit;
     ``call_ms``: of one call."""
@@ -72,7 +72,9 @@
     return list(dict.fromkeys(found))
 
 
-def demands(rooms: Iterable[Room], left: Mapping[str, float]) -> tuple[dict[str, float], dict[str, float]]:
+def demands(
+    rooms: Iterable[SiteLoad], left: Mapping[str, float]
+) -> tuple[dict[str, float], dict[str, float]]:
     """What each broken site may give away, and what each whole one has room for."""
     give, take = {}, {}
     for one in rooms:
@@ -85,7 +87,7 @@
     return give, take
 
 
-def placed(rooms: tuple[Room, ...], case: Case) -> dict[tuple[str, str], float]:
+def placed(rooms: tuple[SiteLoad, ...], case: Case) -> dict[tuple[str, str], float]:
     """The rate from each broken site to each taker in one case."""
     give, take = demands(rooms, dict(case))
     flow, edges = Flow(), {}
@@ -107,7 +109,7 @@
     return {pair: flow.used(edge) for pair, edge in edges.items() if flow.used(edge) > TINY}
 
 
-def allowed(rooms: tuple[Room, ...], case: Case) -> dict[tuple[str, str], float]:
+def allowed(rooms: tuple[SiteLoad, ...], case: Case) -> dict[tuple[str, str], float]:
     """What may go from each broken site to each taker: what is placed, and up to ``SLACK`` of it where the
     taker has room to spare, so that copies with more demand than others, and dead ones, waste less."""
     flows = placed(rooms, case)
@@ -119,12 +121,12 @@
     }
 
 
-def plan(version: int, rooms: tuple[Room, ...]) -> Plan:
+def make_plan(version: int, rooms: tuple[SiteLoad, ...]) -> Plan:
     """All cases for these loads."""
     return Plan(version, {case: allowed(rooms, case) for case in cases(one.site for one in rooms)})
 
 
-def moved(before: tuple[Room, ...], now: tuple[Room, ...]) -> bool:
+def plan_outdated(before: tuple[SiteLoad, ...], now: tuple[SiteLoad, ...]) -> bool:
     """Have loads or room changed so far that the plan is to be worked out anew?"""
     known = {one.site: one for one in before}
     return known.keys() != {one.site for one in now} or any(
--- a/brassweir/sites/returning.py
+++ b/brassweir/sites/slow_start.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from brassweir.sites.evidence import WINDOW
-from brassweir.sites.facts import Word
+from brassweir.sites.facts import State
 
 SAFE = 0.8  # of what a cold site bears: loads move within a second, and its warming is known by time alone
 TRIAL = 0.1  # of its cold part that all copies together try a lost site with
@@ -43,7 +43,7 @@
     def step(
         self,
         now: float,
-        word: Word,
+        state: State,
         last_pass: float,
         bad: float,
         told_well: bool,
@@ -56,13 +56,13 @@
         span = 0.0 if self.at is None else now - self.at
         self.at = now
         self.stretch = min(MOST_STRETCH, math.exp2(max(0.0, distrust - 1.0)))
-        if word is Word.LOST or now - last_pass > LAPSE or bad >= 0.5:
+        if state is State.LOST or now - last_pass > LAPSE or bad >= 0.5:
             # Passed or failing: what was proven says nothing of a site that was away since.
             self.passed, self.warm = 0.0, False
-        elif word is Word.RETURNING and last_pass > now - WINDOW:
+        elif state is State.RETURNING and last_pass > now - WINDOW:
             self.warm = False
             self.passed = min(self.passed + span, self.cold * self.stretch)
-        elif word in (Word.WELL, Word.SUSPECTED) and last_pass > now - WINDOW:
+        elif state in (State.WELL, State.SUSPECTED) and last_pass > now - WINDOW:
             self.passed = min(self.passed + span, self.cold * self.stretch)
             self.warm = self.warm or self.full
         if bad >= DOWN and self.down_at is None:
@@ -72,7 +72,7 @@
         known = self.excused and self.down_at is not None and led_since < self.down_at and bad < DOWN
         if self.full or (told_well and known):
             self.down_at = None
-        if told_well and word is Word.WELL and self.down_at is None:
+        if told_well and state is State.WELL and self.down_at is None:
             self.warm = True
 
     @property
@@ -85,13 +85,13 @@
         into = self.passed / max(self.cold * self.stretch, 1.0)
         return SAFE * min(1.0, self.start + (1.0 - self.start) * into)
 
-    def allowed(self, word: Word, reached: bool, failing: bool, passes: float) -> float:
+    def allowed(self, state: State, reached: bool, failing: bool, passes: float) -> float:
         """Calls a second that this copy may make there; infinite where nothing is in doubt. ``passes`` a
         second, in the last window."""
         tried = TRIAL * self.start * self.part  # so little where nothing passes, verdict or not
-        if word is Word.LOST or (failing and passes < tried):
+        if state is State.LOST or (failing and passes < tried):
             return tried
-        if word is Word.RETURNING or not self.warm:
+        if state is State.RETURNING or not self.warm:
             return self.share() * self.part
         if failing or not reached:
             return max(SAFE * self.start * self.part, GROW * passes)
--- a/brassweir/sites/steps.py
+++ b/brassweir/sites/steps.py
@@ -10,41 +10,41 @@
 from dataclasses import dataclass
 
 from brassweir.interface import EndpointInfo
-from brassweir.sites.facts import Line, Word
+from brassweir.sites.facts import Demand, State
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class SiteStateChanged:
     """The word on a site has changed; ``alone``: the agreed log was out of reach."""
 
     site: str
-    word: Word
+    state: State
     alone: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Propose:
+class OwnStateChanged:
     """What this copy says to the agreed log and to witnesses, by its own endings; None: nothing any more."""
 
     site: str
-    word: Word | None
+    state: State | None
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class EndpointUpdate:
     """A list entry to tell the decision module."""
 
     info: EndpointInfo
 
 
 @dataclass(frozen=True, slots=True)
-class Admit:
+class AdmissionLimit:
     """The rate of a line that has room from now on; the rest is refused at once, with ``retry_after`` (ms).
     Infinite: all."""
 
-    line: Line
+    line: Demand
     rate: float
     retry_after: float
 
 
-Step = Said | Propose | Entry | Admit
+Step = SiteStateChanged | OwnStateChanged | EndpointUpdate | AdmissionLimit
--- a/brassweir/sites/verdict.py
+++ b/brassweir/sites/verdict.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 
 from brassweir.sites.evidence import LEAST, WINDOW, Evidence
-from brassweir.sites.facts import SEVERITY, Facts, Peer, Setup, Word
+from brassweir.sites.facts import SEVERITY, Facts, PeerState, Setup, State
 from brassweir.sites.parts import LEASE
-from brassweir.sites.returning import DOWN
+from brassweir.sites.slow_start import DOWN
 
 LOSING = 0.2  # share of bad endings from which a site is not well: it may serve and lose its answers
 CLEAR = 0.1  # share under which a suspected site is well again
@@ -37,11 +37,11 @@
 
 
 @dataclass(slots=True)
-class Standing:
+class SiteRecord:
     """What is known of one site. ``own`` rests on own endings; ``word`` is what is acted on."""
 
-    own: Word = Word.WELL
-    word: Word = Word.WELL
+    own: State = State.WELL
+    state: State = State.WELL
     since: float = 0.0  # of ``own``
     bad_since: float | None = None  # calls fail since
     calm_since: float | None = None
@@ -52,13 +52,13 @@
     gone_at: float | None = None  # when calls began to fail, or its copies fell silent
 
 
-class Verdicts:
+class SiteVerdicts:
     """All sites as one copy sees them."""
 
     def __init__(self, setup: Setup) -> None:
         self.setup = setup
         self.evidence = Evidence(setup.endpoints)
-        self.sites = {site: Standing() for site in setup.sites}
+        self.sites = {site: SiteRecord() for site in setup.sites}
         self.site_of = {copy.name: copy.site for copy in setup.copies}
         self.copies_at = {site: sum(copy.site == site for copy in setup.copies) for site in setup.sites}
         self.cut_off = self.unanswered = False
@@ -86,22 +86,24 @@
         changed = []
         for site, one in self.sites.items():
             self._own(now, site, facts, shares, silent[site], full.get(site, False))
-            word = one.own
+            state = one.own
             if self.reached and agreed is not None:
-                said = agreed.words.get(site, Word.WELL)
-                if said is Word.LOST and one.own not in (Word.LOST, Word.RETURNING):
+                said = agreed.states.get(site, State.WELL)
+                if said is State.LOST and one.own not in (State.LOST, State.RETURNING):
                     self._lose(now, one)  # the fleet has seen it: be ready for its return, as all are
-                elif said is Word.RETURNING and one.own is Word.LOST and not self.evidence.failing(site):
-                    self._to(now, one, Word.RETURNING)
-                word = max((said, one.own), key=SEVERITY.__getitem__)
-            if word is not one.word:
-                one.word = word
+                elif said is State.RETURNING and one.own is State.LOST and not self.evidence.failing(site):
+                    self._to(now, one, State.RETURNING)
+                state = max((said, one.own), key=SEVERITY.__getitem__)
+            if state is not one.state:
+                one.state = state
                 changed.append(site)
         return changed
 
-    def _silent(self, site: str, peers: Mapping[str, Peer]) -> bool:
+    def _silent(self, site: str, peers: Mapping[str, PeerState]) -> bool:
         """Are most copies of a site silent? Not if it has none; who is not told of counts as alive."""
-        gone = sum(word is not Peer.ALIVE and self.site_of.get(name) == site for name, word in peers.items())
+        gone = sum(
+            state is not PeerState.ALIVE and self.site_of.get(name) == site for name, state in peers.items()
+        )
         return gone * 2 > self.copies_at[site]
 
     def _look_at_self(
@@ -112,7 +114,7 @@
         others = [
             one
             for site, one in self.sites.items()
-            if site != self.setup.own.site and one.own not in (Word.LOST, Word.RETURNING)
+            if site != self.setup.own.site and one.own not in (State.LOST, State.RETURNING)
         ]
         for site, one in self.sites.items():
             gone = self.evidence.failing(site) or (shares[site] is None and silent[site])
@@ -140,7 +142,7 @@
         """Move the word that rests on own endings."""
         one, share = self.sites[site], shares[site]
         bad = share or 0.0
-        for ending in facts.endings if one.own is Word.LOST else ():
+        for ending in facts.endings if one.own is State.LOST else ():
             if self.evidence.site_of(ending.endpoint) == site:
                 failed = ending.failures + ending.timeouts > ending.passes
                 one.trials = 0.0 if failed else one.trials + ending.passes
@@ -148,33 +150,33 @@
         failing = self.evidence.failing(site) and not doubtful
         one.bad_since = (one.bad_since if one.bad_since is not None else now) if failing else None
         one.calm_since = (one.calm_since if one.calm_since is not None else now) if bad < CLEAR else None
-        if one.own is Word.WELL and bad >= LOSING and not doubtful:
-            self._to(now, one, Word.SUSPECTED)
-        if one.own is Word.SUSPECTED:
+        if one.own is State.WELL and bad >= LOSING and not doubtful:
+            self._to(now, one, State.SUSPECTED)
+        if one.own is State.SUSPECTED:
             one.failed = one.failed or failing
             if one.bad_since is not None and now - one.bad_since >= self._confirm(now, site, facts, silent):
                 self._lose(now, one)
             elif one.calm_since is not None and now - one.calm_since >= CALM:
-                self._to(now, one, Word.RETURNING if one.failed else Word.WELL)
-        elif one.own is Word.LOST and now - one.since >= self.wait(now, site):
+                self._to(now, one, State.RETURNING if one.failed else State.WELL)
+        elif one.own is State.LOST and now - one.since >= self.wait(now, site):
             passes, fails = self._pooled(site, facts)
             passes += one.trials
             if passes >= TRIALS and fails < LOSING * (passes + fails):
-                self._to(now, one, Word.RETURNING)
-        elif one.own is Word.RETURNING:
+                self._to(now, one, State.RETURNING)
+        elif one.own is State.RETURNING:
             if bad >= RELAPSE and share is not None and now - one.since > WINDOW / 2 and not doubtful:
                 self._lose(now, one)
             elif full:
-                self._to(now, one, Word.WELL)
+                self._to(now, one, State.WELL)
 
     def _general(self, site: str, bad: float, shares: Mapping[str, float | None]) -> bool:
         """Do all other sites of which calls say anything fail alike? Then no site is to blame."""
         seen = [
             share
             for other, share in shares.items()
-            if other != site and share is not None and self.sites[other].own is not Word.LOST
+            if other != site and share is not None and self.sites[other].own is not State.LOST
         ]
-        if not seen and any(other != site and one.own is not Word.WELL for other, one in self.sites.items()):
+        if not seen and any(other != site and one.own is not State.WELL for other, one in self.sites.items()):
             return bad < DOWN  # nothing is left to compare with: only a site that is down is lost
         return bool(seen) and min(seen) >= max(GENERAL * bad, CLEAR)
 
@@ -183,7 +185,7 @@
         backed = silent or any(
             one.about == site
             and one.age <= FRESH
-            and one.word in (Word.SUSPECTED, Word.LOST)
+            and one.state in (State.SUSPECTED, State.LOST)
             and self.site_of.get(one.copy, site) not in (site, self.setup.own.site)
             for one in facts.witnesses
         )
@@ -198,18 +200,18 @@
                 passes, fails = passes + one.passes, fails + one.failures
         return passes, fails
 
-    def _lose(self, now: float, one: Standing) -> None:
+    def _lose(self, now: float, one: SiteRecord) -> None:
         kept = one.distrust * math.exp2(-(now - one.distrust_at) / DISTRUST_HALF)
         one.distrust, one.distrust_at = min(MOST_DISTRUST, kept + 1.0), now
-        self._to(now, one, Word.LOST)
+        self._to(now, one, State.LOST)
 
-    def _to(self, now: float, one: Standing, word: Word) -> None:
-        one.own, one.since, one.bad_since, one.calm_since = word, now, None, None
+    def _to(self, now: float, one: SiteRecord, state: State) -> None:
+        one.own, one.since, one.bad_since, one.calm_since = state, now, None, None
         one.trials, one.failed = 0.0, False
 
-    def says(self, site: str) -> Word | None:
+    def own_report(self, site: str) -> State | None:
         """The word for others: own endings alone; None where they say nothing."""
         (passes, bad), own = self.evidence.counts(site), self.sites[site].own
-        few = passes + bad < LEAST if own in (Word.WELL, Word.SUSPECTED) else passes + bad <= 0.0
+        few = passes + bad < LEAST if own in (State.WELL, State.SUSPECTED) else passes + bad <= 0.0
         # Lost by others' word while own calls pass: that is no word of its own.
-        return None if self.cut_off or few or (own is Word.LOST and passes > bad) else own
+        return None if self.cut_off or few or (own is State.LOST and passes > bad) else own
--- a/brassweir/sites/view.py
+++ b/brassweir/sites/view.py
@@ -11,25 +11,24 @@
 from random import Random
 
 from brassweir.interface import EndpointInfo, EntryState
-from brassweir.sites import plan as planning
-from brassweir.sites import refusing
+from brassweir.sites import admission, planning
 from brassweir.sites.evidence import WINDOW
-from brassweir.sites.facts import Agreed, Facts, Plan, Setup, Word
+from brassweir.sites.facts import Facts, LogState, Plan, Setup, State
 from brassweir.sites.parts import ALONE, LEASE, Part, alone
-from brassweir.sites.returning import SAFE, Ramp
-from brassweir.sites.steps import Admit, Entry, Propose, Said, Step
-from brassweir.sites.verdict import CALM, FRESH, Verdicts
+from brassweir.sites.slow_start import SAFE, Ramp
+from brassweir.sites.steps import AdmissionLimit, EndpointUpdate, OwnStateChanged, SiteStateChanged, Step
+from brassweir.sites.verdict import CALM, FRESH, SiteVerdicts
 
 STEP = 0.02  # a smaller change of a rate is not worth telling: the decisions look at each entry anew
 SPREAD = 0.5  # of the time to come back that is drawn on top: those refused together are not to come together
 
 
-class View:
+class SitesView:
     """One copy. ``home`` and ``spill`` are what it may call now: by site, and by home and taker."""
 
     def __init__(self, setup: Setup, rng: Random) -> None:
         self.setup, self.rng = setup, rng
-        self.verdicts = Verdicts(setup)
+        self.verdicts = SiteVerdicts(setup)
         self.listed = len(setup.copies)
         self.capacity = {site: setup.capacity(site) for site in setup.sites}
         self.ramps = {
@@ -41,9 +40,9 @@
         self.home = {site: math.inf for site in setup.sites}
         self.spill: dict[tuple[str, str], float] = {}
         self.plan: Plan | None = None
-        self.agreed: Agreed | None = None
+        self.agreed: LogState | None = None
         self.told = {one.name: one for one in setup.endpoints}
-        self.proposed: dict[str, Word | None] = {}
+        self.proposed: dict[str, State | None] = {}
         self.short: set[tuple[str, str, str]] = set()  # lines of which some were refused
 
     def step(self, now: float, facts: Facts) -> list[Step]:
@@ -51,36 +50,38 @@
         verdicts = self.verdicts
         before = {site: one.own for site, one in verdicts.sites.items()}
         changed = verdicts.step(now, facts, {site: ramp.full for site, ramp in self.ramps.items()})
-        steps: list[Step] = [Said(site, verdicts.sites[site].word, not verdicts.reached) for site in changed]
+        steps: list[Step] = [
+            SiteStateChanged(site, verdicts.sites[site].state, not verdicts.reached) for site in changed
+        ]
         if facts.agreed is not None:
             self._heard(now, facts.agreed)
         for site, one in verdicts.sites.items():
-            if one.own is Word.RETURNING and before[site] is Word.LOST:
+            if one.own is State.RETURNING and before[site] is State.LOST:
                 verdicts.evidence.forget(site)
             self._home(now, site, facts)
-            if (says := verdicts.says(site)) != self.proposed.get(site):
-                self.proposed[site] = says
-                steps.append(Propose(site, says))
+            if (own_report := verdicts.own_report(site)) != self.proposed.get(site):
+                self.proposed[site] = own_report
+                steps.append(OwnStateChanged(site, own_report))
         demand: dict[str, float] = {}
         for line in facts.demand:
-            demand[line.home] = demand.get(line.home, 0.0) + line.rate * line.room
+            demand[line.home] = demand.get(line.home, 0.0) + line.rate * line.calls_per_message
         self._spill(now, demand)
         return steps + self._entries() + self._admit(now, facts, demand)
 
-    def word(self, site: str) -> Word:
+    def state(self, site: str) -> State:
         """What is acted on."""
-        return self.verdicts.sites[site].word
+        return self.verdicts.sites[site].state
 
     def come_back(self, now: float, site: str) -> float:
         """Ms after which a refused message may find room: a guess that is told, and drawn apart where it
         is."""
         one, ramp = self.verdicts.sites[site], self.ramps[site]
-        if one.word is Word.LOST:
+        if one.state is State.LOST:
             waits = max(0.0, self.verdicts.wait(now, site) - (now - one.since))
             return waits + ramp.cold * ramp.stretch / 2.0
-        return ramp.left() / 2.0 if one.word is Word.RETURNING else CALM
+        return ramp.left() / 2.0 if one.state is State.RETURNING else CALM
 
-    def _heard(self, now: float, agreed: Agreed) -> None:
+    def _heard(self, now: float, agreed: LogState) -> None:
         """Parts by the agreed log; an answer whose lease is over, or an older one, changes nothing."""
         if now - agreed.as_of >= LEASE or (self.agreed is not None and agreed.version < self.agreed.version):
             return
@@ -91,16 +92,18 @@
         there = sum(copy.site not in agreed.silent for copy in self.setup.copies)
         weight = 0.0 if self.setup.own.site in agreed.silent or not there else 1.0 / there
         self.shares.take(now, agreed.version, 1.0 - ALONE, weight, held)
-        flows = self._flows(agreed.words, {})
+        flows = self._flows(agreed.states, {})
         for site, part in self.parts.items():
             whole = sum(rate for (_, taker), rate in flows.items() if taker == site)
             part.take(now, agreed.version, (1.0 - ALONE) * whole, weight, held)
 
-    def _flows(self, words: Mapping[str, Word], left: Mapping[str, float]) -> Mapping[tuple[str, str], float]:
+    def _flows(
+        self, states: Mapping[str, State], left: Mapping[str, float]
+    ) -> Mapping[tuple[str, str], float]:
         """The plan's case for these words."""
         if self.plan is None:
             return {}
-        parts = {site: 0.0 for site, word in words.items() if word in (Word.LOST, Word.RETURNING)}
+        parts = {site: 0.0 for site, state in states.items() if state in (State.LOST, State.RETURNING)}
         for site, part in left.items():
             if site not in parts and part <= planning.HALF + 0.25:
                 parts[site] = planning.HALF
@@ -114,21 +117,21 @@
         told_well = (
             verdicts.reached
             and self.agreed is not None
-            and self.agreed.words.get(site, Word.WELL) is Word.WELL
+            and self.agreed.states.get(site, State.WELL) is State.WELL
             # A log that was led for less would not know of a site that came back with it.
             and now - self.agreed.led_since >= self.setup.cold
             # Nor does it say all that witnesses do: a copy that has just started hears both.
             and (
                 ramp.warm
                 or all(
-                    said.about != site or said.age > FRESH or said.word in (None, Word.WELL)
+                    said.about != site or said.age > FRESH or said.state in (None, State.WELL)
                     for said in facts.witnesses
                 )
             )
         )
         ramp.step(
             now,
-            one.word,
+            one.state,
             evidence.last_pass[site],
             bad / (passes + bad) if bad else 0.0,
             told_well,
@@ -136,14 +139,14 @@
             verdicts.unanswered,
             self.agreed.led_since if self.agreed is not None else math.inf,
         )
-        allowed = ramp.allowed(one.word, verdicts.reached, evidence.failing(site), passes * 1000.0 / WINDOW)
+        allowed = ramp.allowed(one.state, verdicts.reached, evidence.failing(site), passes * 1000.0 / WINDOW)
         left = evidence.left(site)
-        if one.word in (Word.WELL, Word.SUSPECTED) and 0.0 < left < 1.0:
+        if one.state in (State.WELL, State.SUSPECTED) and 0.0 < left < 1.0:
             # What stands of it is shared as a taker's headroom is. If all is dead: see the ramp.
             share = alone(1.0, self.listed) + (self.shares.now(now) if verdicts.reached else 0.0)
             share = max(planning.FILL * left * share, SAFE * ramp.start / self.listed)
             allowed = min(allowed, share * self.capacity[site])
-        elif one.word is Word.RETURNING and 0.0 < left:
+        elif one.state is State.RETURNING and 0.0 < left:
             allowed *= left
         self.home[site] = allowed
 
@@ -154,13 +157,13 @@
         verdicts, found = self.verdicts, dict[tuple[str, str], float]()
         agreed = self.agreed if verdicts.reached else None
         own = self._flows(
-            {site: one.word for site, one in verdicts.sites.items()},
+            {site: one.state for site, one in verdicts.sites.items()},
             {site: verdicts.evidence.left(site) for site in verdicts.sites},
         )
-        ruled = self._flows(agreed.words, {}) if agreed is not None else {}
+        ruled = self._flows(agreed.states, {}) if agreed is not None else {}
         for taker in self.setup.sites:
             whole_there = verdicts.evidence.left(taker) == 1.0 and self.ramps[taker].warm
-            if self.word(taker) is not Word.WELL or not whole_there:
+            if self.state(taker) is not State.WELL or not whole_there:
                 continue  # what goes there stops at once; it is not pushed on to others
             for flows, mine in ((own, None), (ruled, self.parts[taker].now(now))):
                 whole = sum(rate for (_, to), rate in flows.items() if to == taker)
@@ -185,12 +188,12 @@
             told = self.told[listed.name]
             if info.state is not told.state or abs(info.rate - told.rate) > STEP * listed.rate:
                 self.told[listed.name] = info
-                steps.append(Entry(info))
+                steps.append(EndpointUpdate(info))
         return steps
 
     def _entry(self, listed: EndpointInfo, place: int) -> EndpointInfo:
         site = listed.zone
-        if self.word(site) is Word.LOST:
+        if self.state(site) is State.LOST:
             # One endpoint each is tried, another by each copy; all others take nothing new.
             names = self.verdicts.evidence.at_site[site]
             mine = names[sum(self.setup.own.name.encode()) % len(names)] == listed.name
@@ -214,13 +217,13 @@
             if asked <= self.home[home]:
                 rates = [line.rate for line in lines]
             else:
-                rates = refusing.admitted(lines, self.home[home], away, back)
+                rates = admission.admitted_rates(lines, self.home[home], away, back)
             for line, rate in zip(lines, rates, strict=True):
                 key = (line.class_name, line.customer, line.home)
                 if rate < line.rate * (1.0 - 1e-9):
                     self.short.add(key)
-                    steps.append(Admit(line, rate, back * (1.0 + SPREAD * self.rng.random())))
+                    steps.append(AdmissionLimit(line, rate, back * (1.0 + SPREAD * self.rng.random())))
                 elif key in self.short:
                     self.short.discard(key)
-                    steps.append(Admit(line, math.inf, 0.0))
+                    steps.append(AdmissionLimit(line, math.inf, 0.0))
         return steps
--- a/tests/agreed/drawn.py
+++ b/tests/agreed/drawn.py
@@ -8,20 +8,20 @@
 
 from brassweir.agreed import commands
 from brassweir.agreed.commands import Publish, encode
+from brassweir.agreed.lease_renewal import LeaseRenewal, ProposeRenewal, RenewalInputs
 from brassweir.agreed.machine import Machine
-from brassweir.agreed.reconciliation import proposal
-from brassweir.agreed.renewing import Facts, Renew, Renewing
+from brassweir.agreed.reconciliation import reconciled
 from brassweir.interface import Effect
 from brassweir.regions import planning
 from brassweir.regions.epochs import PLACES, Epoch, EpochError
 from brassweir.regions.ownership import Ownership
-from brassweir.regions.planning import Lost
+from brassweir.regions.planning import LossStatement
 from brassweir.regions.sources import Source, publisher
 from tests.agreed.drawn_copies import Site, Taken
 from tests.regions.samples import ASSUMED, LEASE, REGIONS
 
 NAMES = list(REGIONS)
-ERROR = ASSUMED.clock_error
+ERROR = ASSUMED.clock_error_ms
 EVENTS = (
     "renew renew renew renew renew desired raw raw raw raw read read read read read read step back restart older "
     "switch hand fork"
@@ -35,7 +35,7 @@
         self.draw = random.Random(seed)
         self.now, self.tape = 0.0, list[Taken]()
         self.machine = Machine()
-        self.files = [planning.first(REGIONS, 0.0, LEASE)]
+        self.files = [planning.first_epoch(REGIONS, 0.0, LEASE)]
         self.log: list[Epoch] = []
         self.lost: set[str] = set()
         self.office = self.draw.uniform(-ERROR, ERROR)
@@ -97,15 +97,15 @@
                 planning.renewed(last, now, LEASE, ASSUMED) if what == "renew" else self.plan(last, now)
             )
             return
-        wall, trusted = copy.wall(self.now), copy.view.trusted(copy.wall(self.now))
+        wall, trusted = copy.wall(self.now), copy.view.clock_trusted(copy.wall(self.now))
         if what == "renew":
-            step = Renewing().step(
+            step = LeaseRenewal().step(
                 self.now,
-                Facts(
+                RenewalInputs(
                     True, wall, trusted, state.epoch, state.granted, LEASE, ASSUMED, lost=frozenset(self.lost)
                 ),
             )
-            if isinstance(step, Renew):
+            if isinstance(step, ProposeRenewal):
                 self.publish(step.epoch, step.after)
             return
         base = draw.choice(
@@ -116,7 +116,7 @@
             made = msgspec.structs.replace(
                 made, number=max(made.number, state.epoch.number + draw.randrange(2))
             )
-            found = proposal(made, state.epoch, wall, LEASE, ASSUMED)
+            found = reconciled(made, state.epoch, wall, LEASE, ASSUMED)
             if found is not None:
                 self.publish(found[0], state.granted, found[1] if found[1] in self.lost else "")
         elif (
@@ -147,7 +147,9 @@
         self.lost.add(gone)
         self.copies = [one for one in self.copies if one.region != gone]
         last = self.known()
-        made = planning.taken_over(last, gone, self.now + self.office, LEASE, ASSUMED, Lost(True, True)).epoch
+        made = planning.taken_over(
+            last, gone, self.now + self.office, LEASE, ASSUMED, LossStatement(True, True)
+        ).epoch
         if publisher(last) is Source.FILE:
             self.files.append(made)
         else:
@@ -224,12 +226,12 @@
             wall = copy.wall(self.now)
             for name, (born, stamp) in self.messages.items():
                 if (
-                    self.now <= born + ASSUMED.asks_on
+                    self.now <= born + ASSUMED.answer_window_ms
                     and (name, copy.region) not in self.took
-                    and copy.view.may(Effect.UNSAFE, "c", name, wall, stamp) is None
+                    and copy.view.refusal(Effect.UNSAFE, "c", name, wall, stamp) is None
                 ):
                     self.took.add((name, copy.region))
-                    self.tape.append((name, copy.region, self.now, self.now + ASSUMED.longest))
+                    self.tape.append((name, copy.region, self.now, self.now + ASSUMED.max_deadline_ms))
 
 
 def run(seed: int, steps: int = 60) -> list[Taken]:
--- a/tests/agreed/drawn_copies.py
+++ b/tests/agreed/drawn_copies.py
@@ -33,13 +33,13 @@
     durable: list[Epoch] = field(default_factory=list)
 
     def wall(self, now: float) -> float:
-        self.view.tick(now + self.offset, now)
+        self.view.check_clocks(now + self.offset, now)
         return now + self.offset
 
     def learn(self, epoch: Epoch) -> None:
         try:  # as a sender does
-            sources.takes(self.source, epoch, self.view.epoch)
-            if self.view.learn(epoch):
+            sources.check_source(self.source, epoch, self.view.epoch)
+            if self.view.accept(epoch):
                 self.durable.append(epoch)
         except EpochError:
             pass
--- a/tests/agreed/faults.py
+++ b/tests/agreed/faults.py
@@ -6,9 +6,9 @@
 
 from brassweir.agreed import messages as m
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Step
+from brassweir.agreed.core_state import LEADER
+from brassweir.agreed.events import Action
 from brassweir.agreed.records import Identity, Snapshot
-from brassweir.agreed.state import LEADER
 
 
 class VoteNotDurable(Core):
@@ -17,41 +17,41 @@
 
 
 class AckBeforeDurable(Core):
-    def post_after(self, to: str, message: m.Message) -> None:
-        if isinstance(message, m.Appended):
-            self.post(to, message)
+    def send_when_durable(self, to: str, message: m.Message) -> None:
+        if isinstance(message, m.AppendReply):
+            self.send(to, message)
         else:
-            super().post_after(to, message)
+            super().send_when_durable(to, message)
 
 
 class NoPreVote(Core):
-    def ask(self, pre: bool, called: bool = False) -> None:
-        super().ask(False, called)
+    def campaign(self, pre: bool, called: bool = False) -> None:
+        super().campaign(False, called)
 
 
 class CountsOlderTerms(Core):
-    def count_agreed(self) -> None:
+    def advance_commit_index(self) -> None:
         voters = self.log.membership.voters
-        matches = sorted((self.match_of(name, member) for name, member in voters), reverse=True)
+        matches = sorted((self.match_index_of(name, member) for name, member in voters), reverse=True)
         if self.role == LEADER and matches:
-            self.agree(min(self.log.last, matches[self.log.membership.quorum - 1]), self.acks())
+            self.commit_up_to(min(self.log.last_index, matches[self.log.membership.quorum - 1]), self.acks())
 
 
 class ReadsOnBelief(Core):
-    def on_ask_read(self, sender: str, message: m.AskRead) -> None:
+    def on_read_index_request(self, sender: str, message: m.ReadIndexRequest) -> None:
         if self.role == LEADER:
-            self.deliver(sender, m.ReadAt(message.ask, self.agreed))
+            self.deliver(sender, m.ReadIndexReply(message.request_id, self.commit_index))
 
-    def stalled(self) -> None:
+    def on_stall(self) -> None:
         pass
 
 
 class RestoredVotes(Core):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.sure = True
+        self.identity_confirmed = True
 
-    def give_up(self) -> None:
+    def abandon_identity(self) -> None:
         pass
 
 
@@ -64,7 +64,7 @@
         LostVotesAsBefore.runs += 1
         kept.identity = Identity(name, kept.identity.group, LostVotesAsBefore.runs, 1)
         super().__init__(name, kept, *args)
-        self.sure = True
+        self.identity_confirmed = True
 
 
 class ChangesBeforeAgreed(Core):
@@ -73,29 +73,29 @@
 
 
 class SnapshotOverNewer(Core):
-    def install(self, snap: Snapshot) -> None:
-        self.agreed = self.applied = min(self.agreed, snap.index - 1)
-        super().install(snap)
+    def install_snapshot(self, snap: Snapshot) -> None:
+        self.commit_index = self.applied_index = min(self.commit_index, snap.index - 1)
+        super().install_snapshot(snap)
 
 
 class KeepsConflict(Core):
-    def take(self, entries: tuple[m.Entry, ...]) -> None:
-        super().take(tuple(entry for entry in entries if entry.index > self.log.last))
+    def append_received(self, entries: tuple[m.Entry, ...]) -> None:
+        super().append_received(tuple(entry for entry in entries if entry.index > self.log.last_index))
 
 
 class ForgetsSessions(Core):
-    def step(self, *args: Any) -> list[Step]:
+    def step(self, *args: Any) -> list[Action]:
         self.replica.sessions.clear()
         return super().step(*args)
 
 
 class AppliesBeforeDurable(Core):
-    def apply(self) -> None:
-        self.firm = max(self.firm, min(self.agreed, self.log.last))
-        super().apply()
+    def apply_committed(self) -> None:
+        self.durable_commit = max(self.durable_commit, min(self.commit_index, self.log.last_index))
+        super().apply_committed()
 
 
 class LeadsBeforeDurable(Core):
-    def win(self) -> None:
-        super().win()
-        self.lead()
+    def on_elected(self) -> None:
+        super().on_elected()
+        self.become_leader()
--- a/tests/agreed/feedworld.py
+++ b/tests/agreed/feedworld.py
@@ -6,8 +6,8 @@
 from itertools import pairwise
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Post, Propose
-from brassweir.agreed.messages import Append, Chunk, encode
+from brassweir.agreed.events import Propose, Send
+from brassweir.agreed.messages import AppendEntries, SnapshotChunk, encode
 from brassweir.lab.models.logworld import Weather, World
 
 LINK = 12_500.0  # bytes a ms that a copy can send: 100 Mbit a second
@@ -34,16 +34,16 @@
         super().__init__(seed, 3, learners, weather, core)
         self.run(6_000.0)
 
-    def send(self, sender: str, post: Post) -> None:
+    def send(self, sender: str, post: Send) -> None:
         body = post.envelope.body
         kind = (post.to, type(body).__name__)
         self.kinds[kind] = self.kinds.get(kind, 0) + 1
-        if isinstance(body, Chunk):
+        if isinstance(body, SnapshotChunk):
             second = (sender, int(self.now // 1_000.0))
             self.chunks[second] = self.chunks.get(second, 0) + len(body.data)
         begin = max(self.now, self.free.get(sender, 0.0))
         self.free[sender] = begin + len(encode(post.envelope)) / self.link
-        if isinstance(body, Append):
+        if isinstance(body, AppendEntries):
             self.beats.setdefault((sender, body.term), []).append(self.free[sender])
         now, self.now = self.now, self.free[sender]
         super().send(sender, post)
--- a/tests/agreed/grants_samples.py
+++ b/tests/agreed/grants_samples.py
@@ -7,4 +7,4 @@
 from brassweir.regions import planning
 from tests.regions.samples import LEASE, REGIONS
 
-FIRST = msgspec.structs.replace(planning.first(REGIONS, 0.0, LEASE), turn=1)
+FIRST = msgspec.structs.replace(planning.first_epoch(REGIONS, 0.0, LEASE), turn=1)
--- a/tests/agreed/machines.py
+++ b/tests/agreed/machines.py
@@ -14,4 +14,4 @@
 
 def do(one: Machine, command: Command | bytes, level: int = 1) -> Result:
     data = command if isinstance(command, bytes) else encode(command, level)
-    return commands.result(one.apply(one.state.index + 1, data))
+    return commands.decode_result(one.apply(one.state.index + 1, data))
--- a/tests/agreed/test_acknowledge.py
+++ b/tests/agreed/test_acknowledge.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassweir.agreed import messages as m
-from brassweir.agreed.facts import InForce, Post, Received
+from brassweir.agreed.events import Received, Send, VersionInForce
 from brassweir.lab.models.logworld import World
 
 ENVELOPE = m.Envelope(1, "g", "m", 1, 7, m.Acknowledge(3, (9, 0), (b"\1\2", b"\4"), 5))
@@ -29,8 +29,8 @@
     decoder = msgspec.msgpack.Decoder(older)
     with pytest.raises(msgspec.ValidationError):
         decoder.decode(m.encode(ENVELOPE))
-    pull = m.Envelope(1, "g", "m", 1, 7, m.Pull(4))
-    assert decoder.decode(m.encode(pull)).body == m.Pull(4)  # type: ignore[attr-defined]
+    pull = m.Envelope(1, "g", "m", 1, 7, m.PullEntries(4))
+    assert decoder.decode(m.encode(pull)).body == m.PullEntries(4)  # type: ignore[attr-defined]
 
 
 def test_a_plain_core_passes_message_and_fact_over() -> None:
@@ -41,9 +41,9 @@
         assert core is not None
         mine = core.identity
         envelope = m.Envelope(1, mine.group, "m", 1, 7, ENVELOPE.body)
-        steps = core.step(world.now, [InForce(3), Received("x", envelope)])
+        steps = core.step(world.now, [VersionInForce(3), Received("x", envelope)])
         assert not [
-            step for step in steps if isinstance(step, Post) and isinstance(step.envelope.body, m.Acknowledge)
+            step for step in steps if isinstance(step, Send) and isinstance(step.envelope.body, m.Acknowledge)
         ]
     world.propose("l1")
     world.run(world.now + 2_000.0)
--- a/tests/agreed/test_drawn.py
+++ b/tests/agreed/test_drawn.py
@@ -8,7 +8,7 @@
 
 from brassweir.agreed import machine
 from brassweir.regions import ownership, planning, sources
-from brassweir.regions.ownership import NotHere, Ownership, Why
+from brassweir.regions.ownership import Ownership, OwnershipRefusal, Reason
 from tests.agreed.drawn import run
 from tests.agreed.drawn_copies import twice
 from tests.regions.samples import at_once
@@ -21,32 +21,32 @@
     """In the place of a check."""
 
 
-def _deaf_to(why: Why) -> Callable[[Patch], None]:
+def _deaf_to(why: Reason) -> Callable[[Patch], None]:
     """A copy that takes a message all the same."""
-    right = Ownership.may
+    right = Ownership.refusal
 
-    def may(self: Ownership, *given: object) -> NotHere | None:
+    def may(self: Ownership, *given: object) -> OwnershipRefusal | None:
         found = right(self, *given)  # type: ignore[arg-type]
-        return None if found is not None and found.why is why else found
+        return None if found is not None and found.reason is why else found
 
-    return lambda patch: patch.setattr(Ownership, "may", may)
+    return lambda patch: patch.setattr(Ownership, "refusal", may)
 
 
 def _turns(patch: Patch) -> None:
     """Both that hold the turn: each alone refuses what the other would."""
-    patch.setattr(sources, "takes", _nothing)
-    patch.setattr(ownership, "follows", _nothing)
+    patch.setattr(sources, "check_source", _nothing)
+    patch.setattr(ownership, "check_follows", _nothing)
 
 
 BROKEN: dict[str, Callable[[Patch], None]] = {
-    "the log cuts leases short": lambda patch: patch.setattr(machine, "succeeds", _nothing),
-    "the log hands over and moves in one": lambda patch: patch.setattr(machine, "takes", _nothing),
+    "the log cuts leases short": lambda patch: patch.setattr(machine, "check_succeeds", _nothing),
+    "the log hands over and moves in one": lambda patch: patch.setattr(machine, "check_source", _nothing),
     "a copy follows both sources": _turns,
-    "a copy asks not who was before": lambda patch: patch.setattr(Ownership, "_before", _nothing),
-    "a copy goes on after its lease": _deaf_to(Why.LAPSED),
-    "a copy begins before its grant": _deaf_to(Why.MOVING),
-    "a copy believes any clock": lambda patch: patch.setattr(Ownership, "trusted", lambda *_: True),
-    "a plan forgets who was before": lambda patch: patch.setattr(planning, "_still", lambda *_: ()),
+    "a copy asks not who was before": lambda patch: patch.setattr(Ownership, "_previous_grant", _nothing),
+    "a copy goes on after its lease": _deaf_to(Reason.LAPSED),
+    "a copy begins before its grant": _deaf_to(Reason.MOVING),
+    "a copy believes any clock": lambda patch: patch.setattr(Ownership, "clock_trusted", lambda *_: True),
+    "a plan forgets who was before": lambda patch: patch.setattr(planning, "_retained_past", lambda *_: ()),
     "a move waits for nobody": lambda patch: patch.setattr(planning, "moved", at_once(planning.moved)),
 }
 
--- a/tests/agreed/test_fetching.py
+++ b/tests/agreed/test_fetching.py
@@ -5,50 +5,57 @@
 import pytest
 
 from brassweir.agreed import timing
-from brassweir.agreed.fetching import Fetch
-from brassweir.agreed.messages import Chunk
-from brassweir.agreed.pacing import Pacing, Piece
+from brassweir.agreed.messages import SnapshotChunk
+from brassweir.agreed.snapshot_pacing import QueuedChunk, SnapshotPacer
+from brassweir.agreed.snapshot_transfer import SnapshotFetch
 from brassweir.lab.models.logworld import Weather
 from tests.agreed.feedworld import FeedWorld
 
 
 def test_pieces_go_in_turn_within_a_budget() -> None:
-    pacing = Pacing()
+    pacing = SnapshotPacer()
     for at in range(100):
         for name in ("a", "b"):
-            pacing.ask(Piece(name, 1, at))
-            pacing.ask(Piece(name, 1, at))
+            pacing.enqueue(QueuedChunk(name, 1, at))
+            pacing.enqueue(QueuedChunk(name, 1, at))
     sent = []
     while (piece := pacing.next(0.0)) is not None:
         sent.append(piece)
-    assert len(sent) * timing.CHUNK <= timing.CHUNK_BUDGET and pacing.next_time() == timing.CHUNK_EVERY
+    assert (
+        len(sent) * timing.CHUNK_BYTES <= timing.CHUNK_BUDGET_BYTES
+        and pacing.next_time() == timing.CHUNK_INTERVAL_MS
+    )
     assert [piece.name for piece in sent[:4]] == ["a", "b", "a", "b"]
-    assert [piece.at for piece in sent[:4]] == [0, 0, 1, 1]
-    pacing.spend(timing.CHUNK_EVERY, timing.CHUNK_BUDGET)  # entries: they are not held back, pieces are
-    assert pacing.next(timing.CHUNK_EVERY) is not None and pacing.next(timing.CHUNK_EVERY) is None
+    assert [piece.offset for piece in sent[:4]] == [0, 0, 1, 1]
+    pacing.charge(
+        timing.CHUNK_INTERVAL_MS, timing.CHUNK_BUDGET_BYTES
+    )  # entries: they are not held back, pieces are
+    assert pacing.next(timing.CHUNK_INTERVAL_MS) is not None and pacing.next(timing.CHUNK_INTERVAL_MS) is None
     left = 0
-    while pacing.asked:
-        left += pacing.next(1e6 + left * timing.CHUNK_EVERY) is not None
-    assert left + len(sent) + 1 == 2 * timing.CHUNKS
-    for i in range(2 * timing.MOST_FETCHING):
-        pacing.ask(Piece(f"copy {i}", 1, 0))
-    assert len(pacing.asked) == timing.MOST_FETCHING
+    while pacing.queued:
+        left += pacing.next(1e6 + left * timing.CHUNK_INTERVAL_MS) is not None
+    assert left + len(sent) + 1 == 2 * timing.CHUNK_WINDOW
+    for i in range(2 * timing.MAX_FETCHING_COPIES):
+        pacing.enqueue(QueuedChunk(f"copy {i}", 1, 0))
+    assert len(pacing.queued) == timing.MAX_FETCHING_COPIES
 
 
 def test_a_fetch_asks_again_for_what_did_not_come_and_goes_on_elsewhere() -> None:
-    size = 40 * timing.CHUNK - 10
-    fetch = Fetch("a", 9, size, 0.0, 0.0)
-    first = fetch.due(0.0)
-    assert first == [at * timing.CHUNK for at in range(timing.CHUNKS)] and not fetch.due(10.0)
+    size = 40 * timing.CHUNK_BYTES - 10
+    fetch = SnapshotFetch("a", 9, size, 0.0, 0.0)
+    first = fetch.take_due(0.0)
+    assert first == [at * timing.CHUNK_BYTES for at in range(timing.CHUNK_WINDOW)] and not fetch.take_due(
+        10.0
+    )
     for at in first[1:]:
-        assert not fetch.take(Chunk(9, at, size, b""), 20.0)
-    following = fetch.due(20.0)
-    assert len(following) == timing.CHUNKS - 1 and first[0] not in following
-    assert first[0] in fetch.due(timing.CHUNK_AGAIN)
-    fetch.move("b")
-    assert fetch.sender == "b" and not set(fetch.due(600.0)) & set(first[1:])
-    missing = [at for at in range(0, size, timing.CHUNK) if at not in fetch.parts]
-    assert [fetch.take(Chunk(9, at, size, b""), 700.0) for at in missing][-2:] == [False, True]
+        assert not fetch.add_chunk(SnapshotChunk(9, at, size, b""), 20.0)
+    following = fetch.take_due(20.0)
+    assert len(following) == timing.CHUNK_WINDOW - 1 and first[0] not in following
+    assert first[0] in fetch.take_due(timing.CHUNK_RETRY_MS)
+    fetch.switch_sender("b")
+    assert fetch.sender == "b" and not set(fetch.take_due(600.0)) & set(first[1:])
+    missing = [at for at in range(0, size, timing.CHUNK_BYTES) if at not in fetch.chunks]
+    assert [fetch.add_chunk(SnapshotChunk(9, at, size, b""), 700.0) for at in missing][-2:] == [False, True]
 
 
 def filled(seed: int, learners: int, commands: int = 180) -> FeedWorld:
@@ -92,46 +99,46 @@
         world.run(world.now + 100.0)
     assert world.have(180, lost) and world.now - begin < back
     assert max(spans) < entry
-    assert world.longest_silence() < 2.0 * timing.BEAT
-    second = timing.CHUNK_BUDGET * 1_000.0 / timing.CHUNK_EVERY
-    assert 0 < max(world.chunks.values()) <= second + timing.CHUNK_BUDGET
+    assert world.longest_silence() < 2.0 * timing.HEARTBEAT_MS
+    second = timing.CHUNK_BUDGET_BYTES * 1_000.0 / timing.CHUNK_INTERVAL_MS
+    assert 0 < max(world.chunks.values()) <= second + timing.CHUNK_BUDGET_BYTES
 
 
 def test_a_feeder_that_dies_in_the_middle_costs_only_what_was_under_way() -> None:
     world = filled(2, 12)
     world.link = 200.0  # slow enough that it takes some seconds
     world.lose("l1", 100.0)
-    pieces = 128 * 5_600 // timing.CHUNK
+    pieces = 128 * 5_600 // timing.CHUNK_BYTES
 
     def under_way() -> bool:
         core = world.nodes["l1"].core
-        return core is not None and core.fetch is not None and len(core.fetch.parts) > pieces // 3
+        return core is not None and core.fetch is not None and len(core.fetch.chunks) > pieces // 3
 
     assert world.until(under_way, 20_000.0) < 20_000.0
     core = world.nodes["l1"].core
     assert core is not None and core.fetch is not None
-    had, before = len(core.fetch.parts), world.sent("Chunk", "l1")
+    had, before = len(core.fetch.chunks), world.sent("SnapshotChunk", "l1")
     world.crash(core.fetch.sender, "kept", -1.0)
     assert world.until(lambda: world.have(180, ("l1",)), 30_000.0) < 30_000.0
-    assert world.sent("Chunk", "l1") - before <= pieces - had + 2 * timing.CHUNKS
+    assert world.sent("SnapshotChunk", "l1") - before <= pieces - had + 2 * timing.CHUNK_WINDOW
 
 
 def test_a_newer_snapshot_meanwhile_does_not_begin_it_anew() -> None:
     world = filled(4, 6)
     world.link = 200.0
     world.lose("l1", 100.0)
-    assert world.until(lambda: world.sent("Chunk", "l1") > 10, 20_000.0) < 20_000.0
+    assert world.until(lambda: world.sent("SnapshotChunk", "l1") > 10, 20_000.0) < 20_000.0
     world.version(140, 100)  # the feeders take another snapshot, and forget entries up to it
     assert world.until(lambda: world.have(320, ("l1",)), 60_000.0) < 60_000.0
-    pieces = 128 * 5_600 // timing.CHUNK
-    assert world.sent("Chunk", "l1") < 3.5 * pieces
+    pieces = 128 * 5_600 // timing.CHUNK_BYTES
+    assert world.sent("SnapshotChunk", "l1") < 3.5 * pieces
 
 
 def test_a_fetch_that_gets_on_is_not_given_up_for_a_newer_snapshot() -> None:
     core = FeedWorld(6, 1).nodes["l1"].core
     assert core is not None
     core.fetch_from("v1", 10, 99_000)
-    for wait, index in [(0.0, 10), (timing.FETCH_STILL - 1.0, 10), (2.0, 11)]:
+    for wait, index in [(0.0, 10), (timing.FETCH_STALLED_MS - 1.0, 10), (2.0, 11)]:
         core.now += wait
         core.fetch_from("v1", 11, 99_000)
         assert core.fetch is not None and core.fetch.index == index
@@ -142,6 +149,6 @@
     world.lose("l1", 100.0)
     world.run(world.now + 200.0)
     assert world.until(lambda: world.have(180, ("l1",)), 20_000.0) < 20_000.0
-    assert any(node.core is not None and node.core.sending for node in world.nodes.values())
-    world.run(world.now + timing.SENDING_KEPT + 3_000.0)
-    assert not any(node.core is not None and node.core.sending for node in world.nodes.values())
+    assert any(node.core is not None and node.core.outgoing_snapshots for node in world.nodes.values())
+    world.run(world.now + timing.OUTGOING_SNAPSHOT_TTL_MS + 3_000.0)
+    assert not any(node.core is not None and node.core.outgoing_snapshots for node in world.nodes.values())
--- a/tests/agreed/test_grants_clocks.py
+++ b/tests/agreed/test_grants_clocks.py
@@ -11,13 +11,13 @@
 
 from brassweir.agreed import commands, machine
 from brassweir.agreed.commands import Publish, encode
+from brassweir.agreed.lease_renewal import LeaseRenewal, ProposeRenewal, RenewalInputs
 from brassweir.agreed.machine import Machine
-from brassweir.agreed.reconciliation import proposal
-from brassweir.agreed.renewing import Facts, Renew, Renewing
+from brassweir.agreed.reconciliation import reconciled
 from brassweir.interface import Effect
 from brassweir.regions import planning
-from brassweir.regions.epochs import KEEP_LONGER, PLACES, Epoch, EpochError
-from brassweir.regions.ownership import Ownership, Why
+from brassweir.regions.epochs import KEEP_PAST_MS, PLACES, Epoch, EpochError
+from brassweir.regions.ownership import Ownership, Reason
 from tests.agreed.grants_samples import FIRST
 from tests.regions.samples import ASSUMED, LEASE, REGIONS, identity_in
 
@@ -37,7 +37,7 @@
     dated: bool = True  # clients tell when a message was made
 
     def publish(self, epoch: Epoch, after: int, lost: str = "") -> None:
-        result = commands.result(
+        result = commands.decode_result(
             self.machine.apply(self.machine.state.index + 1, encode(Publish(epoch, after, lost)))
         )
         if result.ok and self.machine.state.epoch is not None:
@@ -45,15 +45,15 @@
 
     def wall(self, region: str) -> float:
         wall = self.now + self.clocks[region]
-        self.views[region].tick(wall, self.now)
+        self.views[region].check_clocks(wall, self.now)
         return wall
 
     def ask(self, name: str, region: str) -> None:
-        if self.now > self.born.setdefault(name, self.now) + ASSUMED.asks_on:
+        if self.now > self.born.setdefault(name, self.now) + ASSUMED.answer_window_ms:
             return
         wall = self.wall(region)
         born = self.born[name] if self.dated else None
-        if self.views[region].may(Effect.UNSAFE, "c", name, wall, born) is None:
+        if self.views[region].refusal(Effect.UNSAFE, "c", name, wall, born) is None:
             self.took.setdefault(name, set()).add(region)
 
 
@@ -100,10 +100,13 @@
         assert state.epoch is not None
         wall = world.wall(region)
         if what == "renew":  # any copy may think that it leads
-            step = Renewing().step(
-                world.now, Facts(True, wall, view.trusted(wall), state.epoch, state.granted, LEASE, ASSUMED)
+            step = LeaseRenewal().step(
+                world.now,
+                RenewalInputs(
+                    True, wall, view.clock_trusted(wall), state.epoch, state.granted, LEASE, ASSUMED
+                ),
             )
-            if isinstance(step, Renew):
+            if isinstance(step, ProposeRenewal):
                 world.publish(step.epoch, step.after)
         elif what == "wish":  # planned from a file that is old, and by a clock of its own
             low = a % PLACES
@@ -117,7 +120,9 @@
                 ASSUMED,
             ).epoch
             try:
-                found = proposal(wish, state.epoch, wall, LEASE, ASSUMED) if view.trusted(wall) else None
+                found = (
+                    reconciled(wish, state.epoch, wall, LEASE, ASSUMED) if view.clock_trusted(wall) else None
+                )
                 if found is not None:
                     world.publish(found[0], state.granted, found[1])
                     stale = world.log[-1]
@@ -127,7 +132,7 @@
             world.log
         ):  # in the order of the log, some at a time
             world.read[region] = min(len(world.log), world.read[region] + 1 + a % 3)
-            view.learn(world.log[world.read[region] - 1])
+            view.accept(world.log[world.read[region] - 1])
         elif what == "step":
             world.clocks[region] += by * (a % 3 - 1)
         elif what == "restart":  # its operator has looked at the clock; it knows its epoch
@@ -152,7 +157,7 @@
         name = f"{identity_in(low, high)}"
         world.took.clear()
         world.born.clear()
-        for at in range(born, int(min(until, born + ASSUMED.asks_on)), 500):
+        for at in range(born, int(min(until, born + ASSUMED.answer_window_ms)), 500):
             world.now = at
             for region in REGIONS:
                 world.ask(name, region)
@@ -166,29 +171,31 @@
 )
 def test_each_guard_left_out_is_seen(monkeypatch: pytest.MonkeyPatch, fault: str) -> None:
     if fault == "a stale wish as it is":
-        monkeypatch.setattr(machine, "succeeds", lambda *_: None)
+        monkeypatch.setattr(machine, "check_succeeds", lambda *_: None)
     elif fault == "renews by a wrong clock":
-        right = Renewing.step
+        right = LeaseRenewal.step
         monkeypatch.setattr(
-            Renewing, "step", lambda self, now, facts: right(self, now, replace(facts, trusted=True))
+            LeaseRenewal,
+            "step",
+            lambda self, now, facts: right(self, now, replace(facts, clock_trusted=True)),
         )
-        monkeypatch.setattr(machine, "succeeds", lambda *_: None)
+        monkeypatch.setattr(machine, "check_succeeds", lambda *_: None)
     elif fault == "admits by a wrong clock":
-        monkeypatch.setattr(Ownership, "trusted", lambda *_: True)
+        monkeypatch.setattr(Ownership, "clock_trusted", lambda *_: True)
     world = play([], (0.0, 0.0, 0.0))
     third = FIRST.grants[0].high
     stale = planning.moved(FIRST, 0, third, "west", 1_000.0, LEASE, ASSUMED).epoch
     if "stale" in fault or not fault:
         world.publish(planning.renewed(FIRST, 20_000.0, LEASE, ASSUMED), 1)
-        world.views["east"].learn(world.log[-1])
+        world.views["east"].accept(world.log[-1])
         world.publish(stale, world.machine.state.granted)
-        world.views["west"].learn(world.log[-1])
+        world.views["west"].accept(world.log[-1])
         assert asked_at_all_times(world, 0, third, 60_000.0) is bool(fault)
     if "admits" in fault or not fault:
         world = play([], (0.0, 0.0, 0.0))
         world.publish(planning.moved(FIRST, 0, third, "west", 1_000.0, 1e6, ASSUMED).epoch, 1)
         for name in REGIONS:
-            world.views[name].learn(world.log[-1])
+            world.views[name].accept(world.log[-1])
             world.wall(name)
         world.views["east"].epoch = FIRST  # it has not heard of the move
         world.clocks["west"] += 100_000.0
@@ -197,19 +204,27 @@
         world = play([], (0.0, 0.0, 0.0))
         world.publish(stale, 1)
         world.wall("west")
-        world.clocks["west"] += KEEP_LONGER + 120_000.0
+        world.clocks["west"] += KEEP_PAST_MS + 120_000.0
         wall, state = world.wall("west"), world.machine.state
-        step = Renewing().step(
+        step = LeaseRenewal().step(
             0.0,
-            Facts(True, wall, world.views["west"].trusted(wall), state.epoch, state.granted, LEASE, ASSUMED),
+            RenewalInputs(
+                True,
+                wall,
+                world.views["west"].clock_trusted(wall),
+                state.epoch,
+                state.granted,
+                LEASE,
+                ASSUMED,
+            ),
         )
-        assert isinstance(step, Renew) is bool(fault)
-        if isinstance(step, Renew):
+        assert isinstance(step, ProposeRenewal) is bool(fault)
+        if isinstance(step, ProposeRenewal):
             assert not step.epoch.past, "it forgets who held the places before"
             world.publish(step.epoch, step.after)
         own = Ownership("south", ASSUMED, world.log[-1])
-        told = Ownership("west", ASSUMED, msgspec.structs.replace(world.log[-1], issued=0.0)).may(
+        told = Ownership("west", ASSUMED, msgspec.structs.replace(world.log[-1], issued=0.0)).refusal(
             Effect.UNSAFE, "c", identity_in(0, third), stale.grants[0].begins + 300.0
         )
         assert own.epoch is not None and (told is None) is bool(fault)
-        assert told is None or told.why is Why.BORN_ELSEWHERE
+        assert told is None or told.reason is Reason.BORN_ELSEWHERE
--- a/tests/agreed/test_machine.py
+++ b/tests/agreed/test_machine.py
@@ -21,8 +21,8 @@
     Result,
     encode,
 )
-from brassweir.agreed.contents import StateError, lost_regions
 from brassweir.agreed.machine import Machine
+from brassweir.agreed.machine_state import StateError, lost_regions
 from brassweir.regions import planning
 from brassweir.regions.epochs import PLACES, Grant
 from tests.agreed.machines import FIRST, do
@@ -69,14 +69,14 @@
 
 
 def test_no_customer_fills_every_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(machine, "MOST_PINS_OF_ONE", 3)
-    monkeypatch.setattr(machine, "MOST_PINS", 5)
+    monkeypatch.setattr(machine, "MAX_PINS_PER_CUSTOMER", 3)
+    monkeypatch.setattr(machine, "MAX_PINS", 5)
     one = Machine()
     assert [do(one, Place("ann", f"{n}", EAST, 0)).ok for n in range(5)] == [True] * 3 + [False] * 2
     assert [do(one, Place("bob", f"{n}", EAST, 0)).ok for n in range(3)] == [True, True, False]
     for attribute, make in (
-        ("MOST_SITES", lambda n: Judge(f"s{n}", "lost", 1.0, "c", 0)),
-        ("MOST_COPIES", lambda n: Join(f"c{n}", "s", "r", 1)),
+        ("MAX_SITES", lambda n: Judge(f"s{n}", "lost", 1.0, "c", 0)),
+        ("MAX_COPIES", lambda n: Join(f"c{n}", "s", "r", 1)),
     ):
         monkeypatch.setattr(machine, attribute, 1)
         assert [do(one, make(n)).ok for n in range(2)] == [True, False]
@@ -131,6 +131,6 @@
     one.apply(5, encode(Leave("a")))
     before = one.snapshot()
     assert (
-        commands.result(one.apply(5, encode(Join("a", "s", "r", 1)))).field == "index"
+        commands.decode_result(one.apply(5, encode(Join("a", "s", "r", 1)))).field == "index"
         and one.snapshot() == before
     )
--- a/tests/agreed/test_machine_versions.py
+++ b/tests/agreed/test_machine_versions.py
@@ -11,12 +11,12 @@
 
 from brassweir.agreed import commands
 from brassweir.agreed.commands import (
+    AnyCommand,
     Command,
     CommandError,
     Format,
     Join,
     Judge,
-    Known,
     Leave,
     Pin,
     Place,
@@ -24,8 +24,8 @@
     Result,
     encode,
 )
-from brassweir.agreed.contents import StateError
-from brassweir.agreed.machine import Beyond, Machine
+from brassweir.agreed.machine import Machine, UnsupportedLevel
+from brassweir.agreed.machine_state import StateError
 from brassweir.regions import planning
 from tests.agreed.machines import FIRST, do
 from tests.regions.samples import ASSUMED, LEASE
@@ -46,7 +46,7 @@
         if level < 2:
             return super()._decode(level, body)
         try:
-            return msgspec.msgpack.decode(body, type=Drop | Known)
+            return msgspec.msgpack.decode(body, type=Drop | AnyCommand)
         except msgspec.DecodeError:
             raise CommandError("no command of its level") from None
 
@@ -61,8 +61,8 @@
     """Digests at each index that differ, over those that can go on."""
     apart = []
     for index, data in enumerate(log, 1):
-        results = {one.apply(index, data) for one in versions if not one.beyond}
-        if len({one.digest() for one in versions if not one.beyond}) > 1 or len(results) > 1:
+        results = {one.apply(index, data) for one in versions if not one.unsupported}
+        if len({one.digest() for one in versions if not one.unsupported}) > 1 or len(results) > 1:
             apart.append(data)
     return apart
 
@@ -86,8 +86,10 @@
     assert old.state.level == new.state.level == 1 and "s" in new.state.sites, "level 2 was refused by both"
     assert not side_by_side([old, new], [b""] * 6 + ROLLING[6:])
     assert new.state.level == 2 and "s" not in new.state.sites and "old" not in new.state.copies
-    assert "this version knows 1" in old.beyond, "no member by its own word: it stops instead of guessing"
-    with pytest.raises(Beyond):
+    assert "this version knows 1" in old.unsupported, (
+        "no member by its own word: it stops instead of guessing"
+    )
+    with pytest.raises(UnsupportedLevel):
         old.snapshot()
     with pytest.raises(StateError, match="level 2 is agreed"):
         Machine().restore(new.snapshot())
--- a/tests/agreed/test_member.py
+++ b/tests/agreed/test_member.py
@@ -11,7 +11,7 @@
 
 from brassweir.agreed import member as module
 from brassweir.agreed import timing
-from brassweir.agreed.facts import How
+from brassweir.agreed.events import OutcomeKind
 from brassweir.agreed.member import Member
 from brassweir.journal.storage import DirectoryStorage
 from brassweir.lab.models.toys import Pile
@@ -57,7 +57,12 @@
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    for what, ms in (("ELECT", 250.0), ("BEAT", 50.0), ("FOUND", 50.0), ("PULL_AGAIN", 50.0)):
+    for what, ms in (
+        ("ELECTION_MS", 250.0),
+        ("HEARTBEAT_MS", 50.0),
+        ("FOUNDING_INTERVAL_MS", 50.0),
+        ("PULL_RETRY_MS", 50.0),
+    ):
         monkeypatch.setattr(timing, what, ms)
 
 
@@ -84,11 +89,11 @@
         leader = await led(members)
         for i, member in enumerate(members):
             outcome = await member.propose(f"{i}".encode(), 8_000.0)
-            assert outcome.how is How.AGREED and member.status().applied >= outcome.index, outcome
-        assert (await members[3].read(5_000.0)).how is How.AGREED
+            assert outcome.how is OutcomeKind.AGREED and member.status().applied >= outcome.index, outcome
+        assert (await members[3].read(5_000.0)).how is OutcomeKind.AGREED
         assert [command for _, command, _ in seen] == [b"0", b"1", b"2", b"3"]
         too_large = await leader.propose(b"x" * 6_001, 1_000.0)
-        assert too_large.how is How.REFUSED and "6001 bytes" in too_large.why
+        assert too_large.how is OutcomeKind.REFUSED and "6001 bytes" in too_large.why
         net.handlers["b"]("a", b"\x93junk")
         assert members[1].status().dropped["unreadable"] == 1
         await leader.stop()
@@ -96,13 +101,13 @@
         assert (await led(rest)).name != leader.name
         for member in rest:
             await member.stop()
-        assert (await leader.propose(b"late", 100.0)).how is How.REFUSED
+        assert (await leader.propose(b"late", 100.0)).how is OutcomeKind.REFUSED
         again = group(net, tmp_path)
         for member in again:
             await member.start()
             assert member.status().agreed >= 5 and member.status().life == 2
         await led(again)
-        assert (await again[3].propose(b"4", 8_000.0)).how is How.AGREED
+        assert (await again[3].propose(b"4", 8_000.0)).how is OutcomeKind.AGREED
         assert again[3].machine.taken == [b"0", b"1", b"2", b"3", b"4"]  # type: ignore[attr-defined]
         for member in again:
             await member.stop()
@@ -114,19 +119,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        monkeypatch.setattr(module, "AGAIN", 0.05)
+        monkeypatch.setattr(module, "REOPEN_SECONDS", 0.05)
         one = Member("a", lambda: Tight(tmp_path), Pile(), Net().port("a"), ("a",))
         await one.start()
         await led([one])
-        assert (await one.propose(b"1", 5_000.0)).how is How.AGREED
+        assert (await one.propose(b"1", 5_000.0)).how is OutcomeKind.AGREED
         Tight.full = True
         lost = await one.propose(b"2", 5_000.0)
-        assert lost.how is How.UNKNOWN and "No space left" in lost.why
+        assert lost.how is OutcomeKind.UNKNOWN and "No space left" in lost.why
         assert "No space left" in one.status().trouble
-        assert (await one.propose(b"3", 5_000.0)).how is How.REFUSED
+        assert (await one.propose(b"3", 5_000.0)).how is OutcomeKind.REFUSED
         Tight.full = False
         await led([one])
-        assert (await one.propose(b"4", 5_000.0)).how is How.AGREED
+        assert (await one.propose(b"4", 5_000.0)).how is OutcomeKind.AGREED
         assert one.machine.taken in ([b"1", b"4"], [b"1", b"2", b"4"])  # type: ignore[attr-defined]
         await one.stop()
 
@@ -148,7 +153,7 @@
         two = Member("a", tmp_path, Pile(), Net().port("a"), ("a",))
         await two.start()
         assert "damage at byte" in two.status().trouble and "set the folder aside" in two.status().trouble
-        assert (await two.propose(b"x", 100.0)).how is How.REFUSED
+        assert (await two.propose(b"x", 100.0)).how is OutcomeKind.REFUSED
         await two.stop()
 
     run(work())
--- a/tests/agreed/test_model.py
+++ b/tests/agreed/test_model.py
@@ -13,16 +13,16 @@
 from brassweir.lab.models.logscene import Bounds, Scene, founded
 from tests.agreed import faults
 
-LED = "campaign a; written a; AskVote ab; written b; Vote ba; written a"  # a leads in term 2
-ACK = "Append ab; Appended ba; Append ab; Appended ba; written a; crash b; campaign b; written b; AskVote bc; written c; Vote cb"
-REFUSED = "campaign {0}; written {0}; AskVote {0}b; Vote b{0}; "  # a term that b has voted in
+LED = "campaign a; written a; VoteRequest ab; written b; VoteReply ba; written a"  # a leads in term 2
+ACK = "AppendEntries ab; AppendReply ba; AppendEntries ab; AppendReply ba; written a; crash b; campaign b; written b; VoteRequest bc; written c; VoteReply cb"
+REFUSED = "campaign {0}; written {0}; VoteRequest {0}b; VoteReply b{0}; "  # a term that b has voted in
 OLD = (
     REFUSED.format("c")
-    + "campaign c; written c; AskVote cb; written b; Vote bc; written c; "  # c leads in term 3
+    + "campaign c; written c; VoteRequest cb; written b; VoteReply bc; written c; "  # c leads in term 3
     + REFUSED.format("a")
-    + "campaign a; written a; AskVote ab; written b; Vote ba; written a; "  # a in term 4
-    "Append ab; Appended ba; Append ab; written b; Appended ba; written a; "  # a's entry of term 2 is at b
-     + REFUSED.format("c") + "campaign c; written c; AskVote cb; written b; Vote bc"
+    + "campaign a; written a; VoteRequest ab; written b; VoteReply ba; written a; "  # a in term 4
+    "AppendEntries ab; AppendReply ba; AppendEntries ab; written b; AppendReply ba; written a; "  # a's entry of term 2 is at b
+     + REFUSED.format("c") + "campaign c; written c; VoteRequest cb; written b; VoteReply bc"
 )  # c in term 5
 
 
@@ -50,10 +50,10 @@
     with pytest.raises(Broken, match="^lost"):
         model.follow(scene, ACK)
     model, scene = led(Core)
-    with pytest.raises(AssertionError, match="no Appended ba"):
+    with pytest.raises(AssertionError, match="no AppendReply ba"):
         model.follow(scene, ACK)
     model.follow(
-        scene, ACK.replace("Append ab;", "Append ab; written b;")
+        scene, ACK.replace("AppendEntries ab;", "AppendEntries ab; written b;")
     )  # durable: and then b's log has it
 
 
@@ -61,7 +61,7 @@
 def test_an_entry_of_an_older_term_is_not_agreed_by_counting(
     core: type[Core], word: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(timing, "MOST_ENTRIES", 1)
+    monkeypatch.setattr(timing, "MAX_ENTRIES_BYTES", 1)
     model, scene = led(core)
     try:
         model.follow(dataclasses.replace(scene, net=frozenset()), OLD)
--- a/tests/agreed/test_noise.py
+++ b/tests/agreed/test_noise.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brassweir.agreed import messages as m
-from brassweir.agreed.facts import Post, Received, Write, Written
+from brassweir.agreed.events import Received, Send, Write, Written
 from brassweir.lab.models.logscene import NAMES, Scene, founded
 
 
@@ -55,5 +55,5 @@
             for step in core.step(now, [Received(sender, envelope)]):
                 if isinstance(step, Write):
                     core.step(now, [Written(step.token)])
-                elif isinstance(step, Post):
+                elif isinstance(step, Send):
                     m.decode(m.encode(step.envelope))
--- a/tests/agreed/test_review_disk.py
+++ b/tests/agreed/test_review_disk.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from brassweir.agreed.disk import Disk
-from brassweir.agreed.facts import Copies, Fact, How, Outcome, Write, WriteFailed
+from brassweir.agreed.events import CopiesChanged, Event, Outcome, OutcomeKind, Write, WriteFailed
 from brassweir.agreed.member import Member
 from brassweir.agreed.records import Ballot
 from brassweir.journal.storage import DirectoryStorage
@@ -31,8 +31,8 @@
 
 
 def test_no_later_write_covers_one_that_ended_otherwise(tmp_path: Path) -> None:
-    async def go() -> list[Fact]:
-        facts: list[Fact] = []
+    async def go() -> list[Event]:
+        facts: list[Event] = []
         storage = Short(tmp_path)
         disk = Disk(lambda: storage, facts.append)
         await disk.open(Random(1))
@@ -42,7 +42,7 @@
             while disk.task is not None:
                 await asyncio.sleep(0.001)
         await disk.close()
-        disk.shut()
+        disk.shutdown()
         return facts
 
     first = run(go())[0]
@@ -63,7 +63,7 @@
         assert core is not None
         step = core.step
 
-        def contradicts(now: float, facts: list[Fact]) -> list[object]:
+        def contradicts(now: float, facts: list[Event]) -> list[object]:
             step(now, facts)
             raise AssertionError("it cannot be")
 
@@ -73,7 +73,7 @@
         await one.stop()
         return await asked
 
-    assert run(go()).how is How.UNKNOWN
+    assert run(go()).how is OutcomeKind.UNKNOWN
 
 
 class Later(Pile):
@@ -92,19 +92,19 @@
         while one.status().role != "leader":
             await asyncio.sleep(0.005)
         assert one.core is not None
-        assert (await one.propose(b"x", 5_000.0)).how is How.AGREED
-        one.core.snap_every = 1
-        assert (await one.propose(b"y", 5_000.0)).how is How.AGREED
-        snap = one.core.snap
+        assert (await one.propose(b"x", 5_000.0)).how is OutcomeKind.AGREED
+        one.core.snapshot_every = 1
+        assert (await one.propose(b"y", 5_000.0)).how is OutcomeKind.AGREED
+        snap = one.core.snapshot
         await one.stop()
         old = Member("a", folder, Later(), net.port("a"), ("a",), ("a",))
         await old.start()
         new = Member("b", tmp_path / "b", Later(), net.port("b"), ("a",), ("a", "b"))
         await new.start()
         assert new.core is not None and snap is not None
-        new.core.install(snap)
+        new.core.install_snapshot(snap)
         for _ in range(100):
-            new.take(Copies(("a", "b")))
+            new.submit(CopiesChanged(("a", "b")))
             await asyncio.sleep(0.005)
         found = old.status().trouble, new.status().trouble
         await new.stop()
--- a/tests/agreed/test_review_durable.py
+++ b/tests/agreed/test_review_durable.py
@@ -5,23 +5,31 @@
 from random import Random
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Fact, Post, Received, Step, Write, Written
-from brassweir.agreed.messages import VERSION, Append, Appended, Entry, Envelope, Membership, Vote
-from brassweir.agreed.records import Ballot, Base, Identity, Kept, Snapshot
+from brassweir.agreed.core_state import LEADER
+from brassweir.agreed.events import Action, Event, Received, Send, Write, Written
+from brassweir.agreed.messages import (
+    VERSION,
+    AppendEntries,
+    AppendReply,
+    Entry,
+    Envelope,
+    Membership,
+    VoteReply,
+)
+from brassweir.agreed.records import Ballot, Base, Identity, Persisted, Snapshot
 from brassweir.agreed.replica import Replica
-from brassweir.agreed.state import LEADER
 from brassweir.lab.models.toys import Pile
 
 THREE = Membership((("a", "ma"), ("b", "mb"), ("c", "mc")))
 
 
-def member(kept: Kept) -> Core:
+def member(kept: Persisted) -> Core:
     return Core("a", kept, Pile(), Random(1), 0.0, ("a", "b", "c"))
 
 
-def kept(last: int, term: int, agreed: int) -> Kept:
+def kept(last: int, term: int, agreed: int) -> Persisted:
     entries = [Entry(i, term, 0) for i in range(1, last + 1)]
-    return Kept(Identity("ma", "g", 1, 7), Ballot(term, ""), Base(0, 0, THREE, 0), entries, agreed)
+    return Persisted(Identity("ma", "g", 1, 7), Ballot(term, ""), Base(0, 0, THREE, 0), entries, agreed)
 
 
 def heard(sender: str, body: object) -> Received:
@@ -35,17 +43,17 @@
         self.core, self.now, self.token = core, 0.0, 0
         self.posts: list[tuple[str, object]] = []
 
-    def __call__(self, *facts: Fact, span: float = 1.0) -> list[Step]:
+    def __call__(self, *facts: Event, span: float = 1.0) -> list[Action]:
         self.now += span
         steps = self.core.step(self.now, facts)
         for step in steps:
             if isinstance(step, Write):
                 self.token = step.token
-            if isinstance(step, Post):
+            if isinstance(step, Send):
                 self.posts.append((step.to, step.envelope.body))
         return steps
 
-    def durable(self) -> list[Step]:
+    def durable(self) -> list[Action]:
         return self(Written(self.token))
 
 
@@ -55,9 +63,9 @@
         turn(span=200.0)
     turn.durable()
     term = turn.core.term + 1
-    turn(heard("b", Vote(term - 1, term, True, True)))
+    turn(heard("b", VoteReply(term - 1, term, True, True)))
     turn.durable()
-    turn(heard("b", Vote(term, term, True)))
+    turn(heard("b", VoteReply(term, term, True)))
     turn.durable()
     assert turn.core.role == LEADER
 
@@ -66,36 +74,40 @@
     core = member(kept(20, 1, 0))
     turn = Turn(core)
     snap = Snapshot(15, 2, THREE, 0, Replica(Pile()).snapshot())
-    core.install(snap)
+    core.install_snapshot(snap)
     turn()
     turn.durable()
-    assert core.log.last == 15
+    assert core.log.last_index == 15
     elected(turn)
-    turn(heard("b", Appended(core.term, True, 16, 1)))
+    turn(heard("b", AppendReply(core.term, True, 16, 1)))
     turn.durable()
-    assert core.agreed == 16
+    assert core.commit_index == 16
     core.add_entry(0, b"")
     turn()
-    turn(heard("b", Appended(core.term, True, 17, 2)))
-    assert core.agreed == 16, "it lies on one disk of three"
+    turn(heard("b", AppendReply(core.term, True, 17, 2)))
+    assert core.commit_index == 16, "it lies on one disk of three"
     turn.durable()
-    assert core.agreed == 17
+    assert core.commit_index == 17
 
 
 def test_a_leader_of_the_past_adds_nothing_behind_what_is_agreed() -> None:
     """This one was fed 12 to 14 of term 3, and has heard of no term behind 2; the leader of 2 leads on."""
     given = kept(11, 1, 11)
     given.entries += [Entry(i, 3, 0) for i in (12, 13, 14)]
-    given.agreed, given.ballot = 14, Ballot(2, "")
+    given.commit_index, given.ballot = 14, Ballot(2, "")
     core = member(given)
     turn = Turn(core)
     theirs = tuple(Entry(i, 2, 0) for i in range(12, 17))
     for first in (12, 14, 15):  # the entries here differ, or the one before does
         entries = theirs[first - 12 :]
-        turn(heard("b", Append(2, first - 1, 1 if first == 12 else 2, entries, 11, 1)))
+        turn(heard("b", AppendEntries(2, first - 1, 1 if first == 12 else 2, entries, 11, 1)))
         turn.durable()
-        assert core.log.last == 14, "entries of term 2 behind those of term 3"
-    assert not [post for post in turn.posts if isinstance(post[1], Appended)]
-    turn(heard("b", Append(3, 14, 3, (Entry(15, 3, 0),), 14, 1)))
+        assert core.log.last_index == 14, "entries of term 2 behind those of term 3"
+    assert not [post for post in turn.posts if isinstance(post[1], AppendReply)]
+    turn(heard("b", AppendEntries(3, 14, 3, (Entry(15, 3, 0),), 14, 1)))
     turn.durable()
-    assert core.log.last == 15 and isinstance(turn.posts[-1][1], Appended) and turn.posts[-1][1].match == 15
+    assert (
+        core.log.last_index == 15
+        and isinstance(turn.posts[-1][1], AppendReply)
+        and turn.posts[-1][1].match_index == 15
+    )
--- a/tests/agreed/test_review_memory.py
+++ b/tests/agreed/test_review_memory.py
@@ -8,9 +8,17 @@
 
 from brassweir.agreed import timing
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import Post, Received, Write, Written
-from brassweir.agreed.messages import VERSION, Append, Entry, Envelope, Hello, Membership, Remembered
-from brassweir.agreed.records import Ballot, Base, Identity, Kept
+from brassweir.agreed.events import Received, Send, Write, Written
+from brassweir.agreed.messages import (
+    VERSION,
+    AppendEntries,
+    Entry,
+    Envelope,
+    IdentityCheck,
+    IdentityReply,
+    Membership,
+)
+from brassweir.agreed.records import Ballot, Base, Identity, Persisted
 from brassweir.lab.models.logworld import World
 from brassweir.lab.models.toys import Pile
 
@@ -18,8 +26,8 @@
 class NotWooed(Core):
     """Asks what others remember only where its own log says that it votes."""
 
-    def to_be_weighed(self) -> bool:
-        return not self.sure and self.votes
+    def needs_identity_check(self) -> bool:
+        return not self.identity_confirmed and self.is_voter
 
 
 @pytest.mark.parametrize("core", [Core, NotWooed])
@@ -37,7 +45,7 @@
         world.run(world.now + 0.1)
     world.crash("l1", "lost", 50.0)  # the entry that admits it is still on its way
     world.run(world.now + 20.0)
-    assert one.durable >= one.log.membership_at
+    assert one.durable_index >= one.log.membership_index
     world.crash(leader, "kept", 60.0)
     world.run(world.now + 20_000.0)
     assert (world.leader() is not None) is (core is Core)
@@ -45,11 +53,11 @@
 
 def test_members_are_forgotten_only_beyond_the_bound() -> None:
     voters = Membership((("a", "ma"), ("b", "mb")))
-    core = Core("a", Kept(Identity("ma", "g", 1, 7), base=Base(0, 0, voters, 0)), Pile(), Random(1), 0.0)
-    for i in range(timing.MOST_REMEMBERED + 5):
-        envelope = Envelope(VERSION, "g", f"m{i}", 1, 9, Hello(0, 0))
+    core = Core("a", Persisted(Identity("ma", "g", 1, 7), base=Base(0, 0, voters, 0)), Pile(), Random(1), 0.0)
+    for i in range(timing.MAX_MEMBER_RECORDS + 5):
+        envelope = Envelope(VERSION, "g", f"m{i}", 1, 9, IdentityCheck(0, 0))
         core.step(float(i), [Received("c", envelope)])
-        assert len(core.memory) == min(i + 1, timing.MOST_REMEMBERED)
+        assert len(core.member_records) == min(i + 1, timing.MAX_MEMBER_RECORDS)
 
 
 @pytest.mark.parametrize(
@@ -59,18 +67,19 @@
     """The leader of 5 has had 11 and 12 from a; the folder of a is one of term 5 from before or after that."""
     voters = Membership((("a", "ma"), ("b", "mb"), ("c", "mc")))
     base, log = Base(0, 0, voters, 0), [Entry(i + 1, term, 0) for i, term in enumerate(entries)]
-    b = Core("b", Kept(Identity("mb", "g", 1, 7), Ballot(5, ""), base), Pile(), Random(1), 0.0)
+    b = Core("b", Persisted(Identity("mb", "g", 1, 7), Ballot(5, ""), base), Pile(), Random(1), 0.0)
     b.step(
         1.0,
         [
             Received(
-                "c", Envelope(VERSION, "g", "mc", 1, 9, Append(5, 0, 0, (), 0, 1, (("ma", 1, 3, 5, 12),)))
+                "c",
+                Envelope(VERSION, "g", "mc", 1, 9, AppendEntries(5, 0, 0, (), 0, 1, (("ma", 1, 3, 5, 12),))),
             )
         ],
     )
     a = Core(
         "a",
-        Kept(Identity("ma", "g", 2, 8), Ballot(5, ""), base, log),
+        Persisted(Identity("ma", "g", 2, 8), Ballot(5, ""), base, log),
         Pile(),
         Random(1),
         0.0,
@@ -79,8 +88,8 @@
     asked = [
         step.envelope
         for step in a.step(2.0, [])
-        if isinstance(step, Post) and isinstance(step.envelope.body, Hello)
+        if isinstance(step, Send) and isinstance(step.envelope.body, IdentityCheck)
     ]
     write = next(step for step in b.step(3.0, [Received("a", asked[0])]) if isinstance(step, Write))
-    told = [step.envelope.body for step in b.step(4.0, [Written(write.token)]) if isinstance(step, Post)]
-    assert [body.agrees for body in told if isinstance(body, Remembered)] == [agrees]
+    told = [step.envelope.body for step in b.step(4.0, [Written(write.token)]) if isinstance(step, Send)]
+    assert [body.agrees for body in told if isinstance(body, IdentityReply)] == [agrees]
--- a/tests/agreed/test_review_readmit.py
+++ b/tests/agreed/test_review_readmit.py
@@ -16,7 +16,7 @@
         world.run(world.now + 1.0)
         core = world.nodes[leader].core
         assert core is not None and world.now < 30_000.0
-        if lost not in core.log.membership.names() and core.firm >= core.log.membership_at:
+        if lost not in core.log.membership.names() and core.durable_commit >= core.log.membership_index:
             break
     for name in world.names:  # the two that vote, and the one that is to
         world.crash(name, "torn", 100.0)
--- a/tests/agreed/test_world.py
+++ b/tests/agreed/test_world.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brassweir.agreed.core import Core
-from brassweir.agreed.facts import How
+from brassweir.agreed.events import OutcomeKind
 from brassweir.lab.models.logplan import draw, load, play, save, shrink, verdict
 from brassweir.lab.models.logworld import World
 from tests.agreed import faults
@@ -125,7 +125,7 @@
     world.lose(lost)
     world.run(world.now + 12_000.0)
     core = world.nodes[lost].core
-    assert core is not None and core.votes and core.identity.member != old and core.role == "follower"
+    assert core is not None and core.is_voter and core.identity.member != old and core.role == "follower"
 
 
 def test_a_restored_folder_is_recognised_and_gives_its_id_up() -> None:
@@ -140,9 +140,9 @@
     world.run(world.now + 1_500.0)
     core = world.nodes[name].core
     assert core is not None and old is not None and core.identity.member != old.identity.member
-    assert core.dropped["identity given up"] == 1 and not core.votes
+    assert core.dropped["identity given up"] == 1 and not core.is_voter
     world.run(world.now + 10_000.0)
-    assert core.votes and len(world.nodes[name].machine.taken) == 3
+    assert core.is_voter and len(world.nodes[name].machine.taken) == 3
 
 
 def test_a_restart_with_another_gone_for_good_waits_for_the_rest_only_so_long() -> None:
@@ -167,14 +167,14 @@
     world = settled(3, 1)
     leader = world.nodes[world.leader() or ""].core
     assert leader is not None
-    before = leader.log.last
+    before = leader.log.last_index
     world.deaf("l1", 5_000.0)
     ticket = world.propose("l1", 20_000.0)
     world.run(world.now + 4_500.0)
-    assert before < leader.log.last <= before + 3  # at once, and of its repeats not each
+    assert before < leader.log.last_index <= before + 3  # at once, and of its repeats not each
     world.run(world.now + 10_000.0)
     outcome = world.judge.asks[ticket].outcome
-    assert outcome is not None and outcome.how is How.AGREED
+    assert outcome is not None and outcome.how is OutcomeKind.AGREED
 
 
 def test_340_copies_are_fed_by_a_tree_of_bounded_width() -> None:
--- a/tests/config/test_copies.py
+++ b/tests/config/test_copies.py
@@ -37,7 +37,7 @@
     (tmp_path / "peers.key").write_text("a key of the fleet\n")
     (tmp_path / "short.key").write_text("short\n")
     (tmp_path / "first.json").write_bytes(
-        msgspec.json.encode(planning.first({"east": "http://e", "west": "http://w"}, 0.0, 1.0))
+        msgspec.json.encode(planning.first_epoch({"east": "http://e", "west": "http://w"}, 0.0, 1.0))
     )
     return path
 
--- a/tests/config/test_lines.py
+++ b/tests/config/test_lines.py
@@ -11,9 +11,9 @@
 from brassweir.config.load import parse as parse_yaml
 from brassweir.config.model import Config
 from brassweir.interface import EntryState
-from brassweir.service.descriptors import plan
-from brassweir.service.listed import Numbers
 from brassweir.service.listfile import read_list
+from brassweir.service.open_file_limit import plan_soft_limit
+from brassweir.service.resolved_list import DestinationNumbers
 from tests.config.test_config import VALID_SETTINGS
 
 LINE = b'{"name":"h1","url":"http://127.0.0.1:9/x","destination":"hook 1","kind":"web"}\n'
@@ -59,7 +59,7 @@
 
 
 def test_destination_numbers_stay_and_are_never_reused(tmp_path: Path) -> None:
-    path, numbers = tmp_path / "l.jsonl", Numbers(config())
+    path, numbers = tmp_path / "l.jsonl", DestinationNumbers(config())
     path.write_bytes(LINE + LINE.replace(b"h1", b"h2").replace(b"hook 1", b"hook 2"))
     first = read_list(path, config(), numbers)
     assert [info.destination for info in first.infos] == [2, 3], "partners come first"
@@ -87,13 +87,13 @@
 def test_a_list_must_fit_the_settings(tmp_path: Path, line: bytes, problem: str) -> None:
     path = tmp_path / "l.jsonl"
     path.write_bytes(line)
-    numbers = Numbers(config())
+    numbers = DestinationNumbers(config())
     with pytest.raises(ConfigError, match=problem):
         read_list(path, config(), numbers)
     assert not numbers.listed
 
 
 def test_the_descriptor_limit_is_raised_or_refused_with_the_value_to_set() -> None:
-    assert (plan(100, 200, 400), plan(300, 200, 400)) == (200, 300)
+    assert (plan_soft_limit(100, 200, 400), plan_soft_limit(300, 200, 400)) == (200, 300)
     with pytest.raises(ConfigError, match="ulimit -n 500"):
-        plan(500, 200, 400)
+        plan_soft_limit(500, 200, 400)
--- a/tests/configstream/ackworld.py
+++ b/tests/configstream/ackworld.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from brassweir.agreed import timing
-from brassweir.agreed.facts import Fact, InForce, Post, Propose
+from brassweir.agreed.events import Event, Propose, Send, VersionInForce
 from brassweir.agreed.messages import Acknowledge, encode
 from brassweir.configstream.core import ConfiguredCore
 from brassweir.lab.models.logworld import Weather, World
@@ -40,13 +40,13 @@
     known: tuple[int, tuple[str, ...], dict[str, Listed]] = (-1, (), {})
 
     def copies(self) -> dict[str, Listed]:
-        if (len(self.pile), self.names) != self.known[:2]:
-            self.known = (len(self.pile), self.names, self.list_copies())
+        if (len(self.pile), self.copy_names) != self.known[:2]:
+            self.known = (len(self.pile), self.copy_names, self.list_copies())
         return self.known[2]
 
     def list_copies(self) -> dict[str, Listed]:
         gone = {command[len(LEAVE) :].decode() for command in self.pile if command.startswith(LEAVE)}
-        return {name: listed(name) for name in sorted({*self.names, self.name} - gone)}
+        return {name: listed(name) for name in sorted({*self.copy_names, self.name} - gone)}
 
     def newest_version(self) -> int:
         return len(self.pile)
@@ -67,7 +67,7 @@
             self.told.setdefault(name, []).append((self.now, 0))
         super().start(name)
 
-    def give(self, name: str, *facts: Fact) -> None:
+    def give(self, name: str, *facts: Event) -> None:
         super().give(name, *facts)
         node = self.nodes[name]
         if not isinstance(node.core, PileCore):
@@ -81,9 +81,9 @@
         node = self.nodes[name]
         if node.starts == start and node.core is not None and node.stalled <= self.now:
             self.told[name].append((self.now, version))
-            self.give(name, InForce(version))
+            self.give(name, VersionInForce(version))
 
-    def send(self, sender: str, post: Post) -> None:
+    def send(self, sender: str, post: Send) -> None:
         if isinstance(post.envelope.body, Acknowledge):
             self.largest = max(self.largest, len(encode(post.envelope)))
             self.acknowledged[post.to] = self.acknowledged.get(post.to, 0) + 1
@@ -99,23 +99,23 @@
         assert isinstance(core, PileCore)
         return core
 
-    def look(self, expiry: float = timing.CHILD) -> None:
+    def look(self, expiry: float = timing.CHILD_EXPIRY_MS) -> None:
         """Whoever leads counts no copy for a version that it has not had within the expiry, and none twice."""
         leader = self.leader()
         if leader is None:
             return
         core = self.core(leader)
-        view = core.in_force(self.now)
-        names = set(core.rosters.current.names)
+        view = core.fleet_view(self.now)
+        names = set(core.member_indexes.current.names)
         behind = {one.name for one in view.behind}
-        assert view.in_force + len(behind) + len(view.unheard) == view.copies == len(names)
-        for name in names - behind - set(view.unheard):
+        assert view.in_force + len(behind) + len(view.unreported) == view.copies == len(names)
+        for name in names - behind - set(view.unreported):
             had = [at for at, version in self.told[name] if version >= view.newest]
             assert had, f"{name} never had {view.newest}"
             lost = [at for at, version in self.told[name] if version < view.newest and at > max(had)]
             assert not lost or min(lost) >= self.now - expiry, f"{name} lost {view.newest} at {min(lost)}"
 
-    def watch(self, span: float, every: float = 100.0, expiry: float = timing.CHILD) -> None:
+    def watch(self, span: float, every: float = 100.0, expiry: float = timing.CHILD_EXPIRY_MS) -> None:
         """Let time pass and look."""
         end = self.now + span
         while self.now < end:
--- a/tests/configstream/samples.py
+++ b/tests/configstream/samples.py
@@ -6,11 +6,11 @@
 from brassweir.agreed.commands import Format, Join, Result
 from brassweir.configstream import commands, delta
 from brassweir.configstream.catalog import EMPTY, Catalog
-from brassweir.configstream.checking import UNCONFIRMED, Confirmation, check
-from brassweir.configstream.commands import Change, Commit, Known, Stage
+from brassweir.configstream.commands import AnyCommand, Change, Commit, Stage
 from brassweir.configstream.delta import Delta
 from brassweir.configstream.entries import Entry
 from brassweir.configstream.machine import ConfiguredMachine
+from brassweir.configstream.validation import UNCONFIRMED, Confirmation, apply_delta
 
 
 def entry(number: int, rate: float = 0.0, state: str = "ready", owner: str = "") -> Entry:
@@ -22,24 +22,24 @@
 
 
 def catalog(count: int) -> Catalog:
-    return check(EMPTY, Delta(tuple(entries(count))))
+    return apply_delta(EMPTY, Delta(tuple(entries(count))))
 
 
 def level_2(made: ConfiguredMachine) -> ConfiguredMachine:
     for command in (Join("a", "s", "r", 2), Format(2)):
-        assert agreed.result(made.apply(made.state.index + 1, agreed.encode(command))).ok
+        assert agreed.decode_result(made.apply(made.state.index + 1, agreed.encode(command))).ok
     return made
 
 
-def do(machine: ConfiguredMachine, command: Known | bytes) -> Result:
+def do(machine: ConfiguredMachine, command: AnyCommand | bytes) -> Result:
     data = command if isinstance(command, bytes) else commands.encode(command)
-    return agreed.result(machine.apply(machine.state.index + 1, data))
+    return agreed.decode_result(machine.apply(machine.state.index + 1, data))
 
 
 def change(machine: ConfiguredMachine, made: Delta, confirmation: Confirmation = UNCONFIRMED) -> Change:
     """As an honest proposer makes it, but unchecked."""
     there = machine.configuration
-    digest = there.catalog.advance(made.changed, made.removed).catalog.digest()
+    digest = there.catalog.apply(made.changed, made.removed).catalog.digest()
     return Change(there.version, delta.pack(made), digest, "a", confirmation)
 
 
--- a/tests/configstream/test_acknowledging.py
+++ b/tests/configstream/test_acknowledging.py
@@ -6,35 +6,35 @@
 
 from brassweir.agreed import timing
 from brassweir.agreed.messages import Acknowledge, Envelope, encode
-from brassweir.configstream.acknowledging import (
-    ROWS,
+from brassweir.configstream.acknowledgements import (
+    MAX_VERSION_ROWS,
     Acknowledgements,
-    Run,
-    merge,
-    pack_message,
-    read_message,
+    MessageOrigin,
+    decode_rows,
+    encode_rows,
+    merge_rows,
 )
-from brassweir.configstream.roster import Roster, Rosters
+from brassweir.configstream.member_index import MemberIndex, MemberIndexHistory
 from brassweir.lab.models.logworld import Weather
 from tests.configstream.ackworld import LEAVE, AckWorld
 
 
 def test_rows_merge_each_copy_once_at_its_highest_version() -> None:
-    assert merge([((9, 0b0011), (7, 0b0100)), ((8, 0b0111), (0, 0b1000))]) == (
+    assert merge_rows([((9, 0b0011), (7, 0b0100)), ((8, 0b0111), (0, 0b1000))]) == (
         (9, 0b0011),
         (8, 0b0100),
         (0, 0b1000),
     )
-    many = merge([((version, 1 << version),) for version in range(1, 9)])
+    many = merge_rows([((version, 1 << version),) for version in range(1, 9)])
     assert [version for version, _ in many] == [8, 7, 6, 0] and many[-1][1] == 0b111110
 
 
 def test_a_message_is_bounded_at_490_copies() -> None:
-    roster = Roster(f"copy-{i:03}" for i in range(490))
-    rows = tuple(((1 << 52) - i, roster.all) for i in range(ROWS)) + ((0, roster.all),)
-    body = pack_message(rows, roster, 1 << 30)
+    roster = MemberIndex(f"copy-{i:03}" for i in range(490))
+    rows = tuple(((1 << 52) - i, roster.all_bits) for i in range(MAX_VERSION_ROWS)) + ((0, roster.all_bits),)
+    body = encode_rows(rows, roster, 1 << 30)
     assert len(encode(Envelope(1, "a" * 16, "b" * 16, 99, 1 << 31, body))) < 400
-    assert read_message(body, roster) == rows
+    assert decode_rows(body, roster) == rows
 
 
 @pytest.mark.parametrize(
@@ -49,51 +49,51 @@
 )
 def test_rows_that_nobody_packed_are_not_read(versions: tuple[int, ...], bitmaps: tuple[bytes, ...]) -> None:
     with pytest.raises(ValueError):
-        read_message(Acknowledge(0, versions, bitmaps), Roster("abc"))
+        decode_rows(Acknowledge(0, versions, bitmaps), MemberIndex("abc"))
 
 
-def taken(*names: str) -> tuple[Rosters, Acknowledgements]:
-    rosters = Rosters()
+def taken(*names: str) -> tuple[MemberIndexHistory, Acknowledgements]:
+    rosters = MemberIndexHistory()
     rosters.replace(names)
     return rosters, Acknowledgements(rosters)
 
 
 def test_late_doubled_and_reordered_messages_are_dropped() -> None:
     rosters, acks = taken("a", "b", "c")
-    number = rosters.current.number
+    number = rosters.current.checksum
 
     def say(life: int, count: int, version: int, member: str = "m") -> str:
         message = Acknowledge(number, (version,), (b"\2",))
-        return acks.take("b", Run(member, life, life, count), message, 0.0, 100.0)
+        return acks.accept("b", MessageOrigin(member, life, life, count), message, 0.0, 100.0)
 
     assert [say(1, 1, 5), say(1, 3, 7)] == ["", ""]
     assert all(say(*late) for late in [(1, 3, 7), (1, 2, 5)])
     assert say(2, 1, 5) == "" and say(1, 4, 8)  # restarted, and a word of the run before
-    assert acks.merged("a", 9) == ((9, 0b001), (5, 0b010))
+    assert acks.merged_rows("a", 9) == ((9, 0b001), (5, 0b010))
     assert say(1, 1, 3, "another member") == ""
     acks.expire(100.0)
-    assert acks.merged("a", 9) == ((9, 0b001),)
+    assert acks.merged_rows("a", 9) == ((9, 0b001),)
 
 
 def test_bitmaps_of_another_member_list_are_translated_or_dropped() -> None:
     rosters, acks = taken("a", "b", "c", "d")
     old = rosters.current
-    message = pack_message(((4, old.bit("b") | old.bit("d")),), old, 1)
-    assert acks.take("b", Run("m", 1, 1, 1), message, 0.0, 100.0) == ""
+    message = encode_rows(((4, old.bit("b") | old.bit("d")),), old, 1)
+    assert acks.accept("b", MessageOrigin("m", 1, 1, 1), message, 0.0, 100.0) == ""
     assert rosters.replace(["a", "c", "d", "e"])
-    assert rosters.current.named(acks.merged("a", None)[0][1]) == ["d"]
-    unknown = Roster(["a", "z"])
-    assert acks.take("d", Run("n", 1, 1, 1), Acknowledge(unknown.number, (), ()), 0.0, 100.0)
+    assert rosters.current.names_in(acks.merged_rows("a", None)[0][1]) == ["d"]
+    unknown = MemberIndex(["a", "z"])
+    assert acks.accept("d", MessageOrigin("n", 1, 1, 1), Acknowledge(unknown.checksum, (), ()), 0.0, 100.0)
 
 
 def test_others_do_not_speak_for_this_copy_nor_its_feeder_for_those_below() -> None:
     rosters, acks = taken("a", "b", "c")
     for sender in ("b", "c"):
-        message = Acknowledge(rosters.current.number, (8,), (b"\7",))
-        assert acks.take(sender, Run(sender, 1, 1, 1), message, 0.0, 100.0) == ""
-    assert acks.merged("a", 3) == ((8, 0b110), (3, 0b001))
-    acks.heard.pop("c")
-    assert acks.merged("a", 3, uplink="b") == ((3, 0b001),)
+        message = Acknowledge(rosters.current.checksum, (8,), (b"\7",))
+        assert acks.accept(sender, MessageOrigin(sender, 1, 1, 1), message, 0.0, 100.0) == ""
+    assert acks.merged_rows("a", 3) == ((8, 0b110), (3, 0b001))
+    acks.reports.pop("c")
+    assert acks.merged_rows("a", 3, uplink="b") == ((3, 0b001),)
 
 
 # The whole fleet
@@ -110,13 +110,13 @@
 def test_all_are_counted_and_no_copy_hears_from_all() -> None:
     world = settled(57)
     leader = str(world.leader())
-    view = world.core(leader).in_force(world.now)
+    view = world.core(leader).fleet_view(world.now)
     assert (view.leading, view.newest, view.copies, view.in_force) == (True, 1, 60, 60)
-    assert (view.behind, view.unheard) == ((), ())
+    assert (view.behind, view.unreported) == ((), ())
     before = dict(world.acknowledged)
     world.propose(leader)
     world.run(world.now + 3_000.0)
-    assert world.core(leader).in_force(world.now).in_force == 60
+    assert world.core(leader).fleet_view(world.now).in_force == 60
     # each of at most 18 below, at most four times a second
     assert max(world.acknowledged[name] - before.get(name, 0) for name in world.acknowledged) <= 18 * 12
     assert world.largest < 400
@@ -133,9 +133,9 @@
         if world.leader() is not None:
             world.propose(str(world.leader()))
         # a child's rows expire at each step of the tree, if the one that fed it goes as well
-        world.watch(900.0, 300.0, 3 * timing.CHILD)
-    world.watch(25_000.0, 1_000.0, 3 * timing.CHILD)
-    view = world.core(str(world.leader())).in_force(world.now)
+        world.watch(900.0, 300.0, 3 * timing.CHILD_EXPIRY_MS)
+    world.watch(25_000.0, 1_000.0, 3 * timing.CHILD_EXPIRY_MS)
+    view = world.core(str(world.leader())).fleet_view(world.now)
     assert view.in_force == view.copies == 15
 
 
@@ -147,12 +147,12 @@
         world.watch(1_000.0)
     world.cuts |= {(other, "l2") for other in world.names}  # it is heard, and learns nothing
     world.restore("l2", 100.0)
-    world.watch(timing.CHILD + 1_000.0)
-    view = world.core(str(world.leader())).in_force(world.now)
-    assert view.in_force == 8 and "l2" in {*view.unheard, *(one.name for one in view.behind)}
+    world.watch(timing.CHILD_EXPIRY_MS + 1_000.0)
+    view = world.core(str(world.leader())).fleet_view(world.now)
+    assert view.in_force == 8 and "l2" in {*view.unreported, *(one.name for one in view.behind)}
     world.cuts.clear()
     world.watch(15_000.0, 500.0)
-    assert world.core(str(world.leader())).in_force(world.now).in_force == 9
+    assert world.core(str(world.leader())).fleet_view(world.now).in_force == 9
 
 
 def test_who_is_behind_and_for_how_long() -> None:
@@ -169,14 +169,14 @@
     leader = str(world.leader())
     world.propose(leader)
     world.watch(4_000.0)
-    (one,) = world.core(leader).in_force(world.now).behind
-    assert (one.name, one.version) == ("l3", 1) and 3_900.0 < one.ms <= 4_000.0
+    (one,) = world.core(leader).fleet_view(world.now).behind
+    assert (one.name, one.version) == ("l3", 1) and 3_900.0 < one.lag_ms <= 4_000.0
     for _ in range(3):
         world.propose(leader)
         world.watch(2_000.0)
-    behind = {one.name: one for one in world.core(leader).in_force(world.now).behind}
+    behind = {one.name: one for one in world.core(leader).fleet_view(world.now).behind}
     assert {name: one.version for name, one in behind.items()} == {"l3": 0, "l4": 2, "l5": 3}
-    assert [round(behind[name].ms, -3) for name in stuck] == [10_000.0, 6_000.0, 4_000.0]
+    assert [round(behind[name].lag_ms, -3) for name in stuck] == [10_000.0, 6_000.0, 4_000.0]
 
 
 def test_one_that_left_is_counted_no_more() -> None:
@@ -184,13 +184,13 @@
     leader = str(world.leader())
     world.command(leader, LEAVE + b"l4")
     world.watch(3_000.0)
-    view = world.core(leader).in_force(world.now)
-    assert (view.copies, view.in_force, view.unheard) == (10, 10, ())
+    view = world.core(leader).fleet_view(world.now)
+    assert (view.copies, view.in_force, view.unreported) == (10, 10, ())
 
 
 def test_one_that_went_away_is_not_heard_of() -> None:
     world = settled(8)
     world.crash("l5", "kept", -1.0)
-    world.watch(2.0 * timing.CHILD)
-    view = world.core(str(world.leader())).in_force(world.now)
-    assert (view.in_force, view.unheard) == (10, ("l5",))
+    world.watch(2.0 * timing.CHILD_EXPIRY_MS)
+    view = world.core(str(world.leader())).fleet_view(world.now)
+    assert (view.in_force, view.unreported) == (10, ("l5",))
--- a/tests/configstream/test_catalog.py
+++ b/tests/configstream/test_catalog.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassweir.configstream import buckets, checking, delta
+from brassweir.configstream import buckets, delta, validation
 from brassweir.configstream.catalog import EMPTY, Catalog, CatalogError
-from brassweir.configstream.checking import CheckError, Confirmation, check, check_packed
 from brassweir.configstream.delta import Delta, DeltaError
-from brassweir.configstream.entries import Entry, EntryError, shown, validate
+from brassweir.configstream.entries import Entry, EntryError, printable, validate
+from brassweir.configstream.validation import Confirmation, InvalidChange, apply_delta, apply_packed_delta
 from tests.configstream.samples import catalog, entries, entry
 
 GOOD = Entry("e", "http://h:80/x?y=z", "d", kind="webhook", zone="z1", rate=2.0)
@@ -43,10 +43,10 @@
     with pytest.raises(EntryError) as caught:
         validate(bad)
     assert caught.value.field == field
-    assert str(caught.value).startswith(f"endpoint {shown(bad.name)}: {field}: ")
-    with pytest.raises(CheckError) as refused:
-        check_packed(EMPTY, delta.pack(Delta((bad,))))
-    assert refused.value.field == "entry" and refused.value.why == str(caught.value)
+    assert str(caught.value).startswith(f"endpoint {printable(bad.name)}: {field}: ")
+    with pytest.raises(InvalidChange) as refused:
+        apply_packed_delta(EMPTY, delta.pack(Delta((bad,))))
+    assert refused.value.field == "entry" and refused.value.reason == str(caught.value)
 
 
 @pytest.mark.parametrize("url", ["http://[::1]:80/x", "https://h", "forward://h:9", "http://a.b-c_d:/?q"])
@@ -71,43 +71,43 @@
 
 
 def test_compressed_bytes_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(delta, "MOST_UNPACKED", 10_000)
+    monkeypatch.setattr(delta, "MAX_UNPACKED_BYTES", 10_000)
     for bomb in (b"\0" * 10_001, b"\0" * 5_000_000):
         with pytest.raises(DeltaError, match="more than 10000 bytes when decompressed"):
             delta.unpack(zlib.compress(bomb))
     monkeypatch.undo()
-    crowd = msgspec.msgpack.encode([[["e", "u"]] * (delta.MOST_ENTRIES + 1), []])
+    crowd = msgspec.msgpack.encode([[["e", "u"]] * (delta.MAX_ENTRIES + 1), []])
     with pytest.raises(DeltaError, match="^no delta$"):
         delta.unpack(zlib.compress(crowd))
-    monkeypatch.setattr(checking, "MOST_LENGTH", 5_000)
-    with pytest.raises(CheckError, match="bytes of endpoints; 5000 are the most"):
-        check(EMPTY, Delta(tuple(entries(100))))
-    monkeypatch.setattr(checking, "MOST_ENTRIES", 99)
-    with pytest.raises(CheckError, match="100 endpoints; 99 are the most"):
-        check(EMPTY, Delta(tuple(entries(100))))
+    monkeypatch.setattr(validation, "MAX_ENTRIES_BYTES", 5_000)
+    with pytest.raises(InvalidChange, match="bytes of endpoints; 5000 are the most"):
+        apply_delta(EMPTY, Delta(tuple(entries(100))))
+    monkeypatch.setattr(validation, "MAX_ENTRIES", 99)
+    with pytest.raises(InvalidChange, match="100 endpoints; 99 are the most"):
+        apply_delta(EMPTY, Delta(tuple(entries(100))))
 
 
 def test_an_endpoint_that_is_gone_counts_as_removed() -> None:
-    there = check(EMPTY, Delta((*entries(40), entry(40, owner="d1"), entry(41, state="gone"))))
-    assert there.size == 42 and there.counts["d1"] == 2 and "d41" not in there.counts
-    assert check(there, Delta((entry(1, state="gone"),))).counts["d1"] == 1
-    assert check(there, Delta((), ("e41",))).size == 41, "it was gone before"
+    there = apply_delta(EMPTY, Delta((*entries(40), entry(40, owner="d1"), entry(41, state="gone"))))
+    assert there.size == 42 and there.owner_counts["d1"] == 2 and "d41" not in there.owner_counts
+    assert apply_delta(there, Delta((entry(1, state="gone"),))).owner_counts["d1"] == 1
+    assert apply_delta(there, Delta((), ("e41",))).size == 41, "it was gone before"
     for lost in (Delta((entry(2, state="gone"),)), Delta((entry(2, owner="d3"),))):
-        with pytest.raises(CheckError, match="1 would be left with no endpoint, and 0 are confirmed: d2"):
-            check(there, lost)
-    with pytest.raises(CheckError, match="5 of 42 endpoints would be removed at once"):
-        check(there, Delta(tuple(entry(n, state="gone") for n in range(5)), ()), Confirmation(4, 5))
-    assert len(check(there, Delta((entry(2, owner="d3"),)), Confirmation(0, 1)).counts) == 39
+        with pytest.raises(InvalidChange, match="1 would be left with no endpoint, and 0 are confirmed: d2"):
+            apply_delta(there, lost)
+    with pytest.raises(InvalidChange, match="5 of 42 endpoints would be removed at once"):
+        apply_delta(there, Delta(tuple(entry(n, state="gone") for n in range(5)), ()), Confirmation(4, 5))
+    assert len(apply_delta(there, Delta((entry(2, owner="d3"),)), Confirmation(0, 1)).owner_counts) == 39
 
 
 def test_what_is_alike_is_shared_and_what_is_damaged_refused() -> None:
     there = catalog(2_000)
-    after = check(there, Delta((entry(7, 1.0),)))
+    after = apply_delta(there, Delta((entry(7, 1.0),)))
     assert sum(one is not other for one, other in zip(there._entries, after._entries, strict=True)) == 1
-    assert there._owners == after._owners and len(list(there.differing(after))) == 1
+    assert there._owners == after._owners and len(list(there.differing_buckets(after))) == 1
     data = after.pack()
     assert Catalog.unpack(data).digest() == after.digest() != there.digest()
-    packed = after._entries[buckets.number("e7")].packed
+    packed = after._entries[buckets.bucket_index("e7")].packed
     for bad in (b"", data[:-1], data.replace(packed, packed[::-1])):
         with pytest.raises(CatalogError):
             Catalog.unpack(bad)
@@ -115,14 +115,14 @@
 
 def test_the_digest_is_over_plain_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     here = catalog(50)
-    monkeypatch.setattr(buckets, "COMPRESSION", 9)
+    monkeypatch.setattr(buckets, "COMPRESSION_LEVEL", 9)
     there = catalog(50)
     assert here.pack() != there.pack() and here.digest() == there.digest()
 
 
 def test_a_name_that_stands_twice_in_a_list() -> None:
     with pytest.raises(DeltaError, match="endpoint e1 stands more than once"):
-        delta.difference(EMPTY, [entry(1), entry(2), entry(1)])
+        delta.diff_entries(EMPTY, [entry(1), entry(2), entry(1)])
 
 
 lists = st.dictionaries(
@@ -136,20 +136,20 @@
 def test_differences_lead_from_any_list_to_any_other(drawn: list[list[Entry]]) -> None:
     there, deltas = EMPTY, []
     for wanted in drawn:
-        made = delta.difference(there, wanted)
-        after = there.advance(made.changed, made.removed).catalog
-        anew = EMPTY.advance(wanted, ()).catalog
+        made = delta.diff_entries(there, wanted)
+        after = there.apply(made.changed, made.removed).catalog
+        anew = EMPTY.apply(wanted, ()).catalog
         assert after.digest() == anew.digest() and after.size == len(wanted) and after.pack() == anew.pack()
-        assert dict(after.counts) == Counter(one.owner for one in wanted if one.usable)
-        assert not delta.difference(after, wanted) and set(after.entries()) == set(wanted)
-        between = delta.between(there, after)
+        assert dict(after.owner_counts) == Counter(one.owner for one in wanted if one.usable)
+        assert not delta.diff_entries(after, wanted) and set(after.entries()) == set(wanted)
+        between = delta.diff_catalogs(there, after)
         assert set(between.changed) == set(made.changed) and set(between.removed) == set(made.removed)
         assert delta.unpack(delta.pack(made)) == made
         there = after
         deltas.append(made)
     merged = delta.merge(deltas)
     assert {one.name for one in merged.changed} >= {one.name for one in there.entries()}
-    assert EMPTY.advance(merged.changed, ()).catalog.digest() == there.digest()
+    assert EMPTY.apply(merged.changed, ()).catalog.digest() == there.digest()
 
 
 @given(st.binary(max_size=200))
@@ -162,6 +162,6 @@
         zlib.compress(b"\x92\x91\x98" + noise),
     ):
         try:
-            check_packed(EMPTY, body)
-        except CheckError as error:
+            apply_packed_delta(EMPTY, body)
+        except InvalidChange as error:
             assert error.field in {"body", "entry", "name", "size"}
--- a/tests/configstream/test_guards.py
+++ b/tests/configstream/test_guards.py
@@ -10,11 +10,11 @@
 from brassweir.agreed.commands import Result
 from brassweir.configstream import delta
 from brassweir.configstream.catalog import Catalog
-from brassweir.configstream.checking import Confirmation
-from brassweir.configstream.commands import Change, Commit, Known
+from brassweir.configstream.catalog_source import CatalogSource
+from brassweir.configstream.commands import AnyCommand, Change, Commit
 from brassweir.configstream.delta import Delta
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.sharing import Share
+from brassweir.configstream.validation import Confirmation
 from tests.configstream.samples import change, do, entries, entry, level_2, transfer
 
 Property = Callable[[ConfiguredMachine], bool]
@@ -40,7 +40,7 @@
     stages, commit = transfer(made, wanted, 3)
     whole = {made.configuration.catalog.digest(), commit.digest}
     seen = set()
-    log: list[Known] = [*stages[:2], commit, stages[2], commit]
+    log: list[AnyCommand] = [*stages[:2], commit, stages[2], commit]
     for command in log:
         do(made, command)
         seen.add(made.configuration.catalog.digest())
@@ -50,7 +50,7 @@
 def no_owner_is_left_out(made: ConfiguredMachine) -> bool:
     """A list that forgot a destination does not come in force."""
     do(made, change(made, Delta((), ("e1",))))
-    return "d1" in made.configuration.catalog.counts
+    return "d1" in made.configuration.catalog.owner_counts
 
 
 def all_copies_have_what_was_meant(made: ConfiguredMachine) -> bool:
@@ -63,31 +63,31 @@
 
 
 class NoVersionCheck(ConfiguredMachine):
-    def _change(self, index: int, given: Commit | Change, body: bytes) -> Result:
+    def _apply_change(self, index: int, given: Commit | Change, body: bytes) -> Result:
         given = msgspec.structs.replace(given, after=self.configuration.version)
-        return super()._change(index, given, body)
+        return super()._apply_change(index, given, body)
 
 
 class NoAtomicSwitch(ConfiguredMachine):
-    def _change(self, index: int, given: Commit | Change, body: bytes) -> Result:
+    def _apply_change(self, index: int, given: Commit | Change, body: bytes) -> Result:
         half = delta.unpack(body).changed[::2] if body else ()
         there = self.configuration
         if half and there.catalog.get(half[0].name) not in (None, half[0]):
-            there.catalog = there.catalog.advance(half, ()).catalog
+            there.catalog = there.catalog.apply(half, ()).catalog
             return Result(True, index)
-        return super()._change(index, given, body)
+        return super()._apply_change(index, given, body)
 
 
-class NoCheck(Share):
-    def following(self, catalog: Catalog, body: bytes, confirmation: Confirmation) -> Catalog:
+class NoCheck(CatalogSource):
+    def next_catalog(self, catalog: Catalog, body: bytes, confirmation: Confirmation) -> Catalog:
         made = delta.unpack(body)
-        return catalog.advance(made.changed, made.removed).catalog
+        return catalog.apply(made.changed, made.removed).catalog
 
 
 class NoDigest(ConfiguredMachine):
-    def _change(self, index: int, given: Commit | Change, body: bytes) -> Result:
-        made = self.share.following(self.configuration.catalog, body, given.confirmation)
-        return super()._change(index, msgspec.structs.replace(given, digest=made.digest()), body)
+    def _apply_change(self, index: int, given: Commit | Change, body: bytes) -> Result:
+        made = self.catalog_source.next_catalog(self.configuration.catalog, body, given.confirmation)
+        return super()._apply_change(index, msgspec.structs.replace(given, digest=made.digest()), body)
 
 
 @pytest.mark.parametrize(
--- a/tests/configstream/test_machine.py
+++ b/tests/configstream/test_machine.py
@@ -7,14 +7,14 @@
 
 from brassweir.agreed import commands as agreed
 from brassweir.agreed.commands import Format, Join, Leave, Result
-from brassweir.agreed.contents import StateError, pack
-from brassweir.agreed.machine import Beyond, Machine
+from brassweir.agreed.machine import Machine, UnsupportedLevel
+from brassweir.agreed.machine_state import StateError, pack
 from brassweir.configstream import commands, delta
-from brassweir.configstream.checking import Confirmation
+from brassweir.configstream.catalog_source import CachingCatalogSource
 from brassweir.configstream.commands import Abandon
 from brassweir.configstream.delta import Delta
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.sharing import Shared
+from brassweir.configstream.validation import Confirmation
 from tests.configstream.samples import change, do, entries, entry, level_2, transfer
 
 FIRST = Delta(tuple(entries(40)))
@@ -130,7 +130,7 @@
         old.restore(made.snapshot())
     old.apply(1, agreed.encode(Join("a", "s", "r", 2)))
     old.apply(2, agreed.encode(Format(2)))
-    with pytest.raises(Beyond):
+    with pytest.raises(UnsupportedLevel):
         old.snapshot()
 
 
@@ -162,7 +162,7 @@
     data = commands.encode(change(made, Delta((entry(1, 5.0),))))
     made.apply(9, data)
     before = made.snapshot()
-    assert agreed.result(made.apply(9, data)).field == "index" and made.snapshot() == before
+    assert agreed.decode_result(made.apply(9, data)).field == "index" and made.snapshot() == before
 
 
 def test_changes_since_a_version() -> None:
@@ -179,7 +179,7 @@
 
 
 def test_machines_that_share_are_as_those_that_do_not() -> None:
-    share = Shared()
+    share = CachingCatalogSource()
     ones = [level_2(ConfiguredMachine(share)), level_2(ConfiguredMachine(share)), machine()]
     stages, commit = transfer(ones[0], FIRST, 3)
     bad = msgspec.structs.replace(change(begun(), Delta((entry(1, -1.0),))), after=6)
--- a/tests/configstream/test_nearness.py
+++ b/tests/configstream/test_nearness.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brassweir.agreed import timing
-from brassweir.configstream.roster import distance
+from brassweir.configstream.member_index import distance
 from tests.configstream.ackworld import AckWorld, listed
 
 
@@ -28,8 +28,8 @@
         world.run(world.now + 4_000.0)
         found = distances(world)
         assert len(found) == 97 and found.count(0) > 40 and found.count(2) < 25
-        assert max(len(world.core(name).children) for name in world.names) <= timing.FED
-        view = world.core(str(world.leader())).in_force(world.now)
+        assert max(len(world.core(name).children) for name in world.names) <= timing.MAX_CHILDREN
+        view = world.core(str(world.leader())).fleet_view(world.now)
         assert view.in_force == 100
         if not again:
             for name in zone:
--- a/tests/configstream/test_preparation.py
+++ b/tests/configstream/test_preparation.py
@@ -9,33 +9,35 @@
 import pytest
 
 from brassweir.agreed.commands import Result
-from brassweir.configstream import checking, commands, delta, planning
+from brassweir.configstream import commands, delta, publish_plan, validation
 from brassweir.configstream.catalog import Catalog
-from brassweir.configstream.checking import UNCONFIRMED, Confirmation
-from brassweir.configstream.commands import Commit, Known, Stage
+from brassweir.configstream.catalog_builder import CatalogBuilder
+from brassweir.configstream.catalog_source import CatalogSource
+from brassweir.configstream.chunking import split_delta
+from brassweir.configstream.commands import AnyCommand, Commit, Stage
 from brassweir.configstream.delta import Delta
-from brassweir.configstream.draft import Draft
 from brassweir.configstream.entries import Entry
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.pieces import split
-from brassweir.configstream.planning import Plan
 from brassweir.configstream.preparation import Preparation
-from brassweir.configstream.sharing import Share
+from brassweir.configstream.publish_plan import PublishPlan
+from brassweir.configstream.validation import UNCONFIRMED, Confirmation
 from tests.configstream.samples import change, do, entries, entry, level_2
 
 MANY = 3_000
 
 
-class Unprepared(Share):
+class Unprepared(CatalogSource):
     """Leaves all work to the commit."""
 
-    def preparation(self, catalog: Catalog) -> Preparation | None:
+    def new_preparation(self, catalog: Catalog) -> Preparation | None:
         return None
 
 
-def planned(there: ConfiguredMachine, wanted: list[Entry], confirmation: Confirmation = UNCONFIRMED) -> Plan:
+def planned(
+    there: ConfiguredMachine, wanted: list[Entry], confirmation: Confirmation = UNCONFIRMED
+) -> PublishPlan:
     at = there.configuration
-    made = planning.plan(at.version, at.catalog, wanted, "a", confirmation)
+    made = publish_plan.make_plan(at.version, at.catalog, wanted, "a", confirmation)
     assert made is not None
     return made
 
@@ -60,41 +62,41 @@
     there = level_2(ConfiguredMachine())
     for wanted in (entries(MANY), entries(MANY, 1.0)):
         plan = planned(there, wanted)
-        assert len(plan.pieces) > 5
-        validated = counted(monkeypatch, checking, "validate")
-        rewritten = counted(monkeypatch, Draft, "_rewritten")
+        assert len(plan.stage_commands) > 5
+        validated = counted(monkeypatch, validation, "validate")
+        rewritten = counted(monkeypatch, CatalogBuilder, "_updated_bucket")
         of_a_piece = []
-        for piece in plan.pieces:
+        for piece in plan.stage_commands:
             assert do(there, piece).ok
             of_a_piece.append((validated(), rewritten()))
         assert sum(entries_of for entries_of, _ in of_a_piece) == MANY
-        assert max(of_a_piece)[0] < 2 * MANY / len(plan.pieces), "the work is spread over the pieces"
-        assert sum(buckets for _, buckets in of_a_piece) <= 1_024 + len(plan.pieces), "each bucket once"
-        assert do(there, plan.last).ok and (validated(), rewritten()) == (0, 0)
+        assert max(of_a_piece)[0] < 2 * MANY / len(plan.stage_commands), "the work is spread over the pieces"
+        assert sum(buckets for _, buckets in of_a_piece) <= 1_024 + len(plan.stage_commands), (
+            "each bucket once"
+        )
+        assert do(there, plan.final_command).ok and (validated(), rewritten()) == (0, 0)
         monkeypatch.undo()
-    assert (
-        there.configuration.catalog.digest() == there.configuration.catalog.advance([], []).catalog.digest()
-    )
+    assert there.configuration.catalog.digest() == there.configuration.catalog.apply([], []).catalog.digest()
     assert set(there.configuration.catalog.entries()) == set(entries(MANY, 1.0))
 
 
 def test_pieces_that_a_snapshot_brought_are_prepared_as_others_come(monkeypatch: pytest.MonkeyPatch) -> None:
     first, again = level_2(ConfiguredMachine()), ConfiguredMachine()
     plan = planned(first, entries(MANY))
-    half = len(plan.pieces) // 2
-    for piece in plan.pieces[:half]:
+    half = len(plan.stage_commands) // 2
+    for piece in plan.stage_commands[:half]:
         do(first, piece)
     again.restore(first.snapshot())
-    for piece in plan.pieces[half:]:
+    for piece in plan.stage_commands[half:]:
         assert do(again, piece) == do(first, piece)
-    validated = counted(monkeypatch, checking, "validate")
-    assert do(again, plan.last) == do(first, plan.last) and validated() == 0
+    validated = counted(monkeypatch, validation, "validate")
+    assert do(again, plan.final_command) == do(first, plan.final_command) and validated() == 0
     assert again.digest() == first.digest()
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_machines_that_prepare_are_as_those_that_do_not(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(planning, "MOST_PIECE", 150)
+    monkeypatch.setattr(publish_plan, "MAX_CHUNK_BYTES", 150)
     rng = Random(seed)
     there, plain = level_2(ConfiguredMachine()), level_2(ConfiguredMachine(Unprepared()))
     for _ in range(6):
@@ -107,19 +109,19 @@
             del known[name]
         try:
             plan = planned(there, list(known.values()), Confirmation(rng.randrange(5), rng.randrange(3)))
-        except checking.CheckError:
+        except validation.InvalidChange:
             continue
-        log = [*plan.pieces, *rng.sample(plan.pieces, 2)]
+        log = [*plan.stage_commands, *rng.sample(plan.stage_commands, 2)]
         rng.shuffle(log)
         cut = rng.choice([0, len(log), len(log)])  # pieces that are lost, or none
-        for data in (*log[:cut], plan.last, *log, plan.last):
+        for data in (*log[:cut], plan.final_command, *log, plan.final_command):
             assert do(there, data) == do(plain, data)
             assert there.snapshot() == plain.snapshot()
     assert there.configuration.version and there.digest() == plain.digest()
 
 
 def staged(there: ConfiguredMachine, bodies: list[bytes], digest: str) -> Result:
-    log: list[Known] = [Stage("t", part, body) for part, body in enumerate(bodies)]
+    log: list[AnyCommand] = [Stage("t", part, body) for part, body in enumerate(bodies)]
     for command in (*log, Commit("t", there.configuration.version, len(bodies), digest, "a")):
         result = do(there, commands.encode(command))
     return result
@@ -143,20 +145,22 @@
 def test_what_is_not_as_an_honest_proposer_makes_it(bodies: list[Delta | bytes], field: str) -> None:
     packed = [one if isinstance(one, bytes) else delta.pack(one) for one in bodies]
     results = []
-    for share in (Share(), Unprepared()):
+    for share in (CatalogSource(), Unprepared()):
         there = level_2(ConfiguredMachine(share))
         do(there, change(there, Delta(tuple(entries(40)))))
         changed = tuple(one for body in bodies if isinstance(body, Delta) for one in body.changed)
-        digest = there.configuration.catalog.advance(changed, ()).catalog.digest()
+        digest = there.configuration.catalog.apply(changed, ()).catalog.digest()
         results.append((staged(there, packed, digest), there.snapshot()))
     assert results[0] == results[1] and results[0][0].field == field and results[0][0].ok == (not field)
 
 
 def test_pieces_are_bounded_and_make_the_whole() -> None:
     whole = Delta(tuple(entries(MANY)), tuple(f"x{number}" for number in range(MANY)))
-    bodies = split(whole, 2_000)
+    bodies = split_delta(whole, 2_000)
     assert max(map(len, bodies)) <= 2_000 and len(bodies) < 1.2 * sum(map(len, bodies)) / 2_000 + 1
     read = delta.unpack(b"".join(bodies))
     assert sorted(read.changed, key=lambda one: one.name) == sorted(whole.changed, key=lambda one: one.name)
     assert sorted(read.removed) == sorted(whole.removed)
-    assert split(Delta(), 2_000) == [] and len(split(Delta(tuple(entries(3))), 1)) == 3, "an entry is not cut"
+    assert split_delta(Delta(), 2_000) == [] and len(split_delta(Delta(tuple(entries(3))), 1)) == 3, (
+        "an entry is not cut"
+    )
--- a/tests/configstream/test_staging.py
+++ b/tests/configstream/test_staging.py
@@ -9,28 +9,28 @@
 
 from brassweir.agreed import commands as agreed
 from brassweir.configstream import commands, delta, staging
-from brassweir.configstream.checking import Confirmation
 from brassweir.configstream.commands import Abandon, Change, Commit, Stage
 from brassweir.configstream.delta import Delta
 from brassweir.configstream.machine import ConfiguredMachine
 from brassweir.configstream.staging import Staging
+from brassweir.configstream.validation import Confirmation
 from tests.configstream.samples import catalog, entries, level_2
 
 
 def test_what_was_added_to_least_recently_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(staging, "MOST_TRANSFERS", 2)
+    monkeypatch.setattr(staging, "MAX_TRANSFERS", 2)
     there = Staging()
     for index, name in enumerate("abac", 1):
         assert there.add(index, Stage(name, index, b"x")) == ""
     assert list(there.transfers) == ["a", "c"] and there.size == 3
-    monkeypatch.setattr(staging, "MOST_STAGED", 4)
+    monkeypatch.setattr(staging, "MAX_STAGED_BYTES", 4)
     there.add(5, Stage("a", 5, b"xx"))
     assert list(there.transfers) == ["a"] and there.size == 4
-    there.add(5 + staging.STALE, Stage("d", 0, b"x"))
+    there.add(5 + staging.STALE_AFTER_ENTRIES, Stage("d", 0, b"x"))
     assert list(there.transfers) == ["d"], "no room for both"
-    there.add(6 + 2 * staging.STALE, Stage("e", 0, b"x"))
+    there.add(6 + 2 * staging.STALE_AFTER_ENTRIES, Stage("e", 0, b"x"))
     assert list(there.transfers) == ["e"] and there.size == 1, "d was not added to for long"
-    assert Staging(there.kept()).kept() == there.kept()
+    assert Staging(there.snapshot()).snapshot() == there.snapshot()
 
 
 names = st.sampled_from(["t", "u", "v"])
@@ -39,7 +39,7 @@
 packed = st.sampled_from([delta.pack(Delta(tuple(entries(count)))) for count in (3, 4)])
 bodies = packed | st.binary(min_size=1, max_size=20)
 confirmations = st.builds(Confirmation, st.integers(0, 3), st.integers(0, 3))
-known: st.SearchStrategy[commands.Known] = st.one_of(
+known: st.SearchStrategy[commands.AnyCommand] = st.one_of(
     st.builds(Stage, names, st.integers(0, 2), bodies),
     st.builds(Commit, names, versions, st.integers(1, 2), digests, names, confirmations),
     st.builds(Change, versions, bodies, digests, names, confirmations),
@@ -60,7 +60,7 @@
             later.restore(whole.snapshot())
         result = whole.apply(index, data)
         assert later.apply(index, data) == result and later.digest() == whole.digest()
-        assert agreed.result(result).version <= index
+        assert agreed.decode_result(result).version <= index
     assert later.snapshot() == whole.snapshot()
     assert whole.configuration.staging.size == sum(
         one.size for one in whole.configuration.staging.transfers.values()
--- a/tests/lab/between/test_configuration.py
+++ b/tests/lab/between/test_configuration.py
@@ -11,8 +11,8 @@
 
 from brassweir.cli.between import between_command
 from brassweir.configstream.catalog import EMPTY
-from brassweir.configstream.checking import CheckError
-from brassweir.configstream.planning import plan
+from brassweir.configstream.publish_plan import make_plan
+from brassweir.configstream.validation import InvalidChange
 from brassweir.lab.between import judge_configuration as judge
 from brassweir.lab.between.configuration_run import LONG_CUT, drawn
 from brassweir.lab.between.configuration_seen import Shown, View, shown_of
@@ -67,18 +67,18 @@
 def test_edits_are_of_a_seed_and_good_ones_may_be_agreed() -> None:
     drawing, again = Drawing(Random("x")), Drawing(Random("x"))
     known, same = drawing.first(), again.first()
-    version, catalog, kinds = 1, EMPTY.advance(known.entries.values(), ()).catalog, set[bool]()
+    version, catalog, kinds = 1, EMPTY.apply(known.entries.values(), ()).catalog, set[bool]()
     for _ in range(25):
         listed, twin = drawing.next(known), again.next(same)
         assert listed.text() == twin.text()
         kinds.add(listed.good)
         if listed.good:
-            made = plan(version, catalog, listed.entries.values(), "a")
+            made = make_plan(version, catalog, listed.entries.values(), "a")
             assert made is not None and made.digest == listed.digest()
-            catalog, known, same = EMPTY.advance(listed.entries.values(), ()).catalog, listed, twin
+            catalog, known, same = EMPTY.apply(listed.entries.values(), ()).catalog, listed, twin
         else:
-            with pytest.raises(CheckError):
-                plan(version, catalog, listed.entries.values(), "a")
+            with pytest.raises(InvalidChange):
+                make_plan(version, catalog, listed.entries.values(), "a")
     assert kinds == {True, False}
 
 
--- a/tests/lab/between/test_folders.py
+++ b/tests/lab/between/test_folders.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassweir.agreed.messages import COMMAND, Entry, Membership
-from brassweir.agreed.records import Added, Agreed, Ballot, Cut, Snapshot
+from brassweir.agreed.records import Ballot, Commit, LogAppend, Snapshot, Truncate
 from brassweir.agreed.store import Store, recover
 from brassweir.journal.storage import DirectoryStorage
 from brassweir.lab.between.folders import read_folder
@@ -20,10 +20,10 @@
 
 def test_both_readers_agree_also_on_a_torn_end(tmp_path: Path) -> None:
     store = Store(DirectoryStorage(tmp_path), Random(1))
-    store.write((Ballot(3, "b"), Added((entry(1), entry(2), entry(3)))))
-    store.write((Cut(3), Added((entry(3, b"y", 3),)), Agreed(2)))
+    store.write((Ballot(3, "b"), LogAppend((entry(1), entry(2), entry(3)))))
+    store.write((Truncate(3), LogAppend((entry(3, b"y", 3),)), Commit(2)))
     state = Snapshot(2, 1, Membership((("a", "1"),)), 0, b"state")
-    store.write((state, Added((entry(4),))))
+    store.write((state, LogAppend((entry(4),))))
     last = max(tmp_path.glob("log-*"))
     for cut in (0, 1, 30):
         last.write_bytes(last.read_bytes()[: -cut or None])
@@ -33,8 +33,8 @@
             theirs.identity.member,
             theirs.ballot.term,
             theirs.ballot.vote,
-            theirs.agreed,
-            theirs.last,
+            theirs.commit_index,
+            theirs.last_index,
         )
         assert {i: term for i, (term, _) in mine.entries.items()} == {
             one.index: one.term for one in theirs.entries
@@ -47,6 +47,6 @@
 def test_nothing_and_a_gap(tmp_path: Path) -> None:
     assert read_folder(tmp_path, 1.0, "a", 0) is None
     store = Store(DirectoryStorage(tmp_path), Random(1))
-    store.write((Added((entry(2),)),))
+    store.write((LogAppend((entry(2),)),))
     with pytest.raises(ValueError, match="entry 2 stands behind 0"):
         read_folder(tmp_path, 1.0, "a", 0)
--- a/tests/lab/models/configmade.py
+++ b/tests/lab/models/configmade.py
@@ -6,17 +6,17 @@
 from random import Random
 
 from brassweir.agreed.commands import Result
-from brassweir.agreed.facts import Propose
-from brassweir.agreed.messages import Offer
-from brassweir.configstream.acknowledging import Acknowledgements
+from brassweir.agreed.events import Propose
+from brassweir.agreed.messages import SnapshotOffer
+from brassweir.configstream.acknowledgements import Acknowledgements
 from brassweir.configstream.catalog import Catalog
-from brassweir.configstream.checking import Confirmation
+from brassweir.configstream.catalog_source import CatalogSource
 from brassweir.configstream.commands import Change, Commit
 from brassweir.configstream.core import ConfiguredCore
 from brassweir.configstream.delta import Delta, unpack
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.configstream.planning import Plan, plan
-from brassweir.configstream.sharing import Share
+from brassweir.configstream.publish_plan import PublishPlan, make_plan
+from brassweir.configstream.validation import Confirmation
 from brassweir.lab.models.configjudge import Expected, List
 from brassweir.lab.models.configoperator import PROPOSER
 from brassweir.lab.models.configplan import SETTLED, Setting, setting
@@ -38,14 +38,14 @@
     return world
 
 
-def planned(world: World, entries: List) -> Plan:
+def planned(world: World, entries: List) -> PublishPlan:
     """The commands of a list, made from what stands at the proposer now; the judge knows of them."""
     machine = world.nodes[PROPOSER].machine
     assert machine is not None
     there = machine.configuration
-    made = plan(there.version, there.catalog, entries.values(), PROPOSER)
+    made = make_plan(there.version, there.catalog, entries.values(), PROPOSER)
     assert made is not None
-    world.judge.expected[made.last] = Expected(entries, there.version)
+    world.judge.expected[made.final_command] = Expected(entries, there.version)
     return made
 
 
@@ -69,9 +69,9 @@
 class NoVersionCheck(ConfiguredMachine):
     """Takes a change from whatever version it was made."""
 
-    def _change(self, index: int, given: Change | Commit, body: bytes) -> Result:
+    def _apply_change(self, index: int, given: Change | Commit, body: bytes) -> Result:
         there = self.configuration
-        catalog = self.share.following(there.catalog, body, given.confirmation)
+        catalog = self.catalog_source.next_catalog(there.catalog, body, given.confirmation)
         there.history.add(there.version, body)
         there.staging.clear()
         there.version, there.catalog = index, catalog
@@ -86,22 +86,22 @@
         delta = unpack(self.configuration.staging.join(given.transfer, given.parts))
         made = super()._commit(index, given)
         half = delta.changed[: len(delta.changed) // 2]
-        self.configuration.catalog = before.advance(half, ()).catalog
+        self.configuration.catalog = before.apply(half, ()).catalog
         return made
 
 
-class Lenient(Share):
+class Lenient(CatalogSource):
     """Makes the next catalog without checking it."""
 
-    def following(self, catalog: Catalog, body: bytes, confirmation: Confirmation) -> Catalog:
+    def next_catalog(self, catalog: Catalog, body: bytes, confirmation: Confirmation) -> Catalog:
         delta = unpack(body)
-        return catalog.advance(delta.changed, delta.removed).catalog
+        return catalog.apply(delta.changed, delta.removed).catalog
 
 
 class NoBadVersionCheck(ConfiguredMachine):
     """Takes any version."""
 
-    def __init__(self, share: Share | None = None) -> None:
+    def __init__(self, share: CatalogSource | None = None) -> None:
         super().__init__(Lenient())
 
 
@@ -121,7 +121,7 @@
 class NoSnapshots(Compacting):
     """Does not fetch the snapshot that it is offered."""
 
-    def on_offer(self, sender: str, message: Offer) -> None:
+    def on_snapshot_offer(self, sender: str, message: SnapshotOffer) -> None:
         pass
 
 
@@ -133,7 +133,7 @@
 class NoExpiry(ConfiguredCore):
     """Goes by what a copy once said."""
 
-    def follow_machine(self) -> None:
+    def refresh_from_machine(self) -> None:
         if not isinstance(self.acknowledgements, _Everlasting):
-            self.acknowledgements = _Everlasting(self.rosters)
-        super().follow_machine()
+            self.acknowledgements = _Everlasting(self.member_indexes)
+        super().refresh_from_machine()
--- a/tests/lab/models/test_config_guards.py
+++ b/tests/lab/models/test_config_guards.py
@@ -29,7 +29,7 @@
     """Two changes made from one version."""
     plans = [made.planned(world, made.with_rates(world.list, 5, seed)) for seed in (1, 2)]
     for ticket, one in enumerate(plans):
-        made.propose(world, one.last, ticket)
+        made.propose(world, one.final_command, ticket)
     world.run(world.now + 3_000.0)
 
 
@@ -69,7 +69,7 @@
     there = machine.configuration
     gone = tuple(sorted(world.list)[:5])
     kept = {name: entry for name, entry in world.list.items() if name not in gone}
-    digest = there.catalog.advance((), gone).catalog.digest()
+    digest = there.catalog.apply((), gone).catalog.digest()
     body = delta.pack(delta.Delta((), gone))
     command = encode(Change(there.version, body, digest, PROPOSER))
     world.judge.expected[command] = Expected(kept, there.version, bad=True)
--- a/tests/peers/test_guards.py
+++ b/tests/peers/test_guards.py
@@ -8,14 +8,14 @@
 import pytest
 
 from brassweir.lab.models.peernet import Weather
-from brassweir.peers import table as table_module
-from brassweir.peers.claims import DEAD, Claim, Standing, Weight, weigh
-from brassweir.peers.contact import Contact
-from brassweir.peers.liveness import Core
-from brassweir.peers.sharing import Sharing
-from brassweir.peers.table import Table
-from brassweir.peers.talk import PUSH, Talk, pack
-from brassweir.peers.wire import Envelope, Keys, Wire
+from brassweir.peers import membership
+from brassweir.peers.claims import DEAD, Claim, ClaimEffect, MemberState, claim_effect
+from brassweir.peers.dissemination import Dissemination
+from brassweir.peers.envelope import Envelope, EnvelopeCodec, Keys
+from brassweir.peers.failure_detector import FailureDetector
+from brassweir.peers.isolation import IsolationDetector
+from brassweir.peers.membership import MembershipTable
+from brassweir.peers.messages import PUSH, SwimMessage, pack
 from tests.peers.play import World
 
 Case = Callable[[], list[str]]
@@ -86,8 +86,10 @@
 def forgery() -> list[str]:
     """One without a key tells that a living copy has left."""
     world = World(4, 6)
-    body = pack(Talk(PUSH, 0, 0, (Claim("c002", 1_780_000_000_000, 5, DEAD, "c002"),)))
-    forged = Wire("c001", 1_780_000_000_000, Keys([b"the key of someone else"])).seal("c000", "live", body)
+    body = pack(SwimMessage(PUSH, 0, 0, (Claim("c002", 1_780_000_000_000, 5, DEAD, "c002"),)))
+    forged = EnvelopeCodec("c001", 1_780_000_000_000, Keys([b"the key of someone else"])).seal(
+        "c000", "live", body
+    )
     world.net.arrive("c000", forged)
     world.run(100.0)
     return world.false_deaths()
@@ -106,35 +108,35 @@
     ]
 
 
-def blind(held: Standing, claim: Claim, joins: bool = False) -> Weight:
+def blind(held: MemberState, claim: Claim, joins: bool = False) -> ClaimEffect:
     """Weighs without incarnations."""
-    same = Standing()
+    same = MemberState()
     same.generation, same.incarnation, same.status = held.generation, claim.incarnation, held.status
-    return weigh(same, claim)
+    return claim_effect(same, claim)
 
 
 def once(monkeypatch: Any) -> None:
-    real = Wire._number
+    real = EnvelopeCodec._number
 
-    def every(self: Wire, envelope: Envelope, once: Any) -> None:
+    def every(self: EnvelopeCodec, envelope: Envelope, once: Any) -> None:
         real(self, envelope, ())
 
-    monkeypatch.setattr(Wire, "_number", every)
+    monkeypatch.setattr(EnvelopeCodec, "_number", every)
 
 
 def unsuspecting(monkeypatch: Any) -> None:
-    monkeypatch.setattr(Contact, "witness", lambda *_: True)
-    monkeypatch.setattr(Contact, "look", lambda *_: False)
+    monkeypatch.setattr(IsolationDetector, "witness", lambda *_: True)
+    monkeypatch.setattr(IsolationDetector, "look", lambda *_: False)
 
 
 GUARDS: dict[str, tuple[Case, Callable[[Any], None]]] = {
-    "no refutation": (heal, lambda m: m.setattr(Table, "refute", lambda *_: None)),
-    "incarnation not compared": (heal, lambda m: m.setattr(table_module, "weigh", blind)),
-    "the dead never tried again": (halves, lambda m: m.setattr(Core, "_retry", lambda *_: None)),
-    "a stall is not noticed": (stall, lambda m: m.setattr(Core, "_stalled", lambda *_: None)),
-    "no indirect probe": (one_way, lambda m: m.setattr(Sharing, "helpers", lambda *_: [])),
+    "no refutation": (heal, lambda m: m.setattr(MembershipTable, "refute", lambda *_: None)),
+    "incarnation not compared": (heal, lambda m: m.setattr(membership, "claim_effect", blind)),
+    "the dead never tried again": (halves, lambda m: m.setattr(FailureDetector, "_retry", lambda *_: None)),
+    "a stall is not noticed": (stall, lambda m: m.setattr(FailureDetector, "_stalled", lambda *_: None)),
+    "no indirect probe": (one_way, lambda m: m.setattr(Dissemination, "helpers", lambda *_: [])),
     "replay accepted": (replays, once),
-    "digest not checked": (forgery, lambda m: m.setattr(Keys, "fits", lambda *_: True)),
+    "digest not checked": (forgery, lambda m: m.setattr(Keys, "verify", lambda *_: True)),
     "no doubt when cut off": (isolated, unsuspecting),
 }
 
--- a/tests/peers/test_liveness.py
+++ b/tests/peers/test_liveness.py
@@ -6,7 +6,7 @@
 import pytest
 
 from brassweir.lab.models.peernet import Weather, fleet
-from brassweir.peers.talk import ACK, ASK, PUSH, Heard
+from brassweir.peers.messages import ACK, ASK, PUSH, Received
 from tests.peers.play import GENERATION, World, anything, deaths
 
 
@@ -161,7 +161,9 @@
         msgspec.msgpack.encode({"what": 1}),
     ]
     for body in bodies:
-        core.step(world.net.clock.now(), [Heard("c001", GENERATION, body), Heard("nobody", GENERATION, body)])
+        core.step(
+            world.net.clock.now(), [Received("c001", GENERATION, body), Received("nobody", GENERATION, body)]
+        )
     assert core.counts["bad_body"] == 3 and core.counts["unknown_talk"] == 1
     assert core.table.generation == GENERATION and set(core.view().states.values()) == {"alive"}
 
--- a/tests/peers/test_port.py
+++ b/tests/peers/test_port.py
@@ -11,8 +11,8 @@
 import pytest
 
 from brassweir.peers.copies import CopiesError, Copy
+from brassweir.peers.envelope import MAX_BODY_BYTES
 from brassweir.peers.port import PeerPort
-from brassweir.peers.wire import MOST_BODY
 
 KEY, NEXT = b"a key of these tests", b"another key of these"
 
@@ -84,8 +84,8 @@
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
         await a.start()
         await b.start()
-        assert a.send("c1", "log", b"x" * MOST_BODY) and a.send("c1", "log", b"trip")
-        assert not a.send("c1", "log", b"x" * (MOST_BODY + 1)) and not a.send("c9", "log", b"")
+        assert a.send("c1", "log", b"x" * MAX_BODY_BYTES) and a.send("c1", "log", b"trip")
+        assert not a.send("c1", "log", b"x" * (MAX_BODY_BYTES + 1)) and not a.send("c9", "log", b"")
         assert (
             not a.send("c0", "log", b"") and a.counts["unsent_unknown"] == 2 and a.counts["unsent_large"] == 1
         )
@@ -93,7 +93,9 @@
         for noise in (b"", b"\x01", b"\xff" * 2_000, b"x" * 20_000):
             a.transport.sendto(noise, b.listen)
         await until(lambda: len(got) == 2 and b.counts["dropped_large"] == 1)
-        assert got[0] == ("c0", b"x" * MOST_BODY) and b.counts["handler_errors"] == 1 and len(faults) == 1
+        assert (
+            got[0] == ("c0", b"x" * MAX_BODY_BYTES) and b.counts["handler_errors"] == 1 and len(faults) == 1
+        )
         assert b.counts["dropped_version"] >= 1 and b.view().states["c0"] == "alive"
         await a.stop()
         await b.stop()
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -10,18 +10,28 @@
 from hypothesis import strategies as st
 
 from brassweir.peers.copies import CopiesError, Copy, Fleet
-from brassweir.peers.replay import NEW, OLD, SEEN, WIDTH, Window
-from brassweir.peers.wire import DIGEST, MOST_BODY, VERSION, Dropped, Envelope, KeyFault, Keys, Wire, read_key
+from brassweir.peers.envelope import (
+    DIGEST_BYTES,
+    MAX_BODY_BYTES,
+    VERSION,
+    Dropped,
+    Envelope,
+    EnvelopeCodec,
+    KeyFault,
+    Keys,
+    read_key,
+)
+from brassweir.peers.replay_window import NEW, OLD, SEEN, WIDTH, ReplayWindow
 
 OLD_KEY, NEW_KEY = b"the key of last year", b"the key of this year"
 KNOWN, KINDS = ("a", "b", "c"), ("live", "log")
 
 
-def wire(own: str, generation: int = 7, *keys: bytes) -> Wire:
-    return Wire(own, generation, Keys(keys or (OLD_KEY,)))
+def wire(own: str, generation: int = 7, *keys: bytes) -> EnvelopeCodec:
+    return EnvelopeCodec(own, generation, Keys(keys or (OLD_KEY,)))
 
 
-def reason(to: Wire, datagram: bytes, once: tuple[str, ...] = KINDS) -> str:
+def reason(to: EnvelopeCodec, datagram: bytes, once: tuple[str, ...] = KINDS) -> str:
     try:
         to.open(datagram, KNOWN, KINDS, once)
     except Dropped as dropped:
@@ -35,10 +45,10 @@
 
 
 def test_an_envelope_comes_back_whole() -> None:
-    got = wire("b").open(wire("a").seal("b", "log", b"x" * MOST_BODY), KNOWN, KINDS, KINDS)
-    assert got == Envelope("log", "a", "b", 7, 1, b"x" * MOST_BODY)
+    got = wire("b").open(wire("a").seal("b", "log", b"x" * MAX_BODY_BYTES), KNOWN, KINDS, KINDS)
+    assert got == Envelope("log", "a", "b", 7, 1, b"x" * MAX_BODY_BYTES)
     with pytest.raises(Dropped, match="large"):
-        wire("a").seal("b", "log", b"x" * (MOST_BODY + 1))
+        wire("a").seal("b", "log", b"x" * (MAX_BODY_BYTES + 1))
 
 
 def test_reasons() -> None:
@@ -47,15 +57,15 @@
     assert reason(own, sealed(later)) == "taken"  # a later version's field at the end
     assert reason(own, bytes([VERSION + 1]) + good[1:]) == "version"
     assert reason(own, sealed(later, version=0)) == "version"
-    assert reason(own, b"x" * (MOST_BODY + 1_000)) == "large"
-    assert reason(own, good[:DIGEST]) == "short" and reason(own, b"") == "short"
+    assert reason(own, b"x" * (MAX_BODY_BYTES + 1_000)) == "large"
+    assert reason(own, good[:DIGEST_BYTES]) == "short" and reason(own, b"") == "short"
     assert reason(own, sealed(b"\xc1")) == "form"
     assert reason(own, sealed(msgspec.msgpack.encode(["live", "a", "b", -1, 2, b""]))) == "form"
     assert reason(own, wire("d").seal("b", "live", b"")) == "stranger"
     assert reason(own, wire("b").seal("b", "live", b"")) == "stranger"
     assert reason(own, wire("a").seal("c", "live", b"")) == "misdirected"
     assert (
-        reason(own, sealed(msgspec.msgpack.encode(["log", "a", "b", 7, 3, b"x" * (MOST_BODY + 1)])))
+        reason(own, sealed(msgspec.msgpack.encode(["log", "a", "b", 7, 3, b"x" * (MAX_BODY_BYTES + 1)])))
         == "large"
     )
     assert reason(own, wire("c").seal("b", "news", b"")) == "kind"
@@ -90,12 +100,12 @@
         last = sender.seal("b", "live", b"")
     early = sealed(msgspec.msgpack.encode(Envelope("live", "a", "b", 9, 1, b"")))
     assert reason(own, last) == "taken" and reason(own, early) == "late"
-    own.keep(("c",))
+    own.forget_unlisted(("c",))
     assert own.windows == {}
 
 
 def test_a_window_agrees_with_a_set() -> None:
-    rng, window, seen, top = random.Random(3), Window(1), set[int](), 0
+    rng, window, seen, top = random.Random(3), ReplayWindow(1), set[int](), 0
     for _ in range(5_000):
         number = max(
             1, top + rng.randint(-WIDTH - 50, 60) if rng.random() < 0.98 else top + rng.randint(1, 3_000)
--- a/tests/regions/samples.py
+++ b/tests/regions/samples.py
@@ -9,15 +9,15 @@
 from brassweir.interface import Effect
 from brassweir.regions import planning
 from brassweir.regions.epochs import PLACES, Epoch, place
-from brassweir.regions.ownership import Assumed, Ownership, Why
+from brassweir.regions.ownership import Assumptions, Ownership, Reason
 
 URLS = {"east": "http://east/as2", "west": "http://west/as2"}
-ASSUMED = Assumed(clock_error=200.0, longest=8_000.0, asks_on=60_000.0)
+ASSUMED = Assumptions(clock_error_ms=200.0, max_deadline_ms=8_000.0, answer_window_ms=60_000.0)
 LEASE = 30_000.0
 
 
 def start(now: float = 0.0) -> Epoch:
-    return planning.first(URLS, now, LEASE)
+    return planning.first_epoch(URLS, now, LEASE)
 
 
 def identity_in(low: int, high: int) -> str:
@@ -29,22 +29,22 @@
 
 def told(
     own: Ownership, name: str, wall: float, born: float | None = None, effect: Effect = Effect.UNSAFE
-) -> Why | None:
-    found = own.may(effect, "c", name, wall, born)
-    return None if found is None else found.why
+) -> Reason | None:
+    found = own.refusal(effect, "c", name, wall, born)
+    return None if found is None else found.reason
 
 
 REGIONS = {"east": "e", "west": "w", "south": "s"}
 
 
-Mover = Callable[[Epoch, int, int, str, float, float, Assumed], planning.Move]
+Mover = Callable[[Epoch, int, int, str, float, float, Assumptions], planning.Move]
 
 
 def at_once(right: Mover) -> Mover:
     """A move that does not wait for the old owner."""
 
     def moved(
-        epoch: Epoch, low: int, high: int, to: str, now: float, lease: float, assumed: Assumed
+        epoch: Epoch, low: int, high: int, to: str, now: float, lease: float, assumed: Assumptions
     ) -> planning.Move:
         move = right(epoch, low, high, to, now, lease, assumed)
         grants = tuple(
--- a/tests/regions/test_moves.py
+++ b/tests/regions/test_moves.py
@@ -11,7 +11,7 @@
 from brassweir.interface import Effect
 from brassweir.regions import ownership, planning
 from brassweir.regions.epochs import PLACES, Epoch, EpochError
-from brassweir.regions.ownership import Ownership, Why
+from brassweir.regions.ownership import Ownership, Reason
 from tests.regions.samples import (
     ASSUMED,
     EAST,
@@ -61,7 +61,7 @@
 
 def play(script: list[tuple[str, int, int]], skews: tuple[float, float, float], dated: bool) -> World:
     now = 0.0
-    world = World(dict(zip(REGIONS, skews, strict=True)), [planning.first(REGIONS, 0.0, LEASE)])
+    world = World(dict(zip(REGIONS, skews, strict=True)), [planning.first_epoch(REGIONS, 0.0, LEASE)])
     world.views = {name: Ownership(name, ASSUMED, world.epochs[0]) for name in REGIONS}
     names = list(REGIONS)
     for what, a, b in script:
@@ -80,7 +80,7 @@
             world.epochs.append(planning.drained(last, region, now, LEASE, ASSUMED).epoch)
         elif what == "deliver":  # any publication, old or new, to one region
             try:
-                view.learn(world.epochs[max(0, len(world.epochs) - 1 - a % 4)])
+                view.accept(world.epochs[max(0, len(world.epochs) - 1 - a % 4)])
             except EpochError:
                 pass
         elif what == "restart":  # it remembers its epoch, and nothing else
@@ -90,11 +90,11 @@
             if what == "hand" and ident not in world.born:
                 world.born[ident] = now
             made = world.born.get(ident)
-            if made is None or now > made + ASSUMED.asks_on:
+            if made is None or now > made + ASSUMED.answer_window_ms:
                 continue  # clients ask on for that long and no longer
             # A client's date is as good as any clock; some clients have none.
             born = made + (b % 400 - 200) if dated else None
-            if view.may(Effect.UNSAFE, "c", ident, now + world.skew[region], born) is None:
+            if view.refusal(Effect.UNSAFE, "c", ident, now + world.skew[region], born) is None:
                 world.took.setdefault(ident, set()).add(region)
     return world
 
@@ -117,7 +117,7 @@
     """East has not heard of the move, west has; a client asks both for messages born early and late, at all times."""
     east, west = Ownership("east", ASSUMED, start()), Ownership("west", ASSUMED, move.epoch)
     for born in (10_000.0, 28_000.0, move.epoch.grants[0].begins + 500.0):
-        times = [born + step * 500.0 for step in range(int(ASSUMED.asks_on / 500.0))]
+        times = [born + step * 500.0 for step in range(int(ASSUMED.answer_window_ms / 500.0))]
         if any(told(east, EAST, at, born) is None for at in times) and any(
             told(west, EAST, at, born) is None for at in times
         ):
@@ -129,15 +129,15 @@
 def test_each_guard_left_out_is_seen(monkeypatch: pytest.MonkeyPatch, fault: str) -> None:
     make: Mover = planning.moved
     if fault == "no lease":
-        right = Ownership.may
+        right = Ownership.refusal
 
-        def may(self: Ownership, *given: object) -> ownership.NotHere | None:
+        def may(self: Ownership, *given: object) -> ownership.OwnershipRefusal | None:
             found = right(self, *given)  # type: ignore[arg-type]
-            return None if found is not None and found.why is Why.LAPSED else found
+            return None if found is not None and found.reason is Reason.LAPSED else found
 
-        monkeypatch.setattr(Ownership, "may", may)
+        monkeypatch.setattr(Ownership, "refusal", may)
     elif fault == "no birth":
-        monkeypatch.setattr(Ownership, "_before", lambda *_: None)
+        monkeypatch.setattr(Ownership, "_previous_grant", lambda *_: None)
     elif fault == "at once":
         make = at_once(planning.moved)
     assert taken_twice(make(start(), 0, PLACES // 2, "west", 5_000.0, LEASE, ASSUMED)) is bool(fault)
--- a/tests/regions/test_regions.py
+++ b/tests/regions/test_regions.py
@@ -7,9 +7,9 @@
 
 from brassweir.interface import Effect
 from brassweir.regions import planning
-from brassweir.regions.epochs import PLACES, EpochError, Grant, check, follows, parse
-from brassweir.regions.ownership import Ownership, Why
-from brassweir.regions.planning import Lost
+from brassweir.regions.epochs import PLACES, EpochError, Grant, check, check_follows, parse
+from brassweir.regions.ownership import Ownership, Reason
+from brassweir.regions.planning import LossStatement
 from tests.regions.samples import (
     ASSUMED,
     EAST,
@@ -25,10 +25,10 @@
 def test_each_place_has_one_home_and_the_other_region_says_where() -> None:
     east, west = Ownership("east", ASSUMED, start()), Ownership("west", ASSUMED, start())
     assert told(east, EAST, 1000.0) is None and told(west, WEST, 1000.0) is None
-    away = west.may(Effect.KEYED, "c", EAST, 1000.0)
+    away = west.refusal(Effect.KEYED, "c", EAST, 1000.0)
     assert (
         away is not None
-        and (away.why, away.region) == (Why.ELSEWHERE, "east")
+        and (away.reason, away.region) == (Reason.ELSEWHERE, "east")
         and west.url("east") == "http://east/as2"
     )
     assert told(west, EAST, 1000.0, effect=Effect.SAFE) is None, "safe messages need no owner"
@@ -37,42 +37,45 @@
 def test_a_region_that_hears_nothing_stops_before_its_lease_ends() -> None:
     east = Ownership("east", ASSUMED, start())
     assert told(east, EAST, LEASE - 300.0) is None
-    assert told(east, EAST, LEASE - 200.0) is Why.LAPSED and told(east, EAST, 1e9) is Why.LAPSED
+    assert told(east, EAST, LEASE - 200.0) is Reason.LAPSED and told(east, EAST, 1e9) is Reason.LAPSED
     assert told(east, EAST, 1e9, effect=Effect.SAFE) is None, "safe classes never pause"
-    assert east.learn(planning.renewed(start(), 20_000.0, LEASE, ASSUMED))
+    assert east.accept(planning.renewed(start(), 20_000.0, LEASE, ASSUMED))
     assert told(east, EAST, LEASE + 100.0) is None
-    assert told(Ownership("east", ASSUMED), EAST, 1.0) is Why.UNKNOWN
+    assert told(Ownership("east", ASSUMED), EAST, 1.0) is Reason.UNKNOWN
 
 
 def test_a_move_begins_after_the_old_owner_s_last_attempt_on_any_clock() -> None:
     move = planning.moved(start(), 0, PLACES // 2, "west", 5_000.0, LEASE, ASSUMED)
     east, west = Ownership("east", ASSUMED, start()), Ownership("west", ASSUMED, move.epoch)
     begins = move.epoch.grants[0].begins
-    assert begins >= LEASE + ASSUMED.longest + 2 * ASSUMED.clock_error and move.pause > 0
+    assert begins >= LEASE + ASSUMED.max_deadline_ms + 2 * ASSUMED.clock_error_ms and move.pause_ms > 0
     assert told(east, EAST, 10_000.0) is None, "it has not heard, and goes on within its lease"
-    assert told(west, EAST, begins + 100.0) is Why.MOVING
-    assert east.learn(move.epoch) and told(east, EAST, 10_000.0) is Why.ELSEWHERE
+    assert told(west, EAST, begins + 100.0) is Reason.MOVING
+    assert east.accept(move.epoch) and told(east, EAST, 10_000.0) is Reason.ELSEWHERE
     # Born before the new owner began: the old one may have carried it out.
-    assert told(west, EAST, begins + 500.0) is Why.BORN_ELSEWHERE
-    assert told(west, EAST, begins + 500.0, born=20_000.0) is Why.BORN_ELSEWHERE
-    assert told(west, EAST, begins + 500.0, born=LEASE + 2 * ASSUMED.clock_error) is None
-    assert told(west, EAST, begins + 500.0, born=begins + 5_000.0) is Why.BORN_ELSEWHERE, (
+    assert told(west, EAST, begins + 500.0) is Reason.BORN_ELSEWHERE
+    assert told(west, EAST, begins + 500.0, born=20_000.0) is Reason.BORN_ELSEWHERE
+    assert told(west, EAST, begins + 500.0, born=LEASE + 2 * ASSUMED.clock_error_ms) is None
+    assert told(west, EAST, begins + 500.0, born=begins + 5_000.0) is Reason.BORN_ELSEWHERE, (
         "it cannot be from the future"
     )
     later = planning.renewed(move.epoch, begins, 1e6, ASSUMED)
-    assert west.learn(later) and told(west, EAST, LEASE + ASSUMED.longest + ASSUMED.asks_on + 500.0) is None
+    assert (
+        west.accept(later)
+        and told(west, EAST, LEASE + ASSUMED.max_deadline_ms + ASSUMED.answer_window_ms + 500.0) is None
+    )
 
 
 def test_a_clock_that_steps_or_lies_behind_is_not_believed() -> None:
     east = Ownership("east", ASSUMED, start())
-    east.tick(1_000.0, 50.0)
-    east.tick(1_150.0, 100.0)
+    east.check_clocks(1_000.0, 50.0)
+    east.check_clocks(1_150.0, 100.0)
     assert told(east, EAST, 1_150.0) is None
-    east.tick(5_000.0, 150.0)
-    east.tick(1_250.0, 200.0)
-    assert told(east, EAST, 1_250.0) is Why.CLOCK, "it is not trusted again because it came back"
+    east.check_clocks(5_000.0, 150.0)
+    east.check_clocks(1_250.0, 200.0)
+    assert told(east, EAST, 1_250.0) is Reason.CLOCK, "it is not trusted again because it came back"
     behind = Ownership("east", ASSUMED, planning.renewed(start(), 20_000.0, LEASE, ASSUMED))
-    assert told(behind, EAST, 19_000.0) is Why.CLOCK and told(behind, EAST, 19_700.0) is None
+    assert told(behind, EAST, 19_000.0) is Reason.CLOCK and told(behind, EAST, 19_700.0) is None
 
 
 def test_never_back_to_an_older_epoch_nor_to_one_that_contradicts() -> None:
@@ -80,15 +83,15 @@
     new = planning.moved(old, 0, 1000, "west", 1_000.0, LEASE, ASSUMED).epoch
     own = Ownership("east", ASSUMED, new)
     with pytest.raises(EpochError, match="epoch 1 comes after 2"):
-        own.learn(old)
-    assert own.epoch == new and not own.learn(new)
+        own.accept(old)
+    assert own.epoch == new and not own.accept(new)
     with pytest.raises(EpochError, match="was issued before"):
-        own.learn(msgspec.structs.replace(new, issued=500.0))
+        own.accept(msgspec.structs.replace(new, issued=500.0))
     thief = msgspec.structs.replace(
         old, number=2, issued=1_000.0, grants=(Grant("west", 0, PLACES, 1_000.0, 90_000.0),)
     )
     with pytest.raises(EpochError, match="gives places from 0 to west while epoch 1 leaves them to east"):
-        follows(thief, old)
+        check_follows(thief, old)
 
 
 @pytest.mark.parametrize(
@@ -125,21 +128,24 @@
 
 
 def test_a_region_is_drained_and_a_lost_one_taken_over_only_when_it_is_safe() -> None:
-    epoch = planning.first({**URLS, "south": "http://south"}, 0.0, LEASE)
+    epoch = planning.first_epoch({**URLS, "south": "http://south"}, 0.0, LEASE)
     move = planning.drained(epoch, "east", 1_000.0, LEASE, ASSUMED)
     assert {one.region for one in move.epoch.grants} == {"west", "south"} and move.epoch.number == 2
-    follows(move.epoch, epoch)
-    for stated, words in ((Lost(False, True), "may still send"), (Lost(True, False), "keep the journals")):
+    check_follows(move.epoch, epoch)
+    for stated, words in (
+        (LossStatement(False, True), "may still send"),
+        (LossStatement(True, False), "keep the journals"),
+    ):
         with pytest.raises(EpochError, match=words):
             planning.taken_over(epoch, "east", 1_000.0, LEASE, ASSUMED, stated)
-    taken = planning.taken_over(epoch, "east", 1_000.0, LEASE, ASSUMED, Lost(True, True))
-    assert taken.pause < move.pause and all(one.region != "east" for one in taken.epoch.grants)
+    taken = planning.taken_over(epoch, "east", 1_000.0, LEASE, ASSUMED, LossStatement(True, True))
+    assert taken.pause_ms < move.pause_ms and all(one.region != "east" for one in taken.epoch.grants)
     west = Ownership("west", ASSUMED, taken.epoch)
     mine = next(one for one in taken.epoch.grants if one.region == "west" and one.begins > 0.0)
     name = identity_in(mine.low, mine.high)
-    assert told(west, name, mine.begins + 300.0) is Why.BORN_ELSEWHERE, (
+    assert told(west, name, mine.begins + 300.0) is Reason.BORN_ELSEWHERE, (
         "what the lost one may have carried out is not repeated"
     )
     assert told(west, name, mine.begins + 300.0, born=mine.begins) is None
     with pytest.raises(EpochError, match="no other region"):
-        planning.drained(planning.first({"east": "u"}, 0.0, LEASE), "east", 0.0, LEASE, ASSUMED)
+        planning.drained(planning.first_epoch({"east": "u"}, 0.0, LEASE), "east", 0.0, LEASE, ASSUMED)
--- a/tests/regions/test_shares.py
+++ b/tests/regions/test_shares.py
@@ -7,16 +7,16 @@
 
 from brassweir.regions import planning, shares
 from brassweir.regions.epochs import Epoch, EpochError
-from brassweir.regions.ownership import Assumed, Ownership
-from brassweir.regions.shares import OWNED, RAMP, START, Shares, owned, part
+from brassweir.regions.ownership import Assumptions, Ownership
+from brassweir.regions.shares import OWNED, RAMP, START, LimitShare, owned, part
 
-ASSUMED = Assumed(200.0, 8_000.0, 60_000.0)
+ASSUMED = Assumptions(200.0, 8_000.0, 60_000.0)
 LEASE = 30_000.0
 REGIONS = {"east": "e", "west": "w", "south": "s"}
 
 
 def test_parts_follow_ownership_and_leave_some_for_safe_messages() -> None:
-    epoch = planning.first({"east": "e", "west": "w"}, 0.0, LEASE)
+    epoch = planning.first_epoch({"east": "e", "west": "w"}, 0.0, LEASE)
     assert part(epoch, "east", 1_000.0, ASSUMED) == 0.5 == part(epoch, "west", 1_000.0, ASSUMED)
     assert abs(part(epoch, "east", LEASE, ASSUMED) - (1.0 - OWNED) / 2) < 1e-9, (
         "without a lease only what safe ones need"
@@ -47,7 +47,7 @@
     script: list[tuple[str, int, int]], skews: tuple[float, float, float]
 ) -> None:
     now, names = 0.0, list(REGIONS)
-    epochs: list[Epoch] = [planning.first(REGIONS, 0.0, LEASE)]
+    epochs: list[Epoch] = [planning.first_epoch(REGIONS, 0.0, LEASE)]
     views = {name: Ownership(name, ASSUMED, epochs[0]) for name in names}
     for what, a, b in script:
         now += a % 9_000
@@ -65,7 +65,7 @@
             epochs.append(planning.drained(last, region, now, LEASE, ASSUMED).epoch)
         elif what == "deliver":
             try:
-                views[region].learn(epochs[max(0, len(epochs) - 1 - a % 4)])
+                views[region].accept(epochs[max(0, len(epochs) - 1 - a % 4)])
             except EpochError:
                 pass
         total = sum(
@@ -76,8 +76,8 @@
 
 def test_without_the_clocks_errors_it_would() -> None:
     """The sum is put to the test: with errors left out of the grants' ends, two hold a place at once."""
-    epoch = planning.first({"east": "e", "west": "w"}, 0.0, LEASE)
-    loose = Assumed(0.0, 0.0, 0.0)
+    epoch = planning.first_epoch({"east": "e", "west": "w"}, 0.0, LEASE)
+    loose = Assumptions(0.0, 0.0, 0.0)
     move = planning.renewed(
         planning.moved(epoch, 0, 1 << 31, "west", 1_000.0, LEASE, loose).epoch, 2_000.0, 2 * LEASE, loose
     )
@@ -87,8 +87,8 @@
 
 
 def test_a_region_that_comes_back_ramps_and_falls_at_once() -> None:
-    epoch = planning.first({"east": "e", "west": "w"}, 0.0, LEASE)
-    mine = Shares("east", ASSUMED)
+    epoch = planning.first_epoch({"east": "e", "west": "w"}, 0.0, LEASE)
+    mine = LimitShare("east", ASSUMED)
     first = mine.now(epoch, 1_000.0, 0.0)
     assert first == START * 0.5
     assert mine.now(epoch, 1_000.0, RAMP / 2) == (START * 0.5 + 0.5) / 2
@@ -103,9 +103,9 @@
 
 
 def test_only_changes_that_matter_are_told() -> None:
-    epoch = planning.first({"east": "e", "west": "w"}, 0.0, LEASE)
-    mine = Shares("east", ASSUMED)
+    epoch = planning.first_epoch({"east": "e", "west": "w"}, 0.0, LEASE)
+    mine = LimitShare("east", ASSUMED)
     told = [at for at in range(0, int(RAMP) + 3000, 250) if mine.changed(epoch, 1_000.0, float(at))]
     assert told[0] == 0 and RAMP in told and len(told) <= 1 + 0.375 / shares.STEP + 2
-    assert mine.told == 0.5 and not mine.changed(epoch, 1_000.0, RAMP * 2)
-    assert mine.changed(epoch, LEASE, RAMP * 2 + 1.0) and mine.told < 0.2
+    assert mine.reported == 0.5 and not mine.changed(epoch, 1_000.0, RAMP * 2)
+    assert mine.changed(epoch, LEASE, RAMP * 2 + 1.0) and mine.reported < 0.2
--- a/tests/regions/test_sources.py
+++ b/tests/regions/test_sources.py
@@ -8,10 +8,18 @@
 from hypothesis import strategies as st
 
 from brassweir.regions import planning
-from brassweir.regions.epochs import KEEP_LONGER, PLACES, Epoch, EpochError, follows, parse, succeeds
+from brassweir.regions.epochs import (
+    KEEP_PAST_MS,
+    PLACES,
+    Epoch,
+    EpochError,
+    check_follows,
+    check_succeeds,
+    parse,
+)
 from brassweir.regions.ownership import Ownership
-from brassweir.regions.planning import Lost
-from brassweir.regions.sources import Source, publisher, takes
+from brassweir.regions.planning import LossStatement
+from brassweir.regions.sources import Source, check_source, publisher
 from tests.regions.samples import ASSUMED, EAST, LEASE, start, told
 
 FILE, AGREED = Source.FILE, Source.AGREED
@@ -20,8 +28,8 @@
 def learn(source: Source, own: Ownership, epoch: Epoch) -> bool:
     """What a copy does with an epoch of its source."""
     try:
-        takes(source, epoch, own.epoch)
-        return own.learn(epoch)
+        check_source(source, epoch, own.epoch)
+        return own.accept(epoch)
     except EpochError:
         return False
 
@@ -33,12 +41,12 @@
 
 
 def test_planning_keeps_the_turn() -> None:
-    epoch = msgspec.structs.replace(planning.first({"e": "e", "w": "w"}, 0.0, LEASE), turn=3)
+    epoch = msgspec.structs.replace(planning.first_epoch({"e": "e", "w": "w"}, 0.0, LEASE), turn=3)
     made = [
         planning.renewed(epoch, 1.0, LEASE, ASSUMED),
         planning.moved(epoch, 0, 9, "w", 1.0, LEASE, ASSUMED).epoch,
         planning.drained(epoch, "e", 1.0, LEASE, ASSUMED).epoch,
-        planning.taken_over(epoch, "e", 1.0, LEASE, ASSUMED, Lost(True, True)).epoch,
+        planning.taken_over(epoch, "e", 1.0, LEASE, ASSUMED, LossStatement(True, True)).epoch,
     ]
     assert [one.turn for one in made] == [3] * 4 and planning.handed_over(epoch, 1.0).turn == 4
 
@@ -149,8 +157,8 @@
         ("deliver", 0, 0),
     ]
     assert play(script) and not broken(play(script))
-    monkeypatch.setattr(f"{__name__}.takes", lambda *_: None)
-    monkeypatch.setattr("brassweir.regions.ownership.follows", lambda *_: None)
+    monkeypatch.setattr(f"{__name__}.check_source", lambda *_: None)
+    monkeypatch.setattr("brassweir.regions.ownership.check_follows", lambda *_: None)
     assert any("went back" in one for one in broken(play(script)))
     taken_early = planning.renewed(planning.handed_over(start(), 1.0), 2.0, LEASE, ASSUMED)
     assert "not its to publish" in broken([(0, FILE, start(), taken_early)])[0]
@@ -160,7 +168,7 @@
     """The race that a log has to refuse: a move planned from the lease before the last renewal."""
     renewed = planning.renewed(start(), 20_000.0, LEASE, ASSUMED)
     stale = planning.moved(start(), 0, PLACES // 2, "west", 10_000.0, LEASE, ASSUMED).epoch
-    follows(stale, renewed)  # head office alone publishes, so for it this cannot be
+    check_follows(stale, renewed)  # head office alone publishes, so for it this cannot be
     east, west = Ownership("east", ASSUMED, renewed), Ownership("west", ASSUMED, stale)
     begins = stale.grants[0].begins
     overlap = [
@@ -170,25 +178,27 @@
     ]
     assert overlap, "two owners at once: follows is not enough"
     with pytest.raises(EpochError, match="cuts short what east holds"):
-        succeeds(stale, renewed)
-    succeeds(planning.moved(renewed, 0, PLACES // 2, "west", 21_000.0, LEASE, ASSUMED).epoch, renewed)
+        check_succeeds(stale, renewed)
+    check_succeeds(planning.moved(renewed, 0, PLACES // 2, "west", 21_000.0, LEASE, ASSUMED).epoch, renewed)
 
 
 def test_a_lost_region_s_grants_may_be_cut_short_and_no_other_s() -> None:
-    taken = planning.taken_over(start(), "east", 1_000.0, LEASE, ASSUMED, Lost(True, True)).epoch
-    succeeds(taken, start(), "east")
+    taken = planning.taken_over(start(), "east", 1_000.0, LEASE, ASSUMED, LossStatement(True, True)).epoch
+    check_succeeds(taken, start(), "east")
     for lost in ("", "west"):
         with pytest.raises(EpochError, match="cuts short"):
-            succeeds(taken, start(), lost)
+            check_succeeds(taken, start(), lost)
 
 
 def test_earlier_owners_are_told_of_for_longer_than_a_clock_may_be_wrong_by() -> None:
     moved = planning.moved(start(), 0, 9, "west", 1_000.0, LEASE, ASSUMED).epoch
-    span = ASSUMED.longest + ASSUMED.asks_on + 4 * ASSUMED.clock_error
+    span = ASSUMED.max_deadline_ms + ASSUMED.answer_window_ms + 4 * ASSUMED.clock_error_ms
     over = moved.past[0].ends + span
-    assert planning.renewed(moved, over + KEEP_LONGER - 1.0, LEASE, ASSUMED).past == moved.past
-    gone = planning.renewed(moved, over + KEEP_LONGER, LEASE, ASSUMED)
+    assert planning.renewed(moved, over + KEEP_PAST_MS - 1.0, LEASE, ASSUMED).past == moved.past
+    gone = planning.renewed(moved, over + KEEP_PAST_MS, LEASE, ASSUMED)
     assert not gone.past
-    succeeds(gone, moved)
+    check_succeeds(gone, moved)
     with pytest.raises(EpochError, match="forgets too early that east"):
-        succeeds(msgspec.structs.replace(planning.renewed(moved, 60_000.0, LEASE, ASSUMED), past=()), moved)
+        check_succeeds(
+            msgspec.structs.replace(planning.renewed(moved, 60_000.0, LEASE, ASSUMED), past=()), moved
+        )
--- a/tests/service/group.py
+++ b/tests/service/group.py
@@ -17,11 +17,11 @@
 from brassweir.interface import Effect, MessageClass
 from brassweir.regions import planning
 from brassweir.regions.epochs import Epoch
-from brassweir.regions.ownership import Assumed
-from brassweir.service.agreeing import Agreeing
-from brassweir.service.regionlog import RegionLog
+from brassweir.regions.ownership import Assumptions
+from brassweir.service.log_maintenance import LogMaintenance
+from brassweir.service.log_ownership import LogOwnership
 
-ASSUMED = Assumed(100.0, 1_000.0, 3_600_000.0)
+ASSUMED = Assumptions(100.0, 1_000.0, 3_600_000.0)
 CLASSES = {
     "order": MessageClass("order", 500.0, 1_000.0, Effect.UNSAFE),
     "status": MessageClass("status", 500.0, 1_000.0, Effect.SAFE),
@@ -99,7 +99,7 @@
 
     def __init__(self, name: str, region: str, log: Log, folder: Path, lease: float = 1_000.0) -> None:
         self.notes: list[tuple[str, dict[str, object]]] = []
-        self.region = RegionLog(
+        self.region = LogOwnership(
             region,
             folder / f"{name}.epoch",
             ASSUMED,
@@ -107,7 +107,7 @@
             lambda event, more: self.notes.append((event, more)),
         )
         self.member, self.first = Member(name, log), folder / "first.json"
-        self.deals = Agreeing(
+        self.maintenance = LogMaintenance(
             CopyModel(name=name, site=f"{region}1", region=region, address="127.0.0.1:1"),
             self.member.machine,
             self.member,
@@ -116,8 +116,8 @@
             self.first,
             lambda event, more: self.notes.append((event, more)),
         )
-        self.tasks = [asyncio.create_task(self.deals.run())]
-        self.deals.desired.read(False)
+        self.tasks = [asyncio.create_task(self.maintenance.run())]
+        self.maintenance.desired.read(False)
 
     def takes(self, name: str, cls: str = "order") -> bool:
         refused = self.region.admits(Submission("c", name, cls, 1, 900.0, payload=Payload("a/b", b"")))
@@ -129,7 +129,7 @@
 
 
 def first(lease: float = 1_000.0, turn: int = 1) -> Epoch:
-    return msgspec.structs.replace(planning.first(URLS, time.time() * 1000.0 - 500.0, lease), turn=turn)
+    return msgspec.structs.replace(planning.first_epoch(URLS, time.time() * 1000.0 - 500.0, lease), turn=turn)
 
 
 async def until(what: Callable[[], bool], seconds: float = 10.0) -> None:
@@ -147,7 +147,8 @@
     ]
     await until(
         lambda: all(
-            one.region.own.epoch is not None and len(one.member.machine.state.copies) == 3 for one in copies
+            one.region.ownership.epoch is not None and len(one.member.machine.state.copies) == 3
+            for one in copies
         )
     )
     return log, copies
--- a/tests/service/test_agreeing.py
+++ b/tests/service/test_agreeing.py
@@ -11,15 +11,15 @@
 
 from brassweir.agreed.commands import Format, Leave, encode
 from brassweir.regions import planning
-from brassweir.service import agreeing, membership
-from brassweir.service.agreedside import AgreedSide
+from brassweir.service import log_maintenance, membership
+from brassweir.service.agreed_log import AgreedLog
 from tests.conftest import run
 from tests.service.group import ASSUMED, Copy, Log, end, first, group, until
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(agreeing, "LOOK", 0.005)
+    monkeypatch.setattr(log_maintenance, "LOOK", 0.005)
     monkeypatch.setattr(membership, "RETRY", 0.05)
 
 
@@ -34,7 +34,8 @@
         ]
         await until(
             lambda: all(
-                one.region.own.epoch is not None and one.region.own.epoch.issued >= issued.issued + 400.0
+                one.region.ownership.epoch is not None
+                and one.region.ownership.epoch.issued >= issued.issued + 400.0
                 for one in copies
             )
         )
@@ -79,10 +80,10 @@
 def test_a_wish_on_any_copy_is_planned_anew_and_agreed_or_refused_with_its_reason(tmp_path: Path) -> None:
     async def work() -> None:
         _, copies = await group(tmp_path)
-        stale = copies[2].region.own.epoch
+        stale = copies[2].region.ownership.epoch
         assert stale is not None
         issued = stale.issued
-        await until(lambda: (copies[2].region.own.epoch or stale).issued > issued)
+        await until(lambda: (copies[2].region.ownership.epoch or stale).issued > issued)
         for wish, event, words in (
             (
                 planning.moved(stale, 0, 1 << 20, "west", time.time() * 1000.0, 2_000.0, ASSUMED).epoch,
@@ -93,12 +94,12 @@
             (msgspec.structs.replace(stale, number=9), "wish_refused", "epoch 9 does not follow 2"),
         ):
             copies[2].first.write_bytes(msgspec.json.encode(wish))
-            copies[2].deals.desired.read(True)
+            copies[2].maintenance.desired.read(True)
             await until(lambda event=event: bool(copies[2].said(event)))  # type: ignore[misc]
             assert words in str(copies[2].said(event)[0]["error"])
-        assert all((one.region.own.epoch or stale).number == 2 for one in copies)
+        assert all((one.region.ownership.epoch or stale).number == 2 for one in copies)
         copies[2].first.write_text("{}")
-        copies[2].deals.desired.read(True)
+        copies[2].maintenance.desired.read(True)
         assert "no epoch" in str(copies[2].said("wish_refused")[-1]["error"])
         end(copies)
 
@@ -109,7 +110,7 @@
     async def work() -> None:
         _, copies = await group(tmp_path)
         end(copies)
-        later = copies[0].region.own.epoch
+        later = copies[0].region.ownership.epoch
         assert later is not None
         moved = planning.moved(later, 0, 1 << 20, "west", time.time() * 1000.0, 2_000.0, ASSUMED).epoch
         (tmp_path / "a.epoch").write_bytes(msgspec.json.encode(moved))
@@ -127,28 +128,32 @@
 def test_who_votes_and_who_is_a_member_go_as_the_operator_wants(tmp_path: Path) -> None:
     async def work() -> None:
         log, copies = await group(tmp_path)
-        copies[1].deals.membership.want_voters(frozenset({"b", "c"}))
+        copies[1].maintenance.membership.want_voters(frozenset({"b", "c"}))
         await asyncio.sleep(0.1)
         assert log.voters == {"a", "b"}, "the leader changes it, when it is told"
-        copies[0].deals.membership.want_voters(frozenset({"b", "c"}))
+        copies[0].maintenance.membership.want_voters(frozenset({"b", "c"}))
         await until(lambda: log.voters == {"b", "c"})
         assert [one["copy"] for one in copies[0].said("voter_changed")] == ["c", "a"], (
             "who comes first, then who goes"
         )
         copies[2].member.cut = True
-        copies[0].deals.membership.want_voters(frozenset({"a", "b"}))
+        copies[0].maintenance.membership.want_voters(frozenset({"a", "b"}))
         await until(lambda: log.voters == {"a", "b"})
         assert [one["copy"] for one in copies[0].said("voter_changed")][2:] == ["c", "a"], (
             "who is gone goes first"
         )
         copies[2].member.cut = False
         copies[2].member.follow()
-        await until(lambda: not copies[0].deals.membership.voters and not copies[1].deals.membership.voters)
-        copies[1].deals.membership.left |= {"c", "gone"}
+        await until(
+            lambda: (
+                not copies[0].maintenance.membership.voters and not copies[1].maintenance.membership.voters
+            )
+        )
+        copies[1].maintenance.membership.left |= {"c", "gone"}
         await until(
             lambda: (
                 all("c" not in one.member.machine.state.copies for one in copies)
-                and not copies[1].deals.membership.left
+                and not copies[1].maintenance.membership.left
             )
         )
         await asyncio.sleep(0.1)
@@ -184,14 +189,14 @@
 ) -> None:
     async def work() -> None:
         log, copies = await group(tmp_path)
-        copies[0].region.own.offset = (
-            copies[0].region.own.offset or 0.0
+        copies[0].region.ownership.clock_offset = (
+            copies[0].region.ownership.clock_offset or 0.0
         ) - 60_000.0  # as if the wall clock had gone on by a minute
         await until(lambda: log.leader != "a")
         assert "clock" in str(copies[0].said("lead_given_away")[0]["why"])
         assert not any(copies[0].takes(f"m{n}") for n in range(20))
         wall = time.time() * 1000.0
-        await until(lambda: (copies[1].region.own.epoch or first()).issued > wall)
+        await until(lambda: (copies[1].region.ownership.epoch or first()).issued > wall)
         end(copies)
 
     run(work())
@@ -201,7 +206,7 @@
     async def work() -> None:
         _, copies = await group(tmp_path)
         end(copies)
-        deals, there = copies[0].deals, copies[0].member.machine.state.copies
+        deals, there = copies[0].maintenance, copies[0].member.machine.state.copies
         deals.membership.left = {"b", "c"}
         await deals.membership.remove_left()
         assert sorted(there) == ["a", "c"] and deals.membership.left == {"c"}
@@ -212,7 +217,7 @@
 def test_a_copy_whose_dealings_end_by_an_error_leads_no_more() -> None:
     async def play() -> None:
         said: list[str] = []
-        side = AgreedSide.__new__(AgreedSide)
+        side = AgreedLog.__new__(AgreedLog)
         side.note = lambda event, _: said.append(event)
         side.give_up = lambda: said.append("given up")  # type: ignore[method-assign]
 
--- a/tests/service/test_asked.py
+++ b/tests/service/test_asked.py
@@ -45,7 +45,7 @@
 
 async def deliver(sender: SenderProcess, name: str, identity: str) -> FinalAnswer:
     got: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
-    number = sender.list.numbers.number(name)
+    number = sender.endpoints.numbers.number(name)
     assert number is not None
     sender.engine.submit(
         Submission("o", identity, "order", number, 5000.0, payload=Payload("a/b", b"x")), got.set_result
--- a/tests/service/test_control_machines.py
+++ b/tests/service/test_control_machines.py
@@ -23,7 +23,7 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Processes]:
     made = Processes(tmp_path, {name: (f"x{name}", "r1") for name in ("c1", "c2", "c3", "s1")})
-    epoch = planning.first({"r1": "http://r1"}, time.time() * 1000.0, 6_000.0)
+    epoch = planning.first_epoch({"r1": "http://r1"}, time.time() * 1000.0, 6_000.0)
     first = msgspec.json.encode(msgspec.structs.replace(epoch, turn=1))
     for name in ("c1", "c2", "c3"):
         made.settings(name).write_text(
--- a/tests/service/test_fleet_configuration.py
+++ b/tests/service/test_fleet_configuration.py
@@ -20,15 +20,15 @@
     """Its folder held five entries that are agreed."""
 
     def __init__(self) -> None:
-        self.applied, self.kept_agreed = 0, 5
+        self.applied_index, self.startup_commit_index = 0, 5
 
 
 class Follower:
     """Notes what it is to follow."""
 
     def __init__(self) -> None:
-        self.told, self.refused, self.versions = 0, "", list[int]()
-        self.on_told: Callable[[int], None] = lambda _: None
+        self.in_force, self.refused, self.versions = 0, "", list[int]()
+        self.on_in_force: Callable[[int], None] = lambda _: None
 
     def follow(self, version: int, catalog: Catalog) -> None:
         self.versions.append(version)
@@ -44,7 +44,7 @@
     group = cast(Any, SimpleNamespace(propose=None))
     FleetConfiguration(cast(Member, member), machine, group, follower, home, lambda event, more: None)
     for index in range(1, 8):
-        core.applied = index
+        core.applied_index = index
         machine.configuration = Configuration(index, "a", EMPTY)
         for applied in member.on_apply:
             applied(index, b"", b"")
--- a/tests/service/test_publisher.py
+++ b/tests/service/test_publisher.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brassweir.agreed.facts import How, Outcome
+from brassweir.agreed.events import Outcome, OutcomeKind
 from brassweir.config.load import ConfigError
 from brassweir.config.model import ConfigurationModel
 from brassweir.configstream.machine import ConfiguredMachine
@@ -27,7 +27,9 @@
     def __init__(self, home: Path, machine: ConfiguredMachine, name: str = "a") -> None:
         self.machine, self.home, self.name = machine, home, name
         self.notes: list[tuple[str, dict[str, object]]] = []
-        self.losses: list[How] = []  # how the next proposals end, whether they came into the log or not
+        self.losses: list[
+            OutcomeKind
+        ] = []  # how the next proposals end, whether they came into the log or not
         self.publisher = Publisher(
             name, machine, self.ask, home, lambda event, more: self.notes.append((event, more))
         )
@@ -37,7 +39,7 @@
         result = self.machine.apply(index, command)
         if self.losses:
             return Outcome(self.losses.pop(0))
-        return Outcome(How.AGREED, index, result)
+        return Outcome(OutcomeKind.AGREED, index, result)
 
     async def edit(self, text: str, removed: int = 0, destinations: int = 0) -> Edit:
         (self.home / f"{self.name}.jsonl").write_text(text)
@@ -70,7 +72,7 @@
     async def work() -> None:
         operator = Operator(tmp_path, level_2(ConfiguredMachine()))
         text = "".join(line(f"x{n}", destination=f"d{n * 7919 % 10_007:05}") for n in range(2_000))
-        operator.losses = [How.UNKNOWN, How.REFUSED]
+        operator.losses = [OutcomeKind.UNKNOWN, OutcomeKind.REFUSED]
         edit = await operator.edit(text)
         assert edit.state == "agreed" and operator.machine.configuration.catalog.size == 2_000
         assert operator.machine.state.index > 5, "more than one command"
--- a/tests/service/test_regions.py
+++ b/tests/service/test_regions.py
@@ -18,17 +18,17 @@
 from brassweir.lab.rigs.local import Lines
 from brassweir.regions import planning
 from brassweir.regions.epochs import Epoch, parse
-from brassweir.regions.ownership import Assumed
+from brassweir.regions.ownership import Assumptions
+from brassweir.service.file_ownership import FileOwnership
 from brassweir.service.process import SenderProcess
-from brassweir.service.regionfile import RegionFile
 from tests.config.test_forward import VALID_SETTINGS, write_settings
 from tests.conftest import run
 
-ASSUMED = Assumed(500.0, 8_000.0, 3_600_000.0)
+ASSUMED = Assumptions(500.0, 8_000.0, 3_600_000.0)
 
 
 def first(now: float | None = None) -> Epoch:
-    return planning.first(
+    return planning.first_epoch(
         {"east": "http://east/as2", "west": "http://west/as2"},
         now or time.time() * 1000.0 - 5_000.0,
         60_000.0,
@@ -47,7 +47,7 @@
 async def answered(process: SenderProcess, cls: str, identity: str) -> FinalAnswer | None:
     """The answer at once, or None if the message was taken on."""
     got: list[FinalAnswer] = []
-    number = process.list.numbers.number("c")
+    number = process.endpoints.numbers.number("c")
     assert number is not None
     process.engine.submit(
         Submission("client", identity, cls, number, 5000.0, payload=Payload("a/b", b"x")), got.append
@@ -102,16 +102,16 @@
     new = planning.drained(old, "east", now, 60_000.0, ASSUMED).epoch
     path, state, notes = tmp_path / "epochs.json", tmp_path / "s.epoch", list[str]()
 
-    def made() -> RegionFile:
-        one = RegionFile("east", path, state, ASSUMED, {}, lambda event, _: notes.append(event))
+    def made() -> FileOwnership:
+        one = FileOwnership("east", path, state, ASSUMED, {}, lambda event, _: notes.append(event))
         one.look()
         return one
 
     path.write_bytes(msgspec.json.encode(new))
-    assert made().own.epoch == new
+    assert made().ownership.epoch == new
     path.write_bytes(msgspec.json.encode(old))
     again = made()
-    assert again.own.epoch == new and notes == ["epoch", "epoch_refused"]
+    assert again.ownership.epoch == new and notes == ["epoch", "epoch_refused"]
     again.look()
     assert notes == ["epoch", "epoch_refused"], "complained of once"
     state.write_bytes(state.read_bytes()[:-5])
@@ -122,17 +122,17 @@
 def test_an_epoch_that_cannot_be_kept_does_not_count(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path, notes = tmp_path / "epochs.json", list[str]()
     path.write_bytes(msgspec.json.encode(first()))
-    one = RegionFile("east", path, tmp_path / "s.epoch", ASSUMED, {}, lambda event, _: notes.append(event))
+    one = FileOwnership("east", path, tmp_path / "s.epoch", ASSUMED, {}, lambda event, _: notes.append(event))
 
     def sick(_: int) -> None:
         raise OSError(5, "Input/output error")
 
     monkeypatch.setattr("os.fsync", sick)
     one.look()
-    assert one.own.epoch is None and notes == ["epoch_refused"]
+    assert one.ownership.epoch is None and notes == ["epoch_refused"]
     monkeypatch.undo()
     one.look()
-    assert one.own.epoch is not None
+    assert one.ownership.epoch is not None
 
 
 def test_head_office_s_commands(tmp_path: Path) -> None:
--- a/tests/service/test_review_founding.py
+++ b/tests/service/test_review_founding.py
@@ -11,7 +11,7 @@
 from brassweir.agreed import reconciliation
 from brassweir.regions import planning
 from brassweir.regions.epochs import PLACES
-from brassweir.service import agreeing
+from brassweir.service import log_maintenance
 from tests.conftest import run
 from tests.service.group import ASSUMED, Copy, Log, first, until
 
@@ -20,14 +20,15 @@
 def test_two_regions_hold_no_place_when_the_voters_machines_are_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, guarded: bool
 ) -> None:
-    monkeypatch.setattr(agreeing, "LOOK", 0.005)
+    monkeypatch.setattr(log_maintenance, "LOOK", 0.005)
     if not guarded:
-        monkeypatch.setattr(reconciliation, "FIRST_FOR", float("inf"))
+        monkeypatch.setattr(reconciliation, "FIRST_EPOCH_MAX_AGE_MS", float("inf"))
 
     async def work() -> None:
         now = time.time() * 1000.0
         old = msgspec.structs.replace(
-            planning.first({"east": "http://east", "west": "http://west"}, now - 7_200_000.0, 1_000.0), turn=1
+            planning.first_epoch({"east": "http://east", "west": "http://west"}, now - 7_200_000.0, 1_000.0),
+            turn=1,
         )
         moved = planning.moved(old, 0, PLACES, "west", now - 7_190_000.0, 1_000.0, ASSUMED).epoch
         (tmp_path / "first.json").write_bytes(msgspec.json.encode(old))
@@ -39,7 +40,7 @@
         both = [name for name in (f"m{n}" for n in range(20)) if east.takes(name) and west.takes(name)]
         assert bool(both) is not guarded
         if guarded:
-            east.deals.desired.read(True)  # an operator has seen that nothing of it is left
+            east.maintenance.desired.read(True)  # an operator has seen that nothing of it is left
             await until(lambda: east.member.machine.state.epoch is not None)
         for task in east.tasks + west.tasks:
             task.cancel()
@@ -48,4 +49,4 @@
 
 
 def test_a_fresh_first_epoch_needs_no_word() -> None:
-    reconciliation.recent(first(), time.time() * 1000.0)
+    reconciliation.check_recent(first(), time.time() * 1000.0)
--- a/tests/service/test_three.py
+++ b/tests/service/test_three.py
@@ -14,7 +14,7 @@
 
 from brassweir.regions import planning
 from brassweir.regions.epochs import parse
-from brassweir.regions.ownership import Assumed
+from brassweir.regions.ownership import Assumptions
 from tests.config.test_forward import VALID_SETTINGS, write_settings
 from tests.service.processes import WAIT, Processes
 
@@ -27,7 +27,7 @@
     def __init__(self, home: Path) -> None:
         super().__init__(home, {name: (f"x{name[1]}", f"r{name[1]}") for name in NAMES})
         first = msgspec.structs.replace(
-            planning.first(
+            planning.first_epoch(
                 {"r1": "http://r1", "r2": "http://r2", "r3": "http://r3"}, time.time() * 1000.0, 6_000.0
             ),
             turn=1,
@@ -75,7 +75,7 @@
         "r3",
         time.time() * 1000.0,
         6_000.0,
-        Assumed(500.0, 8_000.0, 3_600_000.0),
+        Assumptions(500.0, 8_000.0, 3_600_000.0),
     )
     (fleet.home / "s2" / "first.json").write_bytes(msgspec.json.encode(move.epoch))
     fleet.running["s2"].send_signal(signal.SIGHUP)
--- a/tests/service/test_versionedlist.py
+++ b/tests/service/test_versionedlist.py
@@ -23,7 +23,7 @@
 
 
 def catalog(*entries: Entry) -> Catalog:
-    return EMPTY.advance(entries, ()).catalog
+    return EMPTY.apply(entries, ()).catalog
 
 
 class Sender:
@@ -38,7 +38,7 @@
             self.tell,
             lambda event, more: self.notes.append((event, more)),
         )
-        self.list.on_told = self.in_force.append
+        self.list.on_in_force = self.in_force.append
         self.between: list[tuple[int, Catalog]] = []  # versions that come after the next steps
 
     def tell(self, news: ListUpdate) -> None:
@@ -56,7 +56,7 @@
 
 async def until_told(sender: Sender, version: int) -> None:
     task = asyncio.create_task(sender.list.watch())
-    while sender.list.told != version:
+    while sender.list.in_force != version:
         await asyncio.sleep(0)
     task.cancel()
 
@@ -94,7 +94,7 @@
         task = asyncio.create_task(sender.list.watch())
         while not sender.list.refused:
             await asyncio.sleep(0)
-        assert "kind 'other' is not in the settings" in sender.list.refused and sender.list.told == 3
+        assert "kind 'other' is not in the settings" in sender.list.refused and sender.list.in_force == 3
         assert sender.notes[-1][0] == "configuration_unusable" and sender.states() == {"a": EntryState.READY}
         task.cancel()
         sender.list.follow(5, catalog(entry("c")))
@@ -115,8 +115,8 @@
         sender.between = [(2, catalog(entry("a", "draining"), entry("b"), entry("e")))]
         await sender.list.open()
         assert sender.in_force == [2] and len(sender.news) <= 5
-        told = {name for name, state in sender.states().items() if state is not EntryState.GONE}
-        assert told == {"a", "b", "e"}
+        in_force = {name for name, state in sender.states().items() if state is not EntryState.GONE}
+        assert in_force == {"a", "b", "e"}
 
     run(work())
 
