--- a/tests/sites/test_plan.py
+++ b/tests/sites/test_plan.py
@@ -7,12 +7,12 @@
 import highspy
 import pytest
 
-from brassweir.sites import plan as planning
+from brassweir.sites import planning
 from brassweir.sites.flow import Flow
-from brassweir.sites.plan import FILL, TENTHS, TIER, Room
+from brassweir.sites.planning import FILL, TENTHS, TIER, SiteLoad
 
 
-def drawn(rng: Random) -> tuple[Room, ...]:
+def drawn(rng: Random) -> tuple[SiteLoad, ...]:
     names = [f"s{i}" for i in range(rng.randint(2, 5))]
     rooms = []
     for name in names:
@@ -22,7 +22,7 @@
         tiers = rng.choice([(), (tuple(others[:cut]), tuple(others[cut:]))])
         listed = rng.uniform(50, 2000)
         rooms.append(
-            Room(
+            SiteLoad(
                 name,
                 listed * rng.uniform(0.1, 1.0),
                 listed,
@@ -35,14 +35,14 @@
     return tuple(rooms)
 
 
-def tiers_of(room: Room, take: dict[str, float]) -> dict[str, int]:
+def tiers_of(room: SiteLoad, take: dict[str, float]) -> dict[str, int]:
     tiers = room.tiers or (tuple(take),)
     return {
         site: number for number, tier in reversed(list(enumerate(tiers))) for site in tier if site in take
     }
 
 
-def by_programme(rooms: tuple[Room, ...], case: planning.Case) -> tuple[float, float]:
+def by_programme(rooms: tuple[SiteLoad, ...], case: planning.Case) -> tuple[float, float]:
     """The most that can be placed, and the least price of placing so much."""
     give, take = planning.demands(rooms, dict(case))
     pairs = [
@@ -77,7 +77,7 @@
     return answers[0], answers[1]
 
 
-def price(rooms: tuple[Room, ...], case: planning.Case, flows: dict[tuple[str, str], float]) -> float:
+def price(rooms: tuple[SiteLoad, ...], case: planning.Case, flows: dict[tuple[str, str], float]) -> float:
     _, take = planning.demands(rooms, dict(case))
     total = sum(
         rate * TIER * tiers_of(room, take)[to]
@@ -133,19 +133,25 @@
 
 
 def test_takers_fill_alike_and_by_preference() -> None:
-    rooms = (Room("a", 600.0, 1000.0, spill=0.5), Room("b", 400.0, 1000.0), Room("c", 700.0, 1000.0))
+    rooms = (
+        SiteLoad("a", 600.0, 1000.0, spill=0.5),
+        SiteLoad("b", 400.0, 1000.0),
+        SiteLoad("c", 700.0, 1000.0),
+    )
     flows = planning.placed(rooms, planning.case_of({"a": 0.0}))
     room = {"b": FILL * 1000 - 400, "c": FILL * 1000 - 700}
     fills = [flows["a", site] / room[site] for site in room]
     assert sum(flows.values()) == pytest.approx(300.0) and abs(fills[0] - fills[1]) <= 1.0 / TENTHS + 1e-9
-    first = (Room("a", 600.0, 1000.0, spill=1.0, tiers=(("c",), ("b",))), *rooms[1:])
+    first = (SiteLoad("a", 600.0, 1000.0, spill=1.0, tiers=(("c",), ("b",))), *rooms[1:])
     assert planning.placed(first, planning.case_of({"a": 0.0})) == pytest.approx(
         {("a", "c"): 270.0, ("a", "b"): 330.0}
     )
 
 
 def test_a_new_plan_is_asked_for_only_by_a_change_that_matters() -> None:
-    rooms = (Room("a", 600.0, 1000.0), Room("b", 400.0, 1000.0))
-    assert not planning.moved(rooms, (Room("a", 615.0, 1000.0), rooms[1]))
-    assert planning.moved(rooms, (Room("a", 625.0, 1000.0), rooms[1])) and planning.moved(rooms, rooms[:1])
-    assert planning.moved(rooms, (Room("a", 600.0, 1000.0, warm=0.5), rooms[1]))
+    rooms = (SiteLoad("a", 600.0, 1000.0), SiteLoad("b", 400.0, 1000.0))
+    assert not planning.plan_outdated(rooms, (SiteLoad("a", 615.0, 1000.0), rooms[1]))
+    assert planning.plan_outdated(rooms, (SiteLoad("a", 625.0, 1000.0), rooms[1])) and planning.plan_outdated(
+        rooms, rooms[:1]
+    )
+    assert planning.plan_outdated(rooms, (SiteLoad("a", 600.0, 1000.0, warm=0.5), rooms[1]))
--- a/tests/sites/test_refusing.py
+++ b/tests/sites/test_refusing.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from brassweir.interface import Effect, MessageClass
-from brassweir.sites.facts import Line
-from brassweir.sites.refusing import Held, admitted, fill, held, order
+from brassweir.sites.admission import Held, admitted_rates, fill, held, order
+from brassweir.sites.facts import Demand
 
-PINNED = Line("kept", "p", "a", 10.0, 9.0, window=1000.0, pinned=True)
-DEAR, CHEAP = Line("pay", "x", "a", 10.0, 3.0), Line("news", "x", "a", 30.0, 1.0)
-HOG, BULKY = Line("pay", "hog", "a", 100.0, 3.0), Line("pay", "y", "a", 10.0, 3.0, room=4.0)
+PINNED = Demand("kept", "p", "a", 10.0, 9.0, window=1000.0, pinned=True)
+DEAR, CHEAP = Demand("pay", "x", "a", 10.0, 3.0), Demand("news", "x", "a", 30.0, 1.0)
+HOG, BULKY = Demand("pay", "hog", "a", 100.0, 3.0), Demand("pay", "y", "a", 10.0, 3.0, calls_per_message=4.0)
 
 
 def test_the_order() -> None:
@@ -25,19 +25,19 @@
 
 
 def test_none_is_starved_beside_its_equal_and_a_hog_takes_nothing_from_others() -> None:
-    assert admitted([CHEAP, DEAR, HOG], 0.0, 30.0, 5000.0) == [0.0, 10.0, 20.0]
-    assert admitted([CHEAP, DEAR, HOG], 0.0, 6.0, 5000.0) == [0.0, 3.0, 3.0]
-    assert admitted([CHEAP, DEAR, PINNED], 5.0, 20.0, 5000.0) == [15.0, 10.0, 0.0], (
+    assert admitted_rates([CHEAP, DEAR, HOG], 0.0, 30.0, 5000.0) == [0.0, 10.0, 20.0]
+    assert admitted_rates([CHEAP, DEAR, HOG], 0.0, 6.0, 5000.0) == [0.0, 3.0, 3.0]
+    assert admitted_rates([CHEAP, DEAR, PINNED], 5.0, 20.0, 5000.0) == [15.0, 10.0, 0.0], (
         "pinned and late: its room is of no use"
     )
-    assert admitted([CHEAP, DEAR, PINNED], 5.0, 20.0, 500.0) == [10.0, 10.0, 5.0], (
+    assert admitted_rates([CHEAP, DEAR, PINNED], 5.0, 20.0, 500.0) == [10.0, 10.0, 5.0], (
         "pinned: only what its own site bears"
     )
 
 
 lines = st.lists(
     st.builds(
-        Line,
+        Demand,
         st.sampled_from(["pay", "news"]),
         st.sampled_from(["x", "y"]),
         st.just("a"),
@@ -53,10 +53,10 @@
 
 @given(lines, st.floats(0, 150.0), st.floats(0, 150.0))
 def test_room_is_kept_and_used_and_no_lower_line_is_let_in_before_a_higher(
-    found: list[Line], home: float, away: float
+    found: list[Demand], home: float, away: float
 ) -> None:
-    rates = admitted(found, home, away, 5000.0)
-    used = [rate * line.room for rate, line in zip(rates, found, strict=True)]
+    rates = admitted_rates(found, home, away, 5000.0)
+    used = [rate * line.calls_per_message for rate, line in zip(rates, found, strict=True)]
     late = [line.pinned and line.window < 5000.0 for line in found]
     assert all(-1e-9 <= rate <= line.rate + 1e-9 for rate, line in zip(rates, found, strict=True))
     assert (
@@ -73,7 +73,10 @@
         assert sum(used) >= home + away - 1e-6, "room is left, and one is refused"
         for line, rate in zip(found, rates, strict=True):
             for cut in short:
-                assert rate <= 1e-9 or line.worth / line.room >= 0.98 * cut.worth / cut.room
+                assert (
+                    rate <= 1e-9
+                    or line.worth / line.calls_per_message >= 0.98 * cut.worth / cut.calls_per_message
+                )
 
 
 @given(st.lists(st.floats(0.0, 100.0), max_size=9), st.floats(0.0, 300.0))
--- a/tests/sites/test_verdict.py
+++ b/tests/sites/test_verdict.py
@@ -7,10 +7,10 @@
 import pytest
 
 from brassweir.interface import EndpointInfo
-from brassweir.sites.agreeing import agree
+from brassweir.sites.agreement import next_agreed_state
 from brassweir.sites.evidence import WINDOW
-from brassweir.sites.facts import Agreed, Copy, Ending, Facts, Peer, Setup, Witness, Word
-from brassweir.sites.verdict import MOST_DISTRUST, MOST_WAIT, Verdicts
+from brassweir.sites.facts import Copy, Facts, LogState, Outcomes, PeerState, Setup, State, Witness
+from brassweir.sites.verdict import MOST_DISTRUST, MOST_WAIT, SiteVerdicts
 
 COPIES = tuple(Copy(f"{site}{i}", site) for site in "abc" for i in range(3))
 SETUP = Setup(
@@ -24,13 +24,13 @@
     """Steps one copy's verdicts each quarter second with told shares of bad endings."""
 
     def __init__(self) -> None:
-        self.verdicts, self.now = Verdicts(SETUP), 0.0
+        self.verdicts, self.now = SiteVerdicts(SETUP), 0.0
 
     def run(
         self,
         seconds: float,
         bad: dict[str, float],
-        log: dict[str, Word] | None = None,
+        log: dict[str, State] | None = None,
         since: float | None = None,
         lossy: bool = False,
         **facts: object,
@@ -38,7 +38,7 @@
         for _ in range(int(seconds * 4)):
             self.now += 250.0
             endings = [
-                Ending(
+                Outcomes(
                     one.name,
                     2.0 * (1.0 - bad.get(one.zone, 0.0)),
                     0.0 if lossy else 2.0 * bad.get(one.zone, 0.0),
@@ -46,76 +46,79 @@
                 )
                 for one in SETUP.endpoints
             ]
-            agreed = Agreed(1, self.now if since is None else since, log) if log is not None else None
+            agreed = LogState(1, self.now if since is None else since, log) if log is not None else None
             self.verdicts.step(self.now, Facts(tuple(endings), agreed=agreed, **facts), {})  # type: ignore[arg-type]
         return self
 
-    def until(self, word: Word, bad: float) -> None:
+    def until(self, state: State, bad: float) -> None:
         """Until site b has this word; at most two minutes."""
         for _ in range(480):
-            if self.word("b") is word:
+            if self.state("b") is state:
                 return
             self.run(0.25, {"b": bad}, WELL)
-        raise AssertionError(f"never {word}")
+        raise AssertionError(f"never {state}")
 
-    def word(self, site: str) -> Word:
-        return self.verdicts.sites[site].word
+    def state(self, site: str) -> State:
+        return self.verdicts.sites[site].state
 
 
-WELL = dict.fromkeys("abc", Word.WELL)
+WELL = dict.fromkeys("abc", State.WELL)
 
 
 def test_one_site_fails_and_returns() -> None:
     bench = Bench().run(2, {}, WELL).run(1, {"b": 1.0}, WELL)
-    assert bench.word("b") is Word.SUSPECTED
-    assert bench.run(2.5, {"b": 1.0}, WELL).word("b") is Word.SUSPECTED, "on its own it waits to be sure"
+    assert bench.state("b") is State.SUSPECTED
+    assert bench.run(2.5, {"b": 1.0}, WELL).state("b") is State.SUSPECTED, "on its own it waits to be sure"
     assert (
-        bench.run(1.5, {"b": 1.0}, WELL).word("b") is Word.LOST
-        and bench.word("a") is bench.word("c") is Word.WELL
+        bench.run(1.5, {"b": 1.0}, WELL).state("b") is State.LOST
+        and bench.state("a") is bench.state("c") is State.WELL
     )
-    assert bench.run(4, {}, WELL).word("b") is Word.RETURNING
+    assert bench.run(4, {}, WELL).state("b") is State.RETURNING
 
 
 @pytest.mark.parametrize(
     "facts",
     [
-        {"peers": {"b0": Peer.DEAD, "b1": Peer.SUSPECTED}},
-        {"witnesses": (Witness("c1", "b", Word.SUSPECTED, 100.0),)},
+        {"peers": {"b0": PeerState.DEAD, "b1": PeerState.SUSPECTED}},
+        {"witnesses": (Witness("c1", "b", State.SUSPECTED, 100.0),)},
     ],
 )
 def test_silence_or_a_witness_of_a_third_site_shortens_the_doubt(facts: dict[str, Any]) -> None:
-    assert Bench().run(2, {}, WELL).run(2.5, {"b": 1.0}, WELL, **facts).word("b") is Word.LOST
+    assert Bench().run(2, {}, WELL).run(2.5, {"b": 1.0}, WELL, **facts).state("b") is State.LOST
 
 
 @pytest.mark.parametrize(
     "witness",
     [
-        Witness("a1", "b", Word.LOST, 100.0),
-        Witness("b1", "b", Word.LOST, 100.0),
-        Witness("c1", "b", Word.LOST, 9000.0),
-        Witness("x9", "b", Word.LOST, 100.0),
+        Witness("a1", "b", State.LOST, 100.0),
+        Witness("b1", "b", State.LOST, 100.0),
+        Witness("c1", "b", State.LOST, 9000.0),
+        Witness("x9", "b", State.LOST, 100.0),
     ],
 )
 def test_a_witness_of_the_same_site_an_old_or_unlisted_one_does_not(witness: Witness) -> None:
     assert (
-        Bench().run(2, {}, WELL).run(2.5, {"b": 1.0}, WELL, witnesses=(witness,)).word("b") is Word.SUSPECTED
+        Bench().run(2, {}, WELL).run(2.5, {"b": 1.0}, WELL, witnesses=(witness,)).state("b")
+        is State.SUSPECTED
     )
 
 
 def test_copies_gone_and_endpoints_well_is_no_loss() -> None:
-    assert Bench().run(20, {}, WELL, peers={f"b{i}": Peer.DEAD for i in range(3)}).word("b") is Word.WELL
+    assert (
+        Bench().run(20, {}, WELL, peers={f"b{i}": PeerState.DEAD for i in range(3)}).state("b") is State.WELL
+    )
 
 
 def test_a_general_slowdown_and_an_own_stall_are_no_loss() -> None:
     assert all(
-        Bench().run(10, {"a": 0.7, "b": 0.6, "c": 0.8}, WELL).word(site) is not Word.LOST for site in "abc"
+        Bench().run(10, {"a": 0.7, "b": 0.6, "c": 0.8}, WELL).state(site) is not State.LOST for site in "abc"
     )
-    assert Bench().run(2, {}, WELL).run(6, {"b": 1.0}, WELL, late=True).word("b") is not Word.LOST
+    assert Bench().run(2, {}, WELL).run(6, {"b": 1.0}, WELL, late=True).state("b") is not State.LOST
 
 
 def test_lost_answers_are_not_well_and_many_of_them_are_a_loss() -> None:
-    assert Bench().run(6, {"b": 0.3}, WELL, lossy=True).word("b") is Word.SUSPECTED
-    assert Bench().run(8, {"b": 0.8}, WELL, lossy=True).word("b") is Word.LOST
+    assert Bench().run(6, {"b": 0.3}, WELL, lossy=True).state("b") is State.SUSPECTED
+    assert Bench().run(8, {"b": 0.8}, WELL, lossy=True).state("b") is State.LOST
 
 
 def test_who_sees_all_others_go_at_once_is_cut_off_unless_the_log_was_heard_since() -> None:
@@ -123,29 +126,29 @@
     cut = Bench().run(2, {}, WELL).run(12, gone, WELL, since=1900.0)
     assert (
         cut.verdicts.cut_off
-        and Word.LOST not in {cut.word("b"), cut.word("c")}
-        and cut.verdicts.says("b") is None
+        and State.LOST not in {cut.state("b"), cut.state("c")}
+        and cut.verdicts.own_report("b") is None
     )
-    assert Bench().run(2, {}, WELL).run(12, gone, WELL).word("b") is Word.LOST, (
+    assert Bench().run(2, {}, WELL).run(12, gone, WELL).state("b") is State.LOST, (
         "the log answers: two sites are gone"
     )
     one = Bench().run(2, {}).run(8, {"c": 1.0})
-    assert not one.verdicts.cut_off and one.word("c") is Word.LOST, (
+    assert not one.verdicts.cut_off and one.state("c") is State.LOST, (
         "with the log out of reach it decides alone"
     )
-    assert one.run(12, gone).word("b") is not Word.LOST, "the last other one: it cannot tell"
+    assert one.run(12, gone).state("b") is not State.LOST, "the last other one: it cannot tell"
 
 
 def test_the_logs_word_counts_within_its_lease_and_the_worse_of_two() -> None:
-    lost = {**WELL, "b": Word.LOST}
+    lost = {**WELL, "b": State.LOST}
     bench = Bench().run(2, {}, WELL).run(1, {}, lost)
-    assert bench.word("b") is Word.LOST and bench.verdicts.says("b") is None, (
+    assert bench.state("b") is State.LOST and bench.verdicts.own_report("b") is None, (
         "others' word is not passed on as its own"
     )
-    assert Bench().run(2, {}, WELL).run(6, {}, lost, since=-9000.0).word("b") is Word.WELL, (
+    assert Bench().run(2, {}, WELL).run(6, {}, lost, since=-9000.0).state("b") is State.WELL, (
         "an old answer rules nothing"
     )
-    assert Bench().run(2, {}, WELL).run(8, {"b": 1.0}, WELL).word("b") is Word.LOST, (
+    assert Bench().run(2, {}, WELL).run(8, {"b": 1.0}, WELL).state("b") is State.LOST, (
         "well says the log, which is behind"
     )
 
@@ -154,10 +157,10 @@
     bench, waits, confirms = Bench().run(1, {}, WELL), [], []
     for _ in range(7):
         start = bench.now
-        bench.until(Word.LOST, 1.0)
+        bench.until(State.LOST, 1.0)
         lost = bench.now
         confirms.append(lost - start)
-        bench.until(Word.RETURNING, 0.0)
+        bench.until(State.RETURNING, 0.0)
         waits.append(bench.now - lost)
         bench.run(2, {}, WELL)
     assert (
@@ -169,27 +172,32 @@
 
 
 def test_the_fleets_word_needs_voices_of_sites() -> None:
-    def said(**words: Word) -> dict[str, Word]:
-        return {copy.name: words[copy.site] for copy in COPIES if copy.site in words}
+    def said(**states: State) -> dict[str, State]:
+        return {copy.name: states[copy.site] for copy in COPIES if copy.site in states}
 
-    lost, well, back = Word.LOST, Word.WELL, Word.RETURNING
-    assert agree(well, "b", said(a=lost, c=lost), COPIES) is lost
-    assert agree(well, "b", said(a=lost, b=well, c=lost), COPIES) is lost, (
+    lost, well, back = State.LOST, State.WELL, State.RETURNING
+    assert next_agreed_state(well, "b", said(a=lost, c=lost), COPIES) is lost
+    assert next_agreed_state(well, "b", said(a=lost, b=well, c=lost), COPIES) is lost, (
         "its own copies may be cut from nothing but the world"
     )
-    assert agree(well, "b", said(a=lost, b=well, c=well), COPIES) is well, "one site's path to it is down"
-    assert agree(well, "b", {"a0": lost, "a1": well, "a2": well, "c0": lost}, COPIES) is well, (
+    assert next_agreed_state(well, "b", said(a=lost, b=well, c=well), COPIES) is well, (
+        "one site's path to it is down"
+    )
+    assert next_agreed_state(well, "b", {"a0": lost, "a1": well, "a2": well, "c0": lost}, COPIES) is well, (
         "one copy of a is not site a"
     )
     assert (
-        agree(lost, "b", said(a=back, c=lost), COPIES) is lost
-        and agree(lost, "b", said(a=back), COPIES) is back
+        next_agreed_state(lost, "b", said(a=back, c=lost), COPIES) is lost
+        and next_agreed_state(lost, "b", said(a=back), COPIES) is back
+    )
+    assert (
+        next_agreed_state(back, "b", said(a=well, c=back), COPIES) is back
+        and next_agreed_state(back, "b", said(a=well, c=well), COPIES) is well
     )
     assert (
-        agree(back, "b", said(a=well, c=back), COPIES) is back
-        and agree(back, "b", said(a=well, c=well), COPIES) is well
+        next_agreed_state(back, "b", said(a=lost, c=lost), COPIES) is lost
+        and next_agreed_state(lost, "b", {}, COPIES) is lost
     )
-    assert agree(back, "b", said(a=lost, c=lost), COPIES) is lost and agree(lost, "b", {}, COPIES) is lost
 
 
 def test_bad_setups_name_the_field() -> None:
--- a/tests/sites/test_world.py
+++ b/tests/sites/test_world.py
@@ -11,12 +11,11 @@
 from brassweir.lab.models import sitejudges as judges
 from brassweir.lab.models.sitetypes import Fault, Second, World
 from brassweir.lab.models.siteworld import SiteWorld
-from brassweir.sites import plan as planning
-from brassweir.sites import refusing, returning, verdict
+from brassweir.sites import admission, planning, slow_start, verdict
 from brassweir.sites.facts import Setup
-from brassweir.sites.returning import Ramp
-from brassweir.sites.verdict import Verdicts
-from brassweir.sites.view import View
+from brassweir.sites.slow_start import Ramp
+from brassweir.sites.verdict import SiteVerdicts
+from brassweir.sites.view import SitesView
 
 THREE = {"a": 1000.0, "b": 1000.0, "c": 1000.0}
 EVERYDAY = World(THREE, {"a": 0.6, "b": 0.7, "c": 0.6}, copies=2)
@@ -133,7 +132,7 @@
 
 def test_a_site_that_keeps_failing_costs_less_each_time(monkeypatch: pytest.MonkeyPatch) -> None:
     assert wasted(SiteWorld(EVERYDAY, FLAPS, 1).run(88)) < 0.5
-    monkeypatch.setattr(Verdicts, "distrust", lambda *_: 0.0)
+    monkeypatch.setattr(SiteVerdicts, "distrust", lambda *_: 0.0)
     assert wasted(SiteWorld(EVERYDAY, FLAPS, 1).run(88)) > 0.5, "distrust that does not grow is seen"
 
 
@@ -141,9 +140,9 @@
     return lambda monkeypatch: monkeypatch.setattr(owner, name, value)
 
 
-def by_copy(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], View]:
-    def make(setup: Setup, rng: Random) -> View:
-        view = View(setup, rng)
+def by_copy(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], SitesView]:
+    def make(setup: Setup, rng: Random) -> SitesView:
+        view = SitesView(setup, rng)
         for site, ramp in view.ramps.items():
             ramp.part = view.capacity[site]
         return view
@@ -161,13 +160,13 @@
 def no_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
     step = Ramp.step
     monkeypatch.setattr(verdict, "RELAPSE", math.inf)
-    monkeypatch.setattr(returning, "LAPSE", math.inf)
+    monkeypatch.setattr(slow_start, "LAPSE", math.inf)
     monkeypatch.setattr(
-        Ramp, "step", lambda self, now, word, last, bad, *rest: step(self, now, word, last, 0.0, *rest)
+        Ramp, "step", lambda self, now, state, last, bad, *rest: step(self, now, state, last, 0.0, *rest)
     )
 
 
-def no_stated_share(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], View]:
+def no_stated_share(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], SitesView]:
     demands = planning.demands
     monkeypatch.setattr(
         planning,
@@ -178,9 +177,9 @@
         ),
     )
 
-    def make(setup: Setup, rng: Random) -> View:
+    def make(setup: Setup, rng: Random) -> SitesView:
         object.__setattr__(setup, "spill", 1.0)
-        return View(setup, rng)
+        return SitesView(setup, rng)
 
     return make
 
@@ -189,16 +188,16 @@
     "guard, day, seen",
     [
         (by_copy, DAYS["lost"], "cold site"),
-        (one(Verdicts, "_look_at_self", lambda *_: None), DAYS["cut off"], "false loss"),
-        (one(Verdicts, "_general", lambda *_: False), DAYS["very slow"], "false loss"),
+        (one(SiteVerdicts, "_look_at_self", lambda *_: None), DAYS["cut off"], "false loss"),
+        (one(SiteVerdicts, "_general", lambda *_: False), DAYS["very slow"], "false loss"),
         (takers_without_end, DAYS["lost at the peak"], "taker"),
         (no_step_back, DAYS["relapse"], "cold site"),
         (
-            one(refusing, "standings", lambda lines: [[line] for line in lines]),
+            one(admission, "equal_groups", lambda lines: [[line] for line in lines]),
             DAYS["lost at the peak"],
             "wrong order",
         ),
-        (one(returning, "SAFE", 2.0), DAYS["lost at the peak"], "cold site"),
+        (one(slow_start, "SAFE", 2.0), DAYS["lost at the peak"], "cold site"),
         (one(verdict, "UNANSWERED", 0.0), DAYS["a blip of the taker"], "cold site"),
         (no_stated_share, DAYS["a small share"], "spilled"),
     ],
@@ -212,5 +211,5 @@
     """The same days are clean in ``test_limits_hold``."""
     world, faults, seconds = day
     make = guard(monkeypatch)
-    tape = SiteWorld(world, faults, 1, make if make is not None else View).run(seconds)  # type: ignore[arg-type]
+    tape = SiteWorld(world, faults, 1, make if make is not None else SitesView).run(seconds)  # type: ignore[arg-type]
     assert any(seen in one for one in broken(world, faults, tape))
