--- a/tests/lab/test_forward_days.py
+++ b/tests/lab/test_forward_days.py
@@ -95,7 +95,7 @@
         count[0] += 1
         return f"id-{count[0]}"
 
-    carrier.onward = onward  # type: ignore[attr-defined]
+    carrier.delivery_id = onward  # type: ignore[attr-defined]
 
 
 def no_turns(process: SenderProcess) -> None:
