--- a/brassweir/peers/__init__.py
+++ b/brassweir/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What copies of the program know of each other: who there is, sealed messages, and who is alive."""
+"""Membership among the copies of the program: who is listed, authenticated messages, and who is alive."""
--- a/brassweir/peers/addresses.py
+++ b/brassweir/peers/addresses.py
@@ -1,4 +1,4 @@
-"""Where the datagrams to each copy go: host names looked up beside the loop, again when the file changes."""
+"""Socket addresses of the other copies; host names are resolved without blocking, again at each new list."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class Addresses:
-    """``of``: the socket address by name; a host name that was not found yet has none."""
+    """``by_name``: the socket address of each copy; one whose host name is not resolved yet has none."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.of: dict[str, tuple[str, int]] = {}
-        self.listed(fleet)
+        self.by_name: dict[str, tuple[str, int]] = {}
+        self.set_fleet(fleet)
 
-    def listed(self, fleet: Fleet) -> None:
-        """Another list. Numbers hold at once; names once they are found, the old address till then."""
+    def set_fleet(self, fleet: Fleet) -> None:
+        """Replace the list. IP addresses hold at once; a host name keeps its old address until resolved."""
         self.wanted = {copy.name: copy.host_port() for copy in fleet.others}
-        self.of = {name: at for name, at in self.of.items() if name in self.wanted}
+        self.by_name = {name: address for name, address in self.by_name.items() if name in self.wanted}
         for name, (host, port) in self.wanted.items():
-            if numeric(host):
-                self.of[name] = (host, port)
+            if is_ip_address(host):
+                self.by_name[name] = (host, port)
 
     async def resolve(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Look names up; what is not found stays as it was."""
+        """Resolve all host names; one that fails to resolve keeps the address it had."""
         for name, (host, port) in list(self.wanted.items()):
-            if numeric(host):
+            if is_ip_address(host):
                 continue
             try:
                 found = await loop.getaddrinfo(host, port, type=socket.SOCK_DGRAM)
@@ -35,11 +35,11 @@
                 continue
             if found and self.wanted.get(name) == (host, port):
                 address = found[0][4]
-                self.of[name] = (str(address[0]), int(address[1]))
+                self.by_name[name] = (str(address[0]), int(address[1]))
 
 
-def numeric(host: str) -> bool:
-    """Is it an address and no name?"""
+def is_ip_address(host: str) -> bool:
+    """Whether ``host`` is an IP address rather than a name."""
     try:
         ip_address(host)
     except ValueError:
--- a/brassweir/peers/copies.py
+++ b/brassweir/peers/copies.py
@@ -1,7 +1,7 @@
-"""Who there is: the copies that one copies file lists, seen from one of them. Pure.
+"""The copies that a copies file lists, as one of them sees them. Pure.
 
-Files may differ between copies for a while: each copy goes by its own, and what it hears of others that are
-not in it is passed over.
+Files may differ between copies for a while. Each copy uses its own, and ignores messages from copies and
+claims about copies that are not in it.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MAX_NAME_BYTES = 64  # bytes; a name stands in every message
+MAX_NAME_BYTES = 64  # every message carries two names
 
 
 class CopiesError(ValueError):
-    """A list of copies that makes no sense; names the entry and the field."""
+    """A list of copies that is invalid; the text names the entry and the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """One process of the program. ``address`` ("host:port") is where the reader of the file finds it."""
+    """One process of the group. ``address``: "host:port" at which the copy that reads the file reaches it."""
 
     name: str
     site: str
@@ -26,51 +26,53 @@
     address: str
 
     def host_port(self) -> tuple[str, int]:
-        """The two parts of the address; "[::1]:7201" for IPv6."""
+        """The host and port of the address. Raises CopiesError."""
         return host_port(self.address, f"copies: {self.name}: address")
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What one reading of the file changed: names."""
+    """The names of copies that a new list added, removed or changed."""
 
     added: frozenset[str]
     removed: frozenset[str]
-    moved: frozenset[str]  # another address, site or region
+    moved: frozenset[str]  # to another address, site or region
 
     def __bool__(self) -> bool:
         return bool(self.added or self.removed or self.moved)
 
 
 def host_port(address: str, field: str) -> tuple[str, int]:
-    """Cut "host:port". Raises CopiesError naming ``field``."""
+    """Split "host:port", or "[host]:port" for IPv6. Raises CopiesError naming ``field``."""
     host, colon, port = address.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise CopiesError(f"{field}: {address!r} is no host:port")
+        raise CopiesError(f"{field}: {address!r} is not host:port")
     return host, int(port)
 
 
 class Fleet:
-    """The copies of one file, with the own entry. Raises CopiesError."""
+    """The copies of one file. ``own`` is the name of the copy that reads it. Raises CopiesError."""
 
     def __init__(self, own: str, copies: Iterable[Copy]) -> None:
         self.by_name: dict[str, Copy] = {}
-        where: dict[str, str] = {}
+        name_by_address: dict[str, str] = {}
         for copy in copies:
             self._check(copy)
             if copy.name in self.by_name:
-                raise CopiesError(f"copies: {copy.name}: name stands twice")
-            if copy.address in where:
-                raise CopiesError(f"copies: {copy.name}: address is that of {where[copy.address]} too")
+                raise CopiesError(f"copies: {copy.name}: name is listed twice")
+            if copy.address in name_by_address:
+                raise CopiesError(
+                    f"copies: {copy.name}: address is also that of {name_by_address[copy.address]}"
+                )
             self.by_name[copy.name] = copy
-            where[copy.address] = copy.name
+            name_by_address[copy.address] = copy.name
         if own not in self.by_name:
-            raise CopiesError(f"copies: no entry of the own name {own!r}")
+            raise CopiesError(f"copies: no entry for this copy's name {own!r}")
         self.own = self.by_name[own]
         self.others = tuple(copy for name, copy in sorted(self.by_name.items()) if name != own)
         self.by_site: dict[str, tuple[Copy, ...]] = {}
-        for copy in sorted(self.by_name.values(), key=lambda one: one.name):
+        for copy in sorted(self.by_name.values(), key=lambda copy: copy.name):
             self.by_site[copy.site] = (*self.by_site.get(copy.site, ()), copy)
 
     def __len__(self) -> int:
@@ -79,12 +81,12 @@
     def __contains__(self, name: str) -> bool:
         return name in self.by_name
 
-    def outside(self, name: str) -> bool:
-        """Does a listed copy stand at another site than the own one?"""
+    def at_other_site(self, name: str) -> bool:
+        """Whether the listed copy ``name`` belongs to another site than this copy."""
         return self.by_name[name].site != self.own.site
 
-    def changed(self, older: Fleet) -> Change:
-        """What is different from ``older``."""
+    def changes_from(self, older: Fleet) -> Change:
+        """How this list differs from ``older``."""
         new, old = self.by_name, older.by_name
         return Change(
             frozenset(new.keys() - old.keys()),
--- a/brassweir/peers/dissemination.py
+++ b/brassweir/peers/dissemination.py
@@ -1,4 +1,4 @@
-"""Which claims a message carries and who gets news: riding on probes, pushed, or asked for. Pure."""
+"""Which claims a message carries, and which copies receive gossip, state or requests. Pure."""
 
 from __future__ import annotations
 
@@ -11,95 +11,106 @@
 
 
 class Dissemination:
-    """Reads a copy's table; ``asking`` is how many answers with state it still wants."""
+    """Selects claims from a copy's table; ``pages_wanted``: answers with state that it still asks for."""
 
     def __init__(self, table: MembershipTable, fleet: Fleet, tuning: Tuning, rng: random.Random) -> None:
         self.table, self.tuning, self.rng = table, tuning, rng
         self.turn = 0
-        self.listed(fleet)
-        self.ask()
+        self.set_fleet(fleet)
+        self.request_state()
 
-    def listed(self, fleet: Fleet) -> None:
-        """Another list of copies."""
+    def set_fleet(self, fleet: Fleet) -> None:
+        """Replace the list of copies."""
         self.fleet = fleet
         self.names = [copy.name for copy in fleet.others]
 
-    def ask(self) -> None:
-        """Want state: what a page holds may be missing, so some more than it takes."""
-        self.asking = 3 + len(self.names) // self.tuning.push_claims
+    def request_state(self) -> None:
+        """Ask for enough pages to read another copy's whole table, and a few more in case some get lost."""
+        self.pages_wanted = 3 + len(self.names) // self.tuning.claims_per_gossip
 
-    def synced(self) -> None:
+    def page_received(self) -> None:
         """An answer came."""
-        self.asking = max(0, self.asking - 1)
+        self.pages_wanted = max(0, self.pages_wanted - 1)
 
-    def ride(self, to: str) -> list[Claim]:
-        """Claims on a probe: what is said of the receiver first, so that it can refute it, then news."""
-        return self._first(to, self.table.news.take(self.tuning.ride_claims, self.table.size))
+    def for_probe(self, receiver: str) -> list[Claim]:
+        """Claims on a probe: first the one about the receiver, so that it can refute it, then gossip."""
+        return self._with_receiver(
+            receiver, self.table.gossip.take(self.tuning.claims_per_probe, self.table.size)
+        )
 
-    def push(self, to: str) -> list[Claim]:
-        """Claims of a message of news."""
-        return self._first(to, self.table.news.take(self.tuning.push_claims, self.table.size))
+    def for_gossip(self, receiver: str) -> list[Claim]:
+        """Claims of a gossip message."""
+        return self._with_receiver(
+            receiver, self.table.gossip.take(self.tuning.claims_per_gossip, self.table.size)
+        )
 
-    def answer(self, to: str, sync: bool) -> list[Claim]:
-        """Claims on an answer: as on a probe and one more of the table; many where state is asked for."""
-        claims = self.ride(to)
-        return claims + self._state(self.tuning.push_claims if sync else 1, to)
+    def for_answer(self, receiver: str, wants_state: bool) -> list[Claim]:
+        """Claims on an ack: as on a probe, and one entry of the table, or a page if the receiver asked."""
+        claims = self.for_probe(receiver)
+        return claims + self._page(self.tuning.claims_per_gossip if wants_state else 1, receiver)
 
-    def said(self, to: str) -> list[Claim]:
-        """What is said of the receiver and nothing else: it may be dead, and news must not go there."""
-        return self._first(to, [])
+    def about_receiver(self, receiver: str) -> list[Claim]:
+        """Only the claim about the receiver: it may be dead, and gossip sent to it would be spent in vain."""
+        return self._with_receiver(receiver, [])
 
-    def known(self, about: str) -> list[Claim]:
-        """What is held of one, for who asked about it: it may never have heard of that generation."""
-        held = self.table.standings.get(about)
+    def about(self, name: str) -> list[Claim]:
+        """What is known of ``name``, for a copy that asked to probe it and may not know its generation."""
+        member = self.table.members.get(name)
         return (
-            [held.claim(about, self.table.first_found(about))] if held is not None and held.generation else []
+            [member.claim(name, self.table.first_reporter(name))]
+            if member is not None and member.generation
+            else []
         )
 
-    def _first(self, to: str, claims: list[Claim]) -> list[Claim]:
-        held = self.table.standings.get(to)
-        if held is None or held.status == ALIVE:
+    def _with_receiver(self, receiver: str, claims: list[Claim]) -> list[Claim]:
+        """Put the claim about the receiver first, unless it counts as alive."""
+        member = self.table.members.get(receiver)
+        if member is None or member.status == ALIVE:
             return claims
-        return [held.claim(to, self.table.own)] + [claim for claim in claims if claim.name != to]
+        return [member.claim(receiver, self.table.own)] + [
+            claim for claim in claims if claim.name != receiver
+        ]
 
-    def _state(self, most: int, to: str) -> list[Claim]:
-        """Some of the table, by turns: of those not alive and of all, so that what got lost is made good."""
+    def _page(self, max_claims: int, receiver: str) -> list[Claim]:
+        """Some of the table, in turn: of copies not alive and of all, so that lost gossip is made up for."""
         if not self.names:
             return []
-        standings = self.table.standings
+        members = self.table.members
         claims: list[Claim] = []
-        bad = sorted({*self.table.suspicions, *self.table.dead}) if most > 1 or self.turn % 2 else []
-        if len(bad) > most:
-            bad = self.rng.sample(bad, most)
-        for _ in range(most):
+        not_alive = (
+            sorted({*self.table.suspicions, *self.table.dead}) if max_claims > 1 or self.turn % 2 else []
+        )
+        if len(not_alive) > max_claims:
+            not_alive = self.rng.sample(not_alive, max_claims)
+        for _ in range(max_claims):
             self.turn += 1
-            name = bad.pop() if bad else self.names[(self.turn // 2) % len(self.names)]
-            held = standings[name]
-            if held.generation and name != to:
-                claims.append(held.claim(name, self.table.first_found(name)))
+            name = not_alive.pop() if not_alive else self.names[(self.turn // 2) % len(self.names)]
+            member = members[name]
+            if member.generation and name != receiver:
+                claims.append(member.claim(name, self.table.first_reporter(name)))
         return claims
 
-    def some(self, many: int) -> list[str]:
-        """Random others that are not dead."""
+    def random_live(self, count: int) -> list[str]:
+        """Up to ``count`` random other copies that are not dead."""
         names = self.names
         picked: list[str] = []
-        for _ in range(3 * many):
-            if not names or len(picked) == many:
+        for _ in range(3 * count):
+            if not names or len(picked) == count:
                 break
             name = self.rng.choice(names)
             if name not in picked and name not in self.table.dead:
                 picked.append(name)
         return picked
 
-    def helpers(self, about: str) -> list[str]:
-        """Whom to ask about one: not suspected, those of third sites first, in random order within."""
+    def helpers(self, target: str) -> list[str]:
+        """Live copies to ask for an indirect probe: those of third sites first, in random order within."""
         table, fleet = self.table, self.fleet
-        there, here = fleet.by_name[about].site, fleet.own.site
-        many = 4 * self.tuning.helpers
+        target_site, own_site = fleet.by_name[target].site, fleet.own.site
+        count = 4 * self.tuning.helpers
         names = [
             name
-            for name in (self.some(many) if len(self.names) > many else self.names)
-            if name != about and table.standings[name].status == ALIVE
+            for name in (self.random_live(count) if len(self.names) > count else self.names)
+            if name != target and table.members[name].status == ALIVE
         ]
         self.rng.shuffle(names)
-        return sorted(names, key=lambda name: fleet.by_name[name].site in (there, here))
+        return sorted(names, key=lambda name: fleet.by_name[name].site in (target_site, own_site))
--- a/brassweir/peers/envelope.py
+++ b/brassweir/peers/envelope.py
@@ -1,7 +1,8 @@
-"""The sealed envelope that every message between copies travels in. Pure.
+"""The authenticated envelope of every message between copies. Pure.
 
-A datagram is one byte of version, 16 bytes of keyed digest over all the rest, and the envelope in msgpack.
-What is too large, unknown, wrongly sealed or doubled raises Dropped with a reason that is counted.
+A datagram is one version byte, a 16-byte keyed digest (BLAKE2b) over the version and the envelope, and the
+envelope in msgpack. A datagram that is too large, malformed, not authentic, of an unknown sender or repeated
+raises Dropped with a reason, which is counted.
 """
 
 from __future__ import annotations
@@ -17,27 +18,27 @@
 from brassweir.peers.replay_window import OLD, SEEN, ReplayWindow
 
 VERSION = 1
-MAX_BODY_BYTES = 8_000  # bytes of a body; a datagram stays in one UDP message on any loopback or jumbo path
-MAX_DATAGRAM_BYTES = MAX_BODY_BYTES + 400  # bytes; the rest of an envelope with two names of the longest kind
-DIGEST_BYTES = 16  # bytes
-MIN_KEY_BYTES = 16  # bytes; fewer can be searched through
-MAX_KEY_BYTES = 64  # bytes; what BLAKE2b takes, longer ones are hashed to it
+MAX_BODY_BYTES = 8_000  # fits one UDP datagram on loopback and jumbo-frame links
+MAX_DATAGRAM_BYTES = MAX_BODY_BYTES + 400  # an envelope with two names of maximum length
+DIGEST_BYTES = 16
+MIN_KEY_BYTES = 16  # shorter ones can be found by brute force
+MAX_KEY_BYTES = 64  # the limit of BLAKE2b; longer ones are hashed
 Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """What is sealed. Fields that a later version adds at the end are passed over."""
+    """The authenticated content. Decoding ignores fields that a later version adds at the end."""
 
     kind: str
     sender: str
     receiver: str
-    generation: Number  # of the sender's process; later ones are greater
-    number: Number  # of this message among those from this generation to this receiver, from 1
+    generation: Number  # of the sender's process; a later process has a greater one
+    number: Number  # counts messages of this generation to this receiver, from 1
     body: bytes
 
 
 class Dropped(Exception):
-    """A datagram that is not for us; ``reason`` is a word that is counted."""
+    """A datagram that is not accepted, or not sent; ``reason`` is a label for counts."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -45,31 +46,31 @@
 
 
 class KeyFault(ValueError):
-    """A key that cannot be used."""
+    """A shared key that cannot be used."""
 
 
 def read_key(data: bytes, field: str) -> bytes:
-    """A key file's bytes less white space at both ends. Raises KeyFault naming ``field``."""
+    """The key in a key file, without white space around it. Raises KeyFault naming ``field``."""
     key = data.strip()
     if len(key) < MIN_KEY_BYTES:
-        raise KeyFault(f"{field}: a key of {len(key)} bytes; at least {MIN_KEY_BYTES} are asked for")
+        raise KeyFault(f"{field}: a key of {len(key)} bytes; at least {MIN_KEY_BYTES} are required")
     return key if len(key) <= MAX_KEY_BYTES else hashlib.blake2b(key).digest()
 
 
 class Keys:
-    """The keys of the fleet, newest first: the first one seals, all of them open."""
+    """The shared keys of the group, newest first: the first authenticates, all of them verify."""
 
     def __init__(self, keys: Sequence[bytes]) -> None:
         if not keys:
             raise KeyFault("peers: keys: none")
-        self.keys = tuple(read_key(key, f"peers: keys: number {at + 1}") for at, key in enumerate(keys))
+        self.keys = tuple(read_key(key, f"peers: keys: number {index + 1}") for index, key in enumerate(keys))
 
     def seal(self, data: bytes) -> bytes:
         """The digest of ``data``."""
         return self._digest(self.keys[0], data)
 
     def verify(self, digest: bytes, data: bytes) -> bool:
-        """Was ``data`` sealed with one of the keys?"""
+        """Whether ``digest`` was made of ``data`` with one of the keys."""
         return any(hmac.compare_digest(digest, self._digest(key, data)) for key in self.keys)
 
     @staticmethod
@@ -78,7 +79,7 @@
 
 
 class EnvelopeCodec:
-    """One copy's end: seals what it sends, opens what it is sent."""
+    """Seals one copy's outgoing messages and opens its incoming ones."""
 
     def __init__(self, own: str, generation: int, keys: Keys) -> None:
         self.own, self.generation, self.keys = own, generation, keys
@@ -88,17 +89,17 @@
         self._decoder = msgspec.msgpack.Decoder(Envelope)
 
     def begin_generation(self, generation: int) -> None:
-        """Go on as a later generation: numbers start anew."""
+        """Continue under a later generation: message numbers start again at 1."""
         self.generation = generation
         self.sent.clear()
 
     def forget_unlisted(self, names: Collection[str]) -> None:
-        """Forget those that are no longer listed."""
-        for name in [one for one in self.windows if one not in names]:
+        """Drop the replay windows of copies that are not among ``names``."""
+        for name in [sender for sender in self.windows if sender not in names]:
             del self.windows[name]
 
     def seal(self, to: str, kind: str, body: bytes) -> bytes:
-        """One datagram. Raises Dropped("large")."""
+        """The datagram of a message. Raises Dropped("large")."""
         if len(body) > MAX_BODY_BYTES:
             raise Dropped("large")
         self.sent[to] += 1
@@ -109,10 +110,11 @@
     def open(
         self, datagram: bytes, known: Collection[str], kinds: Collection[str], once: Collection[str]
     ) -> Envelope:
-        """The envelope of a datagram from one of ``known``; those of kinds in ``once`` only once.
+        """Verify and decode a datagram from one of the copies ``known``, of one of ``kinds``.
 
-        Raises Dropped: large, short, version, seal, form, stranger, misdirected, old_life, kind, doubled,
-        late.
+        A message of a kind in ``once`` is accepted a single time. Raises Dropped with one of the reasons
+        large, short, version, seal, form, stranger, misdirected, old_life, kind, doubled (a repeated number)
+        and late (a number below the replay window).
         """
         if len(datagram) > MAX_DATAGRAM_BYTES:
             raise Dropped("large")
@@ -133,17 +135,18 @@
             raise Dropped("misdirected")
         if len(envelope.body) > MAX_BODY_BYTES:
             raise Dropped("large")
-        self._number(envelope, once)
+        self._check_number(envelope, once)
         if envelope.kind not in kinds:
             raise Dropped("kind")
         return envelope
 
-    def _number(self, envelope: Envelope, once: Collection[str]) -> None:
+    def _check_number(self, envelope: Envelope, once: Collection[str]) -> None:
+        """Reject older generations of the sender and, for kinds in ``once``, repeated numbers."""
         window = self.windows.get(envelope.sender)
         if window is None or envelope.generation > window.generation:
             window = self.windows[envelope.sender] = ReplayWindow(envelope.generation)
         elif envelope.generation < window.generation:
             raise Dropped("old_life")
-        how = window.take(envelope.number)
-        if envelope.kind in once and how in (SEEN, OLD):
-            raise Dropped("doubled" if how == SEEN else "late")
+        number_state = window.record(envelope.number)
+        if envelope.kind in once and number_state in (SEEN, OLD):
+            raise Dropped("doubled" if number_state == SEEN else "late")
--- a/brassweir/peers/failure_detector.py
+++ b/brassweir/peers/failure_detector.py
@@ -1,6 +1,6 @@
-"""Who is alive: SWIM with Lifeguard's amendments, as one copy steps it. Pure: ``step(now, facts) -> steps``.
+"""The failure detector of one copy: SWIM with Lifeguard's extensions. Pure: ``step(now, facts) -> steps``.
 
-All times are milliseconds of one monotonic clock. Its owner steps it with each message, and at ``due``.
+All times are milliseconds of one monotonic clock. The caller steps it with each message, and at ``due``.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from brassweir.peers.membership import MembershipTable
 from brassweir.peers.messages import (
     ACK,
-    ASK,
+    GOSSIP,
     NACK,
     PING,
-    PUSH,
+    PING_REQ,
     CopiesChanged,
     Fact,
     LoopDelayed,
@@ -34,8 +34,8 @@
     SwimMessage,
     SwimMessageError,
     View,
-    pack,
-    unpack,
+    decode,
+    encode,
 )
 from brassweir.peers.probing import Prober
 from brassweir.peers.rtt import RttEstimator
@@ -43,136 +43,136 @@
 
 
 class FailureDetector:
-    """One copy's liveness. ``counts`` is for metrics: what happened, by word."""
+    """One copy's failure detector. ``counts``: events by name, for metrics."""
 
     def __init__(
         self, fleet: Fleet, generation: int, now: float, rng: random.Random, tuning: Tuning = DEFAULT
     ) -> None:
         self.fleet, self.rng, self.tuning = fleet, rng, tuning
         self.counts: Counter[str] = Counter()
-        self.health, self.pace = Health(tuning), RttEstimator(tuning)
-        self.contact = IsolationDetector(fleet, now, tuning)
-        self.table = MembershipTable(fleet, generation, now, tuning, self.health, self.pace)
-        self.prober, self.errands = Prober(tuning, self.pace, rng), IndirectProbes()
-        self.sharing = Dissemination(self.table, fleet, tuning, rng)
+        self.health, self.rtt = Health(tuning), RttEstimator(tuning)
+        self.isolation = IsolationDetector(fleet, now, tuning)
+        self.table = MembershipTable(fleet, generation, now, tuning, self.health, self.rtt)
+        self.prober, self.indirect = Prober(tuning, self.rtt, rng), IndirectProbes()
+        self.claims = Dissemination(self.table, fleet, tuning, rng)
         self.left = False
         self.due = now
-        self.next_probe = now + rng.random() * tuning.period
+        self.next_probe = now + rng.random() * tuning.probe_period_ms
         self.next_retry = now
-        self.next_push = float("-inf")
-        self.showing = LocalView(fleet, self.table, self.contact, self.health, tuning)
+        self.next_gossip = float("-inf")
+        self.local_view = LocalView(fleet, self.table, self.isolation, self.health, tuning)
         self.steps: list[Step] = []
 
     def step(self, now: float, facts: Iterable[Fact] = ()) -> list[Step]:
-        """Take facts in and time on; what is to be done now."""
-        if now > self.due + self.tuning.stall:
+        """Apply facts, run what is due, and return what is to be done."""
+        if now > self.due + self.tuning.stall_ms:
             self._stalled(now, now - self.due)
         for fact in facts:
             if isinstance(fact, Received):
-                self._heard(fact, now)
+                self._receive(fact, now)
             elif isinstance(fact, LoopDelayed):
-                self.health.late(fact.ms)
+                self.health.loop_delayed(fact.delay_ms)
             elif isinstance(fact, CopiesChanged):
-                self._listed(fact.fleet, now)
+                self._set_fleet(fact.fleet, now)
             else:
                 self._leave()
         if now >= self.due:
             self._run(now)
-        self.steps += self.showing.steps(now, self.counts)
+        self.steps += self.local_view.steps(now, self.counts)
         steps, self.steps = self.steps, []
         return steps
 
     def view(self) -> View:
-        """What this copy thinks of all now."""
-        return self.showing.view()
+        """This copy's current view of all others and of itself."""
+        return self.local_view.view()
 
     # ---- facts
 
-    def _heard(self, fact: Received, now: float) -> None:
+    def _receive(self, fact: Received, now: float) -> None:
         sender = fact.sender
-        held = self.table.standings.get(sender)
-        if held is None:
+        member = self.table.members.get(sender)
+        if member is None:
             return
         try:
-            talk = unpack(fact.body)
+            message = decode(fact.body)
         except SwimMessageError:
             self.counts["bad_body"] += 1
             return
-        self.contact.hear(sender, now)
-        self.showing.hear(sender)
-        self._claim(Claim(sender, fact.generation, talk.incarnation, ALIVE), now)
-        for claim in talk.claims:
-            self._claim(claim, now)
-        if talk.what == PING:
-            claims = self.sharing.answer(sender, talk.sync)
-            self._send(sender, ACK, talk.number, claims)
-        elif talk.what == ACK:
-            self._answered(sender, talk, now)
-        elif talk.what == ASK:
-            self._asked(sender, talk, now)
-        elif talk.what == NACK:
-            self.prober.sign(talk.number, sender)
-        elif talk.what != PUSH:
+        self.isolation.heard(sender, now)
+        self.local_view.heard(sender)
+        self._apply(Claim(sender, fact.generation, message.incarnation, ALIVE), now)
+        for claim in message.claims:
+            self._apply(claim, now)
+        if message.kind == PING:
+            claims = self.claims.for_answer(sender, message.wants_state)
+            self._send(sender, ACK, message.number, claims)
+        elif message.kind == ACK:
+            self._acked(sender, message, now)
+        elif message.kind == PING_REQ:
+            self._probe_for(sender, message, now)
+        elif message.kind == NACK:
+            self.prober.nacked(message.number, sender)
+        elif message.kind != GOSSIP:
             self.counts["unknown_talk"] += 1
-        if talk.what != PING and held.status != ALIVE and now >= held.told + self.tuning.push:
-            held.told = now
-            self._call(sender, PUSH)
-        if len(self.table.news):
-            self.due = min(self.due, max(self.next_push, now))
-
-    def _claim(self, claim: Claim, now: float) -> None:
-        generation = self.table.hear(claim, now)
+        if message.kind != PING and member.status != ALIVE and now >= member.notified + self.tuning.gossip_ms:
+            member.notified = now
+            self._contact(sender, GOSSIP)
+        if len(self.table.gossip):
+            self.due = min(self.due, max(self.next_gossip, now))
+
+    def _apply(self, claim: Claim, now: float) -> None:
+        generation = self.table.apply_claim(claim, now)
         if generation is not None:
             self.steps.append(NewGeneration(generation))
 
-    def _answered(self, sender: str, talk: SwimMessage, now: float) -> None:
-        errand = self.errands.answered(talk.number, sender)
-        if errand is not None:
-            self._send(errand.asker, ACK, errand.number, self.sharing.known(errand.about), errand.about)
+    def _acked(self, sender: str, message: SwimMessage, now: float) -> None:
+        relay = self.indirect.answered(message.number, sender)
+        if relay is not None:
+            self._send(relay.asker, ACK, relay.number, self.claims.about(relay.target), relay.target)
             return
-        if talk.about in self.table.standings:  # through a helper: it lives, and there is a way to it
-            self.contact.hear(talk.about, now)
-            self.showing.hear(talk.about)
-        probe = self.prober.answered(talk.number, sender, now)
+        if message.subject in self.table.members:  # through a helper: it lives and can be reached
+            self.isolation.heard(message.subject, now)
+            self.local_view.heard(message.subject)
+        probe = self.prober.acked(message.number, sender, now)
         if probe is not None:
-            self.health.answered()
-        self.sharing.synced()
+            self.health.probe_answered()
+        self.claims.page_received()
 
-    def _asked(self, sender: str, talk: SwimMessage, now: float) -> None:
-        errand = IndirectProbe(sender, talk.number, talk.about, now + self.pace.answer)
-        number = self.errands.take(errand) if talk.about in self.table.standings else None
+    def _probe_for(self, asker: str, message: SwimMessage, now: float) -> None:
+        relay = IndirectProbe(asker, message.number, message.subject, now + self.rtt.timeout)
+        number = self.indirect.start(relay) if message.subject in self.table.members else None
         if number is None:
-            self._send(sender, NACK, talk.number, (), talk.about)
+            self._send(asker, NACK, message.number, (), message.subject)
             return
-        self._send(talk.about, PING, number, self.sharing.ride(talk.about))
-        self.due = min(self.due, errand.until)
+        self._send(message.subject, PING, number, self.claims.for_probe(message.subject))
+        self.due = min(self.due, relay.deadline)
 
     def _stalled(self, now: float, gap: float) -> None:
-        """What timed out while this copy stood still says nothing of others."""
+        """Discard what timed out while this process stood still: it says nothing of others."""
         self.counts["stalls"] += 1
-        self.prober.forget()
-        self.errands.open.clear()
-        self.table.shift(gap)
-        self.contact.shift(gap)
+        self.prober.abandon()
+        self.indirect.open.clear()
+        self.table.shift_times(gap)
+        self.isolation.shift_times(gap)
         self.health.stalled(now)
 
-    def _listed(self, fleet: Fleet, now: float) -> None:
-        change = fleet.changed(self.fleet)
+    def _set_fleet(self, fleet: Fleet, now: float) -> None:
+        change = fleet.changes_from(self.fleet)
         self.fleet = fleet
-        self.table.listed(fleet)
-        self.contact.listed(fleet, now)
-        self.sharing.listed(fleet)
-        self.showing.listed(fleet)
+        self.table.set_fleet(fleet)
+        self.isolation.set_fleet(fleet, now)
+        self.claims.set_fleet(fleet)
+        self.local_view.set_fleet(fleet)
         if change.added:
-            self.prober.join(sorted(change.added))
-            self.sharing.ask()
+            self.prober.add_targets(sorted(change.added))
+            self.claims.request_state()
         self.due = now
 
     def _leave(self) -> None:
         self.left = self.table.left = True
         claim = Claim(self.table.own, self.table.generation, self.table.incarnation, DEAD, self.table.own)
-        for name in self.sharing.some(2 * self.tuning.push_to):
-            self._send(name, PUSH, 0, (claim,))
+        for name in self.claims.random_live(2 * self.tuning.gossip_fanout):
+            self._send(name, GOSSIP, 0, (claim,))
 
     # ---- time
 
@@ -180,71 +180,71 @@
         table, tuning = self.table, self.tuning
         if not self.left:
             self._probe(now)
-        for errand in self.errands.over(now):
-            self._send(errand.asker, NACK, errand.number, self.sharing.known(errand.about), errand.about)
-        if self.contact.look(now, self.pace.answer, table.dead) and self.showing.cut(now):
-            self.prober.forget()  # begun while this copy was cut off
-            self.sharing.ask()
-        table.expire(now, self.contact, self._last_call)
-        self.showing.time(now)
-        if len(table.news) and now >= self.next_push and not self.left:
-            self.next_push = now + tuning.push
-            for name in self.sharing.some(tuning.push_to):
-                self._send(name, PUSH, 0, self.sharing.push(name))
+        for relay in self.indirect.expired(now):
+            self._send(relay.asker, NACK, relay.number, self.claims.about(relay.target), relay.target)
+        if self.isolation.update(now, self.rtt.timeout, table.dead) and self.local_view.cut_changed(now):
+            self.prober.abandon()  # begun while this copy was cut off
+            self.claims.request_state()
+        table.expire(now, self.isolation, self._last_call)
+        self.local_view.end_recovery(now)
+        if len(table.gossip) and now >= self.next_gossip and not self.left:
+            self.next_gossip = now + tuning.gossip_ms
+            for name in self.claims.random_live(tuning.gossip_fanout):
+                self._send(name, GOSSIP, 0, self.claims.for_gossip(name))
         self.due = min(
-            now + tuning.tick,
+            now + tuning.max_step_gap_ms,
             max(now, self.next_probe),
             self.prober.due(),
-            self.errands.due(),
-            self.next_push if len(table.news) else math.inf,
-            table.due(now),
+            self.indirect.next_deadline(),
+            self.next_gossip if len(table.gossip) else math.inf,
+            table.next_check(now),
         )
 
     def _probe(self, now: float) -> None:
         table, score = self.table, self.health.score
         if now >= self.next_probe:
-            self.next_probe = max(self.next_probe + self.tuning.period * (1 + score), now)
-            target = self.prober.target(self.fleet, table.dead)
+            self.next_probe = max(self.next_probe + self.tuning.probe_period_ms * (1 + score), now)
+            target = self.prober.next_target(self.fleet, table.dead)
             if target is not None:
-                self.prober.begin(target, now)
+                self.prober.start(target, now)
         if table.dead:
-            self._retry(now)
-        asks, failed = self.prober.run(now, score, self.sharing.helpers)
-        for what, to, about, number in asks:
-            claims = self.sharing.ride(to) if what == PING else ()
-            self._send(to, what, number, claims, about, what == PING and self.sharing.asking > 0)
+            self._retry_dead(now)
+        requests, failed = self.prober.advance(now, score, self.claims.helpers)
+        for kind, to, subject, number in requests:
+            claims = self.claims.for_probe(to) if kind == PING else ()
+            self._send(to, kind, number, claims, subject, kind == PING and self.claims.pages_wanted > 0)
         for probe in failed:
             self.counts["probes_failed"] += 1
-            self.contact.fail(probe.name)
-            if probe.helpers and not probe.signs:
-                self.health.unheard()
-            if not self.contact.level(probe.name) and self.contact.witness(probe.name, probe.began):
+            self.isolation.probe_failed(probe.name)
+            if probe.helpers and not probe.responders:
+                self.health.helpers_silent()
+            if not self.isolation.level(probe.name) and self.isolation.has_witness(probe.name, probe.started):
                 table.suspect(probe.name, now)
-        self.prober.clean(now)
+        self.prober.prune(now)
 
-    def _retry(self, now: float) -> None:
-        """Ping one of the dead now and then, so that a healed cut is found from both sides."""
+    def _retry_dead(self, now: float) -> None:
+        """Ping one of the dead copies from time to time, so that both sides notice the end of a partition."""
         dead = self.table.dead
-        gap = max(self.tuning.retry_least, self.tuning.retry * (self.table.size - len(dead)) / len(dead))
+        gap = max(self.tuning.min_retry_ms, self.tuning.retry_ms * (self.table.size - len(dead)) / len(dead))
         self.next_retry = min(self.next_retry, now + gap * 1.5)
         if now >= self.next_retry:
             self.next_retry = now + gap * (0.5 + self.rng.random())
-            self._call(self.rng.choice(sorted(dead)))
+            self._contact(self.rng.choice(sorted(dead)))
 
     # ---- messages
 
     def _last_call(self, name: str) -> None:
-        """Ask it, and another about it: the way may be cut in one direction."""
-        self._call(name)
-        for helper in self.sharing.helpers(name)[:1]:
-            self._send(helper, ASK, 0, (), name)
+        """Ping a suspected copy directly and through a helper: the link may be down in one direction."""
+        self._contact(name)
+        for helper in self.claims.helpers(name)[:1]:
+            self._send(helper, PING_REQ, 0, (), name)
 
-    def _call(self, name: str, what: int = PING) -> None:
-        """Ask it, or only tell it, at once, with what is said of it."""
-        self._send(name, what, 0, self.sharing.said(name))
+    def _contact(self, name: str, kind: int = PING) -> None:
+        """Send a message outside of any probe, with the claim about the receiver alone."""
+        self._send(name, kind, 0, self.claims.about_receiver(name))
 
     def _send(
-        self, to: str, what: int, number: int, claims: Iterable[Claim], about: str = "", sync: bool = False
+        self, to: str, kind: int, number: int, claims: Iterable[Claim], subject: str = "", state: bool = False
     ) -> None:
-        talk = SwimMessage(what, number, self.table.incarnation, tuple(claims), about, sync)
-        self.steps.append(Send(to, pack(talk)))
+        message = SwimMessage(kind, number, self.table.incarnation, tuple(claims), subject, state)
+        self.steps.append(Send(to, encode(message)))
--- a/brassweir/peers/health.py
+++ b/brassweir/peers/health.py
@@ -1,4 +1,4 @@
-"""A copy's doubt of itself: Lifeguard's local health, from 0 (well) up. Pure."""
+"""Lifeguard's local health multiplier: a copy's measure of its own slowness, 0 when healthy. Pure."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 
 class Health:
-    """The score multiplies time-outs and the period, so that a slow copy is slow to suspect others."""
+    """The score multiplies time-outs and the probe period, so that a slow copy is slow to suspect others."""
 
     def __init__(self, tuning: Tuning) -> None:
         self.tuning = tuning
         self.score = 0
-        self.until = float("-inf")  # it calls itself suspected until then, whatever the score
+        self.suspected_until = float("-inf")  # suspects itself until then, whatever the score
 
-    def _by(self, change: int) -> None:
-        self.score = min(max(self.score + change, 0), self.tuning.worst)
+    def _change(self, change: int) -> None:
+        self.score = min(max(self.score + change, 0), self.tuning.max_health_score)
 
-    def answered(self) -> None:
+    def probe_answered(self) -> None:
         """A probe was answered in time."""
-        self._by(-1)
+        self._change(-1)
 
-    def unheard(self) -> None:
-        """A probe failed and none of the helpers gave a sign either."""
-        self._by(1)
+    def helpers_silent(self) -> None:
+        """A probe failed, and none of its helpers responded either."""
+        self._change(1)
 
-    def late(self, ms: float) -> None:
-        """The own loop ran late."""
-        if ms >= self.tuning.late:
-            self._by(1)
+    def loop_delayed(self, delay_ms: float) -> None:
+        """The event loop of this process ran late."""
+        if delay_ms >= self.tuning.loop_delay_ms:
+            self._change(1)
 
     def stalled(self, now: float) -> None:
         """The process stood still."""
-        self._by(2)
-        self.until = now + self.tuning.grace
+        self._change(2)
+        self.suspected_until = now + self.tuning.self_suspicion_ms
 
     def refuted(self, now: float) -> None:
-        """Others suspected this copy: it had not answered them."""
-        self._by(1)
-        self.until = now + self.tuning.grace
+        """Others suspected this copy because it had not answered them."""
+        self._change(1)
+        self.suspected_until = now + self.tuning.self_suspicion_ms
 
-    def doubts(self, now: float) -> bool:
-        """Does this copy suspect itself?"""
-        return self.score >= self.tuning.doubt or now < self.until
+    def suspects_self(self, now: float) -> bool:
+        """Whether this copy distrusts its own observations."""
+        return self.score >= self.tuning.self_suspicion_score or now < self.suspected_until
--- a/brassweir/peers/isolation.py
+++ b/brassweir/peers/isolation.py
@@ -1,6 +1,7 @@
-"""Is this copy cut off: has it heard nobody, or nobody of any other site, and do its probes fail there? Pure.
+"""Detects that this copy itself is cut off from all others, or from all other sites. Pure.
 
-What a copy concludes of others while it is cut off is its own view only; it is never told to others.
+The sign is that nobody there was heard for a while and probes there fail. What a copy concludes of others
+while it is cut off stays its own view and is not sent to others.
 """
 
 from __future__ import annotations
@@ -8,83 +9,83 @@
 from brassweir.peers.copies import Fleet
 from brassweir.peers.tuning import Tuning
 
-ENOUGH = 2  # copies whose probes failed since any was heard, where there are so many
+MIN_FAILED_PROBES = 2  # copies whose probes failed since any was heard, where there are so many
 
 
 class PeerSet:
-    """A set of copies that go silent together: all others, or those of other sites."""
+    """Copies that fall silent together when this copy is cut off: all others, or those of other sites."""
 
     def __init__(self, now: float) -> None:
         self.names: frozenset[str] = frozenset()
-        self.heard = now  # when any of them was last heard (ms)
-        self.failed: set[str] = set()  # whose probes failed since
-        self.level = 0  # 1 perhaps cut off, 2 cut off
+        self.last_heard = now  # when any of them was last heard (ms)
+        self.failed: set[str] = set()  # copies whose probes failed since then
+        self.level = 0  # 0 in contact, 1 possibly cut off, 2 cut off
 
-    def listed(self, names: frozenset[str], now: float) -> None:
-        """Another list; a silence goes on, but not over those who were not there before."""
+    def set_names(self, names: frozenset[str], now: float) -> None:
+        """Replace the names; a running silence goes on, unless the set was empty before."""
         if not self.names:
-            self.heard = now
+            self.last_heard = now
         self.names = names
         self.failed &= names
 
 
 class IsolationDetector:
-    """When each copy was heard last, at first hand."""
+    """When each copy was last heard directly, and whether this copy is cut off."""
 
     def __init__(self, fleet: Fleet, now: float, tuning: Tuning) -> None:
         self.tuning = tuning
-        self.last: dict[str, float] = {}
-        self.all, self.outside = PeerSet(now), PeerSet(now)
-        self.listed(fleet, now)
+        self.last_heard: dict[str, float] = {}
+        self.others, self.other_sites = PeerSet(now), PeerSet(now)
+        self.set_fleet(fleet, now)
 
-    def listed(self, fleet: Fleet, now: float) -> None:
-        """Another list of copies."""
+    def set_fleet(self, fleet: Fleet, now: float) -> None:
+        """Replace the list of copies."""
         self.fleet = fleet
         names = frozenset(copy.name for copy in fleet.others)
-        self.last = {name: self.last.get(name, float("-inf")) for name in names}
-        self.all.listed(names, now)
-        self.outside.listed(frozenset(name for name in names if fleet.outside(name)), now)
-
-    def hear(self, name: str, now: float) -> None:
-        """A message from it came."""
-        self.last[name] = now
-        for scope in (self.all, self.outside):
-            if name in scope.names:
-                scope.heard = now
-                scope.failed.clear()
-
-    def fail(self, name: str) -> None:
-        """A probe of it failed."""
-        for scope in (self.all, self.outside):
-            if name in scope.names:
-                scope.failed.add(name)
-
-    def shift(self, gap: float) -> None:
-        """This copy stood still for ``gap`` ms: no silence of others counts."""
-        self.last = {name: at + gap for name, at in self.last.items()}
-        for scope in (self.all, self.outside):
-            scope.heard += gap
-
-    def look(self, now: float, answer: float, dead: frozenset[str]) -> bool:
-        """Judge both scopes anew; has a level changed? ``dead``: those that the fleet holds dead."""
-        slack = 4 * (answer - self.tuning.answer_least)
-        before = (self.all.level, self.outside.level)
-        for scope in (self.all, self.outside):
-            silence = now - scope.heard - slack
-            scope.level = 0
-            if scope.names and silence >= self.tuning.quiet:
-                if len(scope.failed) >= min(ENOUGH, len(scope.names - dead)):
-                    scope.level = 2 if silence >= self.tuning.cut else 1
-        return before != (self.all.level, self.outside.level)
+        self.last_heard = {name: self.last_heard.get(name, float("-inf")) for name in names}
+        self.others.set_names(names, now)
+        self.other_sites.set_names(frozenset(name for name in names if fleet.at_other_site(name)), now)
+
+    def heard(self, name: str, now: float) -> None:
+        """A message from ``name`` came."""
+        self.last_heard[name] = now
+        for peers in (self.others, self.other_sites):
+            if name in peers.names:
+                peers.last_heard = now
+                peers.failed.clear()
+
+    def probe_failed(self, name: str) -> None:
+        """A probe of ``name`` failed."""
+        for peers in (self.others, self.other_sites):
+            if name in peers.names:
+                peers.failed.add(name)
+
+    def shift_times(self, gap: float) -> None:
+        """This copy stood still for ``gap`` ms: do not count them as silence of others."""
+        self.last_heard = {name: at + gap for name, at in self.last_heard.items()}
+        for peers in (self.others, self.other_sites):
+            peers.last_heard += gap
+
+    def update(self, now: float, timeout: float, dead: frozenset[str]) -> bool:
+        """Recompute both levels; returns whether one changed. ``dead``: copies dead in the group's view."""
+        slack = 4 * (timeout - self.tuning.min_answer_timeout_ms)
+        before = (self.others.level, self.other_sites.level)
+        for peers in (self.others, self.other_sites):
+            silence = now - peers.last_heard - slack
+            peers.level = 0
+            if peers.names and silence >= self.tuning.maybe_isolated_ms:
+                if len(peers.failed) >= min(MIN_FAILED_PROBES, len(peers.names - dead)):
+                    peers.level = 2 if silence >= self.tuning.isolated_ms else 1
+        return before != (self.others.level, self.other_sites.level)
 
     def level(self, name: str) -> int:
-        """0: what is seen of it can be judged; 1, 2: this copy is perhaps, or surely, cut off from it."""
-        return max(self.all.level, self.outside.level if name in self.outside.names else 0)
+        """How far this copy is cut off from ``name``: 0 in contact, 1 possibly, 2 certainly."""
+        return max(self.others.level, self.other_sites.level if name in self.other_sites.names else 0)
 
-    def witness(self, name: str, since: float) -> bool:
-        """Was another one heard since then, who stands, like ``name``, at another site if that does?
+    def has_witness(self, name: str, since: float) -> bool:
+        """Whether another copy was heard since then, of another site if ``name`` is of another site.
 
-        Where not, it may be this copy that is cut off.
+        Without one, it may be this copy that is cut off, and ``name`` is not to be blamed.
         """
-        names = (self.outside if name in self.outside.names else self.all).names
-        return any(at >= since for one, at in self.last.items() if one != name and one in names)
+        names = (self.other_sites if name in self.other_sites.names else self.others).names
+        return any(at >= since for other, at in self.last_heard.items() if other != name and other in names)
--- a/brassweir/peers/local_view.py
+++ b/brassweir/peers/local_view.py
@@ -1,4 +1,8 @@
-"""What one copy shows of all: the fleet's standings, and over them its own view while it is cut off. Pure."""
+"""The view that one copy publishes: the group's status of each copy, overlaid while it is cut off. Pure.
+
+A copy that is cut off shows the unreachable ones as dead or suspected. When contact is back it shows each one
+as suspected until it is heard again, or until the recovery time has passed.
+"""
 
 from __future__ import annotations
 
@@ -15,56 +19,61 @@
 
 
 class LocalView:
-    """Keeps what was shown last, so that only changes are told."""
+    """Remembers what was published last, so that only changes become steps."""
 
     def __init__(
-        self, fleet: Fleet, table: MembershipTable, contact: IsolationDetector, health: Health, tuning: Tuning
+        self,
+        fleet: Fleet,
+        table: MembershipTable,
+        isolation: IsolationDetector,
+        health: Health,
+        tuning: Tuning,
     ) -> None:
-        self.table, self.contact, self.health, self.tuning = table, contact, health, tuning
-        self.healing: set[str] = set()  # were cut off and not heard since
-        self.heal_until = math.inf
+        self.table, self.isolation, self.health, self.tuning = table, isolation, health, tuning
+        self.recovering: set[str] = set()  # copies that were cut off and not heard since
+        self.recovery_ends = math.inf
         self.states: dict[str, str] = {}
-        self.own = SelfStateChanged(False, False, False)
-        self.listed(fleet)
+        self.self_state = SelfStateChanged(False, False, False)
+        self.set_fleet(fleet)
 
-    def listed(self, fleet: Fleet) -> None:
-        """Another list of copies."""
+    def set_fleet(self, fleet: Fleet) -> None:
+        """Replace the list of copies."""
         self.states = {copy.name: self.states.get(copy.name, STATUS_NAMES[ALIVE]) for copy in fleet.others}
-        self.healing &= self.states.keys()
+        self.recovering &= self.states.keys()
 
-    def hear(self, name: str) -> None:
-        """A message from it came."""
-        if name in self.healing:
-            self.healing.remove(name)
+    def heard(self, name: str) -> None:
+        """A message from ``name`` came."""
+        if name in self.recovering:
+            self.recovering.remove(name)
             self.table.changed.add(name)
 
-    def cut(self, now: float) -> bool:
-        """A cut was noticed, or changed; true where one ended."""
-        scopes = (self.contact.all, self.contact.outside)
-        for scope in scopes:
-            if scope.level:
-                self.healing |= scope.names
-        self.table.forgive(frozenset(self.healing))
-        self.table.changed |= self.contact.all.names
-        over = not any(scope.level for scope in scopes)
-        self.heal_until = now + self.tuning.heal if over else math.inf
-        return over
+    def cut_changed(self, now: float) -> bool:
+        """An isolation began, changed or ended; returns whether it ended."""
+        peer_sets = (self.isolation.others, self.isolation.other_sites)
+        for peers in peer_sets:
+            if peers.level:
+                self.recovering |= peers.names
+        self.table.clear_suspicions(frozenset(self.recovering))
+        self.table.changed |= self.isolation.others.names
+        ended = not any(peers.level for peers in peer_sets)
+        self.recovery_ends = now + self.tuning.recovery_ms if ended else math.inf
+        return ended
 
-    def time(self, now: float) -> None:
-        """Long enough after a cut, all are shown as the fleet has them."""
-        if self.healing and now >= self.heal_until:
-            self.table.changed |= self.healing
-            self.healing.clear()
+    def end_recovery(self, now: float) -> None:
+        """Once the recovery time has passed, show all copies with the group's status."""
+        if self.recovering and now >= self.recovery_ends:
+            self.table.changed |= self.recovering
+            self.recovering.clear()
 
     def _state(self, name: str) -> str:
-        level = self.contact.level(name)
-        status = self.table.standings[name].status
+        level = self.isolation.level(name)
+        status = self.table.members[name].status
         if level == 2:
             return STATUS_NAMES[DEAD]
-        return STATUS_NAMES[max(status, SUSPECTED) if level or name in self.healing else status]
+        return STATUS_NAMES[max(status, SUSPECTED) if level or name in self.recovering else status]
 
     def steps(self, now: float, counts: Counter[str]) -> list[StateChanged | SelfStateChanged]:
-        """What is shown differently from now on."""
+        """What changed in the view since the last call; changes of state are counted in ``counts``."""
         steps: list[StateChanged | SelfStateChanged] = []
         if self.table.changed:
             changed, self.table.changed = self.table.changed, set()
@@ -74,13 +83,18 @@
                     self.states[name] = state
                     counts[f"became_{state}"] += 1
                     steps.append(StateChanged(name, state))
-        alone, outside = self.contact.all.level == 2, self.contact.outside.level == 2
-        own = SelfStateChanged(self.health.doubts(now) or alone, alone, alone or outside)
-        if own != self.own:
-            self.own = own
-            steps.append(own)
+        alone, outside = self.isolation.others.level == 2, self.isolation.other_sites.level == 2
+        self_state = SelfStateChanged(self.health.suspects_self(now) or alone, alone, alone or outside)
+        if self_state != self.self_state:
+            self.self_state = self_state
+            steps.append(self_state)
         return steps
 
     def view(self) -> View:
-        """All of it."""
-        return View(dict(self.states), self.own.self_suspected, self.own.alone, self.own.cut_off)
+        """The whole view as last published."""
+        return View(
+            dict(self.states),
+            self.self_state.self_suspected,
+            self.self_state.alone,
+            self.self_state.cut_off,
+        )
--- a/brassweir/peers/messages.py
+++ b/brassweir/peers/messages.py
@@ -1,4 +1,4 @@
-"""What copies say to each other of being alive (kind "live"), and the words of the core's step. Pure."""
+"""The SWIM messages between copies (kind "live"), and the facts and steps of the failure detector. Pure."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from brassweir.peers.copies import Fleet
 from brassweir.peers.envelope import Number
 
-PING, ACK, ASK, NACK, PUSH = 1, 2, 3, 4, 5
+PING, ACK, PING_REQ, NACK, GOSSIP = 1, 2, 3, 4, 5
 
 
 class SwimMessage(msgspec.Struct, array_like=True, frozen=True):
-    """One message. Fields that a later version adds at the end are passed over."""
+    """One message. Decoding ignores fields that a later version adds at the end."""
 
-    what: Number
-    number: Number  # of the ping it is or answers
+    kind: Number
+    number: Number  # of the ping that it is, or answers
     incarnation: Number  # the sender's own
     claims: tuple[Claim, ...] = ()
-    about: str = ""  # whom to ask, or who answered through the sender
-    sync: bool = False  # asks for state in the answer
+    subject: str = ""  # the copy to probe, or the one that answered through the sender
+    wants_state: bool = False  # asks for a page of the sender's table in the answer
 
 
 class SwimMessageError(ValueError):
-    """A body that is none of ours."""
+    """A body that does not decode as a message."""
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(SwimMessage)
 
 
-def pack(talk: SwimMessage) -> bytes:
-    """As a body."""
-    return _encoder.encode(talk)
+def encode(message: SwimMessage) -> bytes:
+    """The body of an envelope."""
+    return _encoder.encode(message)
 
 
-def unpack(body: bytes) -> SwimMessage:
-    """From a body. Raises TalkError."""
+def decode(body: bytes) -> SwimMessage:
+    """The message in the body of an envelope. Raises SwimMessageError."""
     try:
         return _decoder.decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """Fact: a sealed message of kind "live" from the process ``generation`` of ``sender``."""
+    """Fact: an authenticated message of kind "live" came from the process ``generation`` of ``sender``."""
 
     sender: str
     generation: int
@@ -56,26 +56,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopDelayed:
-    """Fact: the own loop ran so late (ms)."""
+    """Fact: this process's event loop ran ``delay_ms`` late."""
 
-    ms: float
+    delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class CopiesChanged:
-    """Fact: another copies file."""
+    """Fact: the copies file was read again."""
 
     fleet: Fleet
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Fact: this process ends."""
+    """Fact: this process is about to end."""
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Step: send it, or do not: nothing rests on it."""
+    """Step: send a message. It may be lost: the protocol does not depend on delivery."""
 
     to: str
     body: bytes
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChanged:
-    """Step: the view of one copy is another now: alive, suspected, dead."""
+    """Step: this copy's view of ``name`` changed to ``state``: alive, suspected or dead."""
 
     name: str
     state: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SelfStateChanged:
-    """Step: what this copy thinks of itself is another now."""
+    """Step: this copy's view of itself changed. The fields are those of ``View``."""
 
     self_suspected: bool
     alone: bool
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewGeneration:
-    """Step: go on as this generation; an earlier process of this name had a later one than ours."""
+    """Step: continue under this generation, because an earlier process of this name used a later one."""
 
     generation: int
 
@@ -111,7 +111,11 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """What one copy thinks of all. ``alone``: nobody is heard; ``cut_off``: nobody of any other site."""
+    """One copy's view of all others, and of itself.
+
+    ``self_suspected``: its own observations are not to be trusted; ``alone``: it hears no other copy;
+    ``cut_off``: it hears no copy of any other site.
+    """
 
     states: dict[str, str]
     self_suspected: bool
--- a/brassweir/peers/probing.py
+++ b/brassweir/peers/probing.py
@@ -1,6 +1,6 @@
-"""Whom to probe next, and what became of the probes that are out: direct pings, then helpers. Pure.
+"""Which copy to probe next, and the course of open probes: direct pings, then pings through helpers. Pure.
 
-What it asks for are tuples (what, to, about, number); whoever owns it makes messages of them.
+Requests are tuples (message kind, receiver, subject, number); the failure detector makes messages of them.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from dataclasses import dataclass, field
 
 from brassweir.peers.copies import Fleet
-from brassweir.peers.messages import ASK, PING
+from brassweir.peers.messages import PING, PING_REQ
 from brassweir.peers.rtt import RttEstimator
 from brassweir.peers.tuning import Tuning
 
-Ask = tuple[int, str, str, int]
+Request = tuple[int, str, str, int]
 
 
 @dataclass(slots=True)
 class Probe:
-    """One copy being probed."""
+    """The probe of one copy. Times in ms."""
 
     name: str
-    began: float
+    started: float
     next_round: float
     rounds: int = 0
-    last: float = 0.0  # when the last round went out
+    last_round: float = 0.0
     helpers: set[str] = field(default_factory=set)
-    signs: set[str] = field(default_factory=set)  # helpers that said something
+    responders: set[str] = field(default_factory=set)  # copies that sent an ack or a nack
     answered: bool = False
 
 
@@ -45,128 +45,132 @@
 class Prober:
     """Round robin over a shuffled list: each copy is probed once before any is probed again."""
 
-    def __init__(self, tuning: Tuning, pace: RttEstimator, rng: random.Random) -> None:
-        self.tuning, self.pace, self.rng = tuning, pace, rng
-        self.ring: list[str] = []
+    def __init__(self, tuning: Tuning, rtt: RttEstimator, rng: random.Random) -> None:
+        self.tuning, self.rtt, self.rng = tuning, rtt, rng
+        self.order: list[str] = []
         self.open: list[Probe] = []
         self.pings: dict[int, Ping] = {}
-        self.firsts: deque[Ping] = deque()  # the first one of each probe: they tell how many get lost
-        self.number = 0
-        self.score = 0
-        self.late: dict[str, float] = {}  # who answered after its probe had failed: counts again from then on
-
-    def forget(self) -> None:
-        """What is out counts for nothing."""
+        self.first_pings: deque[Ping] = deque()  # of each probe: they measure the loss
+        self.last_number = 0
+        self.health_score = 0
+        self.ignore_until: dict[
+            str, float
+        ] = {}  # no round trips of a copy that answered after its probe failed
+
+    def abandon(self) -> None:
+        """Drop all open probes without a result."""
         self.open.clear()
         self.pings.clear()
-        self.firsts.clear()
+        self.first_pings.clear()
 
-    def target(self, fleet: Fleet, dead: Collection[str]) -> str | None:
-        """The next one to probe; None where all others are dead."""
+    def next_target(self, fleet: Fleet, dead: Collection[str]) -> str | None:
+        """The next copy to probe; None if all others are dead."""
         for _ in range(2):
-            while self.ring:
-                name = self.ring.pop()
+            while self.order:
+                name = self.order.pop()
                 if name in fleet and name not in dead:
                     return name
-            self.ring = [copy.name for copy in fleet.others]
-            self.rng.shuffle(self.ring)
+            self.order = [copy.name for copy in fleet.others]
+            self.rng.shuffle(self.order)
         return None
 
-    def join(self, names: Iterable[str]) -> None:
-        """New ones: somewhere in the round that runs."""
+    def add_targets(self, names: Iterable[str]) -> None:
+        """Insert new copies at random places of the current round."""
         for name in names:
-            self.ring.insert(self.rng.randint(0, len(self.ring)), name)
+            self.order.insert(self.rng.randint(0, len(self.order)), name)
 
-    def begin(self, name: str, now: float) -> None:
-        """Probe it, unless a probe of it is out; the first ping is due at once."""
-        if any(one.name == name for one in self.open):
+    def start(self, name: str, now: float) -> None:
+        """Open a probe of ``name`` unless one is open; its first ping is due at once."""
+        if any(probe.name == name for probe in self.open):
             return
         self.open.append(Probe(name, now, now))
 
     def _ping(self, probe: Probe, now: float, direct: bool) -> int:
-        self.number += 1
-        ping = self.pings[self.number] = Ping(probe, now, direct)
+        self.last_number += 1
+        ping = self.pings[self.last_number] = Ping(probe, now, direct)
         if not probe.rounds:
-            self.firsts.append(ping)
-        return self.number
+            self.first_pings.append(ping)
+        return self.last_number
 
     def due(self) -> float:
-        """When it is to be looked at again."""
-        return min((self._next(one) for one in self.open), default=float("inf"))
+        """When ``advance`` is to be called next (ms)."""
+        return min((self._next(probe) for probe in self.open), default=float("inf"))
 
     def _next(self, probe: Probe) -> float:
-        """Its next round, or its end; longer where answers are found to take longer meanwhile."""
-        if probe.rounds < self.pace.rounds:
+        """When a probe's next round is due, or the probe ends, by the current estimate of round trips."""
+        if probe.rounds < self.rtt.rounds:
             return probe.next_round
-        factor = 1 + self.score
+        factor = 1 + self.health_score
         return max(
-            probe.last + 2 * self.pace.answer * factor, probe.began + self.tuning.window_least * factor
+            probe.last_round + 2 * self.rtt.timeout * factor,
+            probe.started + self.tuning.min_probe_ms * factor,
         )
 
-    def run(
-        self, now: float, score: int, helpers: Callable[[str], list[str]]
-    ) -> tuple[list[Ask], list[Probe]]:
-        """What to send now, and the probes that failed. ``helpers``: whom to ask about one, best first."""
-        asks: list[Ask] = []
+    def advance(
+        self, now: float, health_score: int, helpers: Callable[[str], list[str]]
+    ) -> tuple[list[Request], list[Probe]]:
+        """What to send now, and the probes that failed. ``helpers``: candidates for a target, best first."""
+        requests: list[Request] = []
         failed: list[Probe] = []
-        answer = self.pace.answer * (1 + score)
-        self.score = score
+        timeout = self.rtt.timeout * (1 + health_score)
+        self.health_score = health_score
         for probe in self.open:
             if now < self._next(probe):
                 continue
-            if probe.rounds < self.pace.rounds:
-                asks.append((PING, probe.name, "", self._ping(probe, now, True)))
+            if probe.rounds < self.rtt.rounds:
+                requests.append((PING, probe.name, "", self._ping(probe, now, True)))
                 if probe.rounds:
-                    many = self.tuning.helpers if probe.rounds == 1 else 1
-                    willing = helpers(probe.name)
-                    unasked = [one for one in willing if one not in probe.helpers]
-                    for helper in (unasked or willing)[:many]:
+                    count = self.tuning.helpers if probe.rounds == 1 else 1
+                    candidates = helpers(probe.name)
+                    unasked = [name for name in candidates if name not in probe.helpers]
+                    for helper in (unasked or candidates)[:count]:
                         probe.helpers.add(helper)
-                        asks.append((ASK, helper, probe.name, self._ping(probe, now, False)))
+                        requests.append((PING_REQ, helper, probe.name, self._ping(probe, now, False)))
                 probe.rounds += 1
-                probe.next_round = now + (answer if probe.rounds == 1 else answer / 2)
-                probe.last = now
+                probe.next_round = now + (timeout if probe.rounds == 1 else timeout / 2)
+                probe.last_round = now
             else:
                 failed.append(probe)
         if failed:
-            self.open = [one for one in self.open if one not in failed]
-        return asks, failed
+            self.open = [probe for probe in self.open if probe not in failed]
+        return requests, failed
 
-    def answered(self, number: int, sender: str, now: float) -> Probe | None:
-        """An answer came; the probe if that ends it well, None if it was ended before."""
+    def acked(self, number: int, sender: str, now: float) -> Probe | None:
+        """Take in an ack. Returns the probe that it ends with success; None if that had ended before."""
         ping = self.pings.get(number)
         if ping is None:
             return None
         probe = ping.probe
         if ping.direct and not ping.answered:
-            over = not probe.answered and probe not in self.open
-            if not over or now >= self.late.get(sender, 0.0):  # one that stood still answers all at once
-                self.pace.took(now - ping.sent)
-            if over:
-                self.late[sender] = now + self.tuning.remember
+            failed = not probe.answered and probe not in self.open
+            # A process that stood still answers all pings at once: its round trips are not the network's.
+            if not failed or now >= self.ignore_until.get(sender, 0.0):
+                self.rtt.add_round_trip(now - ping.sent)
+            if failed:
+                self.ignore_until[sender] = now + self.tuning.remember_ping_ms
         ping.answered = True
-        probe.signs.add(sender)
+        probe.responders.add(sender)
         if probe.answered or probe not in self.open:
             return None
         probe.answered = True
         self.open.remove(probe)
         return probe
 
-    def sign(self, number: int, sender: str) -> None:
-        """A helper is there, but has no answer."""
+    def nacked(self, number: int, sender: str) -> None:
+        """A helper responded that the target did not answer it."""
         ping = self.pings.get(number)
         if ping is not None:
-            ping.probe.signs.add(sender)
+            ping.probe.responders.add(sender)
 
-    def clean(self, now: float) -> None:
-        """Forget old pings; those to the living tell of loss on the way."""
-        settled, gone = now - 2 * self.pace.answer, now - self.tuning.remember
-        while self.firsts and self.firsts[0].sent <= settled:
-            ping = self.firsts.popleft()
+    def prune(self, now: float) -> None:
+        """Forget old pings; first pings to copies that proved alive count towards the loss."""
+        settled, expired = now - 2 * self.rtt.timeout, now - self.tuning.remember_ping_ms
+        while self.first_pings and self.first_pings[0].sent <= settled:
+            ping = self.first_pings.popleft()
             if ping.probe.answered:
-                self.pace.lost(not ping.answered)
+                self.rtt.add_ping(not ping.answered)
         while self.pings:
             number = next(iter(self.pings))
-            if self.pings[number].sent >= gone:
+            if self.pings[number].sent >= expired:
                 break
             del self.pings[number]
--- a/brassweir/peers/replay_window.py
+++ b/brassweir/peers/replay_window.py
@@ -1,29 +1,29 @@
-"""Which numbers of one sender's generation have been seen: a sliding window. Pure."""
+"""Replay protection: a sliding window of the message numbers seen from one sender's generation. Pure."""
 
 from __future__ import annotations
 
 NEW, SEEN, OLD = "new", "seen", "old"
-WIDTH = 1024  # messages of one pair that may overtake one another; later ones are taken for doubled
+WIDTH = 1024  # messages of one pair that may overtake one another; older numbers count as repeated
 
 
 class ReplayWindow:
-    """Bit ``i`` of ``seen`` stands for the number ``top - i``."""
+    """Bit ``i`` of ``seen`` stands for the number ``highest - i``."""
 
-    __slots__ = ("generation", "seen", "top")
+    __slots__ = ("generation", "seen", "highest")
 
     def __init__(self, generation: int) -> None:
         self.generation = generation
-        self.top = 0
+        self.highest = 0
         self.seen = 0
 
-    def take(self, number: int) -> str:
-        """Note a number: NEW, SEEN, or OLD where it lies before the window and may be either."""
-        if number > self.top:
-            ahead = number - self.top
+    def record(self, number: int) -> str:
+        """Record a number: NEW, SEEN, or OLD where it is below the window and may be either."""
+        if number > self.highest:
+            ahead = number - self.highest
             self.seen = ((self.seen << ahead) if ahead < WIDTH else 0) & ((1 << WIDTH) - 1) | 1
-            self.top = number
+            self.highest = number
             return NEW
-        bit = self.top - number
+        bit = self.highest - number
         if bit >= WIDTH:
             return OLD
         if self.seen >> bit & 1:
--- a/brassweir/peers/rtt.py
+++ b/brassweir/peers/rtt.py
@@ -1,46 +1,46 @@
-"""How long answers take here and how many get lost, learnt from probes that were answered at last. Pure."""
+"""Round-trip time and loss of pings, estimated from the probes that were answered in the end. Pure."""
 
 from __future__ import annotations
 
 from brassweir.peers.tuning import Tuning
 
-SMOOTH, SPREAD = 1 / 8, 1 / 4  # shares of a new sample in mean and deviation: TCP's
-MARGIN = 1.25  # of the mean: on a way that always takes as long, the deviation is none
-FORGET = 1 / 16  # share of a new sample in the share of lost pings: some seconds of probes
+MEAN_GAIN, DEVIATION_GAIN = 1 / 8, 1 / 4  # weight of a new sample in the moving averages, as in TCP
+MEAN_MARGIN = 1.25  # x the mean: where the round trip is constant, its deviation is 0
+LOSS_GAIN = 1 / 16  # weight of a new sample in the loss
 
 
 class RttEstimator:
-    """Mean and deviation of the way there and back (ms), and the share of pings without an answer."""
+    """Moving averages of the round-trip time and its deviation (ms), and the share of pings lost."""
 
     def __init__(self, tuning: Tuning) -> None:
         self.tuning = tuning
-        self.mean = self.deviation = self.missing = 0.0
+        self.mean = self.deviation = self.loss = 0.0
 
-    def took(self, ms: float) -> None:
-        """An answer came, however late; it counts as twice what was expected at most."""
-        ms = min(ms, 2 * self.answer)
-        self.deviation += SPREAD * (abs(ms - self.mean) - self.deviation)
-        self.mean += SMOOTH * (ms - self.mean)
+    def add_round_trip(self, ms: float) -> None:
+        """Count an answer, however late; a sample counts as at most twice the current time-out."""
+        ms = min(ms, 2 * self.timeout)
+        self.deviation += DEVIATION_GAIN * (abs(ms - self.mean) - self.deviation)
+        self.mean += MEAN_GAIN * (ms - self.mean)
 
-    def lost(self, one: bool) -> None:
-        """The first ping to one that was alive was lost, or was not."""
-        self.missing += FORGET * (one - self.missing)
+    def add_ping(self, lost: bool) -> None:
+        """Count the first ping to a copy that proved alive: lost, or answered."""
+        self.loss += LOSS_GAIN * (lost - self.loss)
 
     @property
-    def answer(self) -> float:
-        """After how long an answer counts as missing (ms)."""
-        answer = self.mean * MARGIN + 4 * self.deviation
-        return min(max(answer, self.tuning.answer_least), self.tuning.answer_most)
+    def timeout(self) -> float:
+        """After how many ms an answer counts as missing."""
+        timeout = self.mean * MEAN_MARGIN + 4 * self.deviation
+        return min(max(timeout, self.tuning.min_answer_timeout_ms), self.tuning.max_answer_timeout_ms)
 
     @property
     def rounds(self) -> int:
-        """How many rounds of pings make a failure by loss alone as rare as is aimed at.
+        """Rounds of pings after which loss alone fails a probe no more often than ``max_false_failure``.
 
-        A round is a ping and, from the second on, a helper's; a helper's way is twice as long.
+        A round is a ping and, from the second round on, a ping through a helper, which passes two links.
         """
         tuning = self.tuning
-        helped = 1 - (1 - self.missing) ** 2
-        for rounds in range(tuning.rounds_least, tuning.rounds_most):
-            if self.missing**rounds * helped ** (tuning.helpers + rounds - 2) <= tuning.miss_aim:
+        helper_loss = 1 - (1 - self.loss) ** 2
+        for rounds in range(tuning.min_rounds, tuning.max_rounds):
+            if self.loss**rounds * helper_loss ** (tuning.helpers + rounds - 2) <= tuning.max_false_failure:
                 return rounds
-        return tuning.rounds_most
+        return tuning.max_rounds
--- a/brassweir/peers/suspicion.py
+++ b/brassweir/peers/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspicion lasts before it is a death: Lifeguard's time-out. Pure."""
+"""How long a suspicion lasts before the copy counts as dead: Lifeguard's suspicion time-out. Pure."""
 
 from __future__ import annotations
 
@@ -8,62 +8,70 @@
 from brassweir.peers.rtt import RttEstimator
 from brassweir.peers.tuning import Tuning
 
-# Parts of its time at which the suspected one is asked itself, once each; more often where messages get lost.
+# Shares of its time-out after which a suspected copy is pinged once more; oftener where messages get lost.
 LAST_CALLS = (0.5, 0.8)
-MORE_CALLS = (0.25, 0.4, 0.55, 0.7, 0.85)
-LOSSY = 0.05  # share of pings without an answer from which there are more
+LAST_CALLS_LOSSY = (0.25, 0.4, 0.55, 0.7, 0.85)
+LOSSY = 0.05  # share of lost pings from which there are more last calls
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
-    """The time-outs of one moment (ms): with enough confirmations and with none; how many are enough."""
+class SuspicionTimeouts:
+    """The current time-outs (ms) with enough confirmations and with none; how many are enough; last calls."""
 
-    least: float
-    most: float
+    confirmed: float
+    unconfirmed: float
     enough: int
-    calls: tuple[float, ...]
-
-
-def span(tuning: Tuning, fleet: int, score: int, pace: RttEstimator) -> Span:
-    """``score``: local health; ``pace``: how long answers take."""
-    least = tuning.suspect_least * max(1.0, math.log10(max(fleet, 1)))
-    trips = tuning.suspect_trips * (pace.answer - tuning.answer_least)
-    factor = 1 + score
-    return Span(
-        (least + trips) * factor,
-        (least * tuning.suspect_spread + trips) * factor,
-        max(0, min(tuning.confirmations, fleet - 3)),
-        MORE_CALLS if pace.missing > LOSSY else LAST_CALLS,
+    last_calls: tuple[float, ...]
+
+
+def suspicion_timeouts(
+    tuning: Tuning, fleet_size: int, health_score: int, rtt: RttEstimator
+) -> SuspicionTimeouts:
+    """The time-outs for a group of this size, this copy's local health and the measured round trips."""
+    base = tuning.min_suspicion_ms * max(1.0, math.log10(max(fleet_size, 1)))
+    round_trips = tuning.suspicion_rtt_factor * (rtt.timeout - tuning.min_answer_timeout_ms)
+    factor = 1 + health_score
+    return SuspicionTimeouts(
+        (base + round_trips) * factor,
+        (base * tuning.unconfirmed_factor + round_trips) * factor,
+        max(0, min(tuning.confirmations, fleet_size - 3)),
+        LAST_CALLS_LOSSY if rtt.loss > LOSSY else LAST_CALLS,
     )
 
 
 class Suspicion:
-    """One copy's suspicion of another; ``by`` are those who found it independently."""
+    """This copy's suspicion of another; ``reporters`` found it independently."""
 
-    __slots__ = ("by", "calls", "found", "since")
+    __slots__ = ("reporters", "last_calls_made", "reported_dead", "since")
 
-    def __init__(self, since: float, by: str) -> None:
+    def __init__(self, since: float, reporter: str) -> None:
         self.since = since
-        self.by = {by}
-        self.found = False  # another has found it dead: as good as enough confirmations
-        self.calls = 0
+        self.reporters = {reporter}
+        self.reported_dead = False  # by another copy: counts as enough confirmations
+        self.last_calls_made = 0
 
-    def confirm(self, by: str, enough: int) -> bool:
-        """One more; is it news that shortens the time-out?"""
-        if by in self.by or len(self.by) > enough:
+    def confirm(self, reporter: str, enough: int) -> bool:
+        """Add a reporter; returns whether it is a new one that shortens the time-out."""
+        if reporter in self.reporters or len(self.reporters) > enough:
             return False
-        self.by.add(by)
+        self.reporters.add(reporter)
         return True
 
-    def lasts(self, now: Span) -> float:
-        """Its time-out (ms)."""
-        if self.found or len(self.by) > now.enough:
-            return now.least
-        if len(self.by) == 1:
-            return now.most
-        return now.most - (now.most - now.least) * math.log(len(self.by)) / math.log(now.enough + 1)
-
-    def due(self, now: Span) -> float:
-        """When it is to be looked at: a last call, or its end."""
-        part = now.calls[self.calls] if self.calls < len(now.calls) else 1.0
-        return self.since + self.lasts(now) * part
+    def timeout(self, timeouts: SuspicionTimeouts) -> float:
+        """Its time-out (ms), which shrinks with the logarithm of the confirmations."""
+        if self.reported_dead or len(self.reporters) > timeouts.enough:
+            return timeouts.confirmed
+        if len(self.reporters) == 1:
+            return timeouts.unconfirmed
+        return timeouts.unconfirmed - (timeouts.unconfirmed - timeouts.confirmed) * math.log(
+            len(self.reporters)
+        ) / math.log(timeouts.enough + 1)
+
+    def next_check(self, timeouts: SuspicionTimeouts) -> float:
+        """When the next last call is due, or the time-out ends (ms)."""
+        share = (
+            timeouts.last_calls[self.last_calls_made]
+            if self.last_calls_made < len(timeouts.last_calls)
+            else 1.0
+        )
+        return self.since + self.timeout(timeouts) * share
