--- a/brassweir/regions/__init__.py
+++ b/brassweir/regions/__init__.py
@@ -1,2 +1,2 @@
-"""Who may attempt an unsafe or keyed message, here, now: ownership by epochs, without a link between
-regions."""
+"""Which region may attempt an unsafe or keyed message now: ownership by epochs and leases, without
+communication between regions."""
--- a/brassweir/regions/epochs.py
+++ b/brassweir/regions/epochs.py
@@ -1,8 +1,9 @@
-"""What head office publishes: who owns which share of all messages, from when and until when. Pure.
+"""Epochs: who owns which share of all messages, from when and until when; their checks. Pure.
 
-A message's place is a number from 0 to 1 made from its client's name and its own: the same in every region,
-for every repeat. A grant gives a region the places from ``low`` up to ``high``, from ``begins`` until
-``ends`` (ms, wall clock). Grants of one place never overlap in time, however many epochs there have been.
+A message's place is a number from 0 to 2^32 - 1, hashed from its client's name and its identity, so that
+every region computes the same one for every repeat. A grant gives a region the places from ``low`` up to but
+without ``high``, from ``begins`` until ``ends`` (ms, wall clock). Grants of one place never overlap in time,
+over all epochs. Epochs are published by head office's file or by the agreed log (see sources.py).
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 import msgspec
 
 PLACES = 1 << 32
-MOST_NUMBER = 1 << 53  # of epochs and turns: every reader of JSON has it exactly
-# ms that earlier owners are told of beyond what is needed: forgetting one early could let a message run
-# twice, and keeping one costs some bytes. So a publisher's clock that is wrong by less harms nobody.
+MAX_NUMBER = 1 << 53  # of epochs and turns: JSON readers that use doubles represent it exactly
+# ms by which earlier owners are listed for longer than necessary: dropping one early could let a message run
+# twice, so this also covers an error of the publisher's clock.
 KEEP_PAST_MS = 600_000.0
 
 
 class EpochError(ValueError):
-    """What was published makes no sense, or contradicts what was published before."""
+    """An epoch that is invalid, or contradicts an earlier one."""
 
 
 class Grant(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -35,32 +36,32 @@
 
 
 class Address(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where clients find a region."""
+    """The URL at which clients reach a region."""
 
     region: str
     url: str
 
 
 class Epoch(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """One publication. ``issued`` is the publisher's clock when it was made (ms); ``turn`` counts how often
-    the right to publish was handed over (see sources.py)."""
+    """One publication. ``issued`` is the publisher's clock when it was made (ms); ``turn`` counts the
+    hand-overs of the right to publish (see sources.py)."""
 
     number: int
     issued: float
     grants: tuple[Grant, ...]
     regions: tuple[Address, ...]
-    past: tuple[Grant, ...] = ()  # of earlier owners, as long as messages of their time may be asked for
+    past: tuple[Grant, ...] = ()  # earlier owners, while clients may still retry messages of their time
     turn: int = 0
 
 
 def place(owner: str, identity: str) -> int:
-    """Where a message belongs; the same for every repeat, in every region."""
+    """The place of a message, equal for every repeat in every region."""
     digest = hashlib.sha256(f"place\0{owner}\0{identity}".encode()).digest()
     return int.from_bytes(digest[:4], "big")
 
 
 def parse(data: bytes) -> Epoch:
-    """Read and check a publication. Raises EpochError with the field."""
+    """Decode and check an epoch from JSON. Raises EpochError with the field."""
     try:
         epoch = msgspec.json.decode(data, type=Epoch)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -70,38 +71,40 @@
 
 
 def check(epoch: Epoch) -> None:
-    """Raise EpochError unless every place has exactly one owner now and never two at a time."""
-    if not 0 <= epoch.turn <= MOST_NUMBER or not 0 <= epoch.number <= MOST_NUMBER:
-        raise EpochError("number or turn is no count")
+    """Raise EpochError unless every place has one owner now and never two at a time."""
+    if not 0 <= epoch.turn <= MAX_NUMBER or not 0 <= epoch.number <= MAX_NUMBER:
+        raise EpochError("number or turn is out of range")
     if not math.isfinite(epoch.issued):
-        raise EpochError("issued is no time")
-    names = [one.region for one in epoch.regions]
+        raise EpochError("issued is not a finite time")
+    names = [address.region for address in epoch.regions]
     if len(set(names)) < len(names) or not names:
         raise EpochError("regions: none, or one stands more than once")
     for grant in (*epoch.grants, *epoch.past):
         if grant.region not in names:
-            raise EpochError(f"grant to {grant.region!r}, which is no region here")
+            raise EpochError(f"grant to {grant.region!r}, which is not among its regions")
         if not 0 <= grant.low < grant.high <= PLACES:
-            raise EpochError(f"grant from {grant.low} to {grant.high} is no range of places")
+            raise EpochError(f"grant from {grant.low} to {grant.high} is not a range of places")
         if not -math.inf < grant.begins < grant.ends < math.inf:
             raise EpochError(f"grant from {grant.low}: it ends before it begins")
-    at = 0
-    for grant in sorted(epoch.grants, key=lambda one: one.low):
-        if grant.low != at:
-            low, high = sorted((at, grant.low))
+    next_place = 0
+    for grant in sorted(epoch.grants, key=lambda grant: grant.low):
+        if grant.low != next_place:
+            low, high = sorted((next_place, grant.low))
             raise EpochError(f"grants: places {low} to {high} have no owner or two")
-        at = grant.high
-    if at != PLACES:
-        raise EpochError(f"grants: places from {at} on have no owner")
-    _apart((*epoch.grants, *epoch.past))
+        next_place = grant.high
+    if next_place != PLACES:
+        raise EpochError(f"grants: places from {next_place} on have no owner")
+    _check_no_overlap((*epoch.grants, *epoch.past))
 
 
-def _apart(grants: Sequence[Grant]) -> None:
-    """No two grants hold one place at one time: a sweep over the places, with those that stand there."""
-    edges = sorted({one.low for one in grants} | {one.high for one in grants})
+def _check_no_overlap(grants: Sequence[Grant]) -> None:
+    """Raise EpochError if two grants hold one place at one time, by a sweep over the places."""
+    edges = sorted({grant.low for grant in grants} | {grant.high for grant in grants})
     for low in edges[:-1]:
-        here = sorted((one for one in grants if one.low <= low < one.high), key=lambda one: one.begins)
-        for earlier, later in zip(here, here[1:], strict=False):
+        holders = sorted(
+            (grant for grant in grants if grant.low <= low < grant.high), key=lambda grant: grant.begins
+        )
+        for earlier, later in zip(holders, holders[1:], strict=False):
             if later.begins < earlier.ends:
                 raise EpochError(
                     f"place {low}: {earlier.region} holds it until {earlier.ends:.0f} and "
@@ -110,10 +113,11 @@
 
 
 def check_follows(newer: Epoch, older: Epoch) -> None:
-    """Raise EpochError unless ``newer`` may be taken after ``older``: never back, never a place to two.
+    """Raise EpochError unless ``newer`` may replace ``older``: numbers never decrease and no place gets two
+    owners.
 
-    What an older epoch granted must still be told of, as long as it lasts: else a region that has not heard
-    of the newer one could hold a place that another thinks its own.
+    Whatever ``older`` granted must be listed in ``newer`` while it lasts. Otherwise a region that has not
+    received ``newer`` could still use a place that another region already owns.
     """
     if newer.number < older.number:
         raise EpochError(f"epoch {newer.number} comes after {older.number}")
@@ -121,56 +125,59 @@
         raise EpochError(f"epoch {newer.number} is of turn {newer.turn}, and {older.turn} was reached")
     if newer.number == older.number and newer.issued < older.issued:
         raise EpochError(f"epoch {newer.number} was issued before the one that is known")
-    told = (*newer.grants, *newer.past)
+    listed = (*newer.grants, *newer.past)
     for grant in older.grants:
-        for low, high in _pieces(grant, told):
-            here = [one for one in told if one.low <= low and high <= one.high]
-            if any(one.region == grant.region and one.ends >= min(grant.ends, newer.issued) for one in here):
+        for low, high in _split_range(grant, listed):
+            holders = [other for other in listed if other.low <= low and high <= other.high]
+            if any(
+                other.region == grant.region and other.ends >= min(grant.ends, newer.issued)
+                for other in holders
+            ):
                 continue
-            for one in here:
-                if one.region != grant.region and one.begins < grant.ends:
+            for other in holders:
+                if other.region != grant.region and other.begins < grant.ends:
                     raise EpochError(
-                        f"epoch {newer.number} gives places from {low} to {one.region} while "
+                        f"epoch {newer.number} gives places from {low} to {other.region} while "
                         f"epoch {older.number} leaves them to {grant.region}"
                     )
 
 
-def _pieces(grant: Grant, others: Sequence[Grant]) -> list[tuple[int, int]]:
-    """A grant's places, cut where others begin or end."""
+def _split_range(grant: Grant, others: Sequence[Grant]) -> list[tuple[int, int]]:
+    """The places of a grant, split where grants of others begin or end."""
     cuts = sorted(
         {grant.low, grant.high}
-        | {edge for one in others for edge in (one.low, one.high) if grant.low < edge < grant.high}
+        | {edge for other in others for edge in (other.low, other.high) if grant.low < edge < grant.high}
     )
     return list(zip(cuts, cuts[1:], strict=False))
 
 
 def check_succeeds(newer: Epoch, older: Epoch, lost: str = "") -> None:
-    """Raise EpochError unless ``newer`` may come right after ``older`` where both are known to all.
+    """Raise EpochError unless ``newer`` may come directly after ``older``, where both are known to all.
 
-    Stricter than :func:`follows`, which allows for what head office ended: no grant of ``older`` may be cut
-    short, whatever ``newer`` says of when it was made, except those of a region that is stated as lost.
+    Stricter than :func:`check_follows`: no grant of ``older`` may be cut short, whatever ``newer`` says of
+    when it was issued, except grants of the region ``lost``.
     """
-    told = (*newer.grants, *newer.past)
+    listed = (*newer.grants, *newer.past)
     for grant in older.grants:
         if grant.region == lost:
             continue
-        for low, high in _pieces(grant, told):
-            here = [one for one in told if one.low <= low and high <= one.high]
-            if not any(one.region == grant.region and one.ends >= grant.ends for one in here):
+        for low, high in _split_range(grant, listed):
+            holders = [other for other in listed if other.low <= low and high <= other.high]
+            if not any(other.region == grant.region and other.ends >= grant.ends for other in holders):
                 raise EpochError(
                     f"places from {low}: epoch {newer.number} cuts short what {grant.region} "
                     f"holds until {grant.ends:.0f}"
                 )
     for grant in older.past:
-        gone = [
-            one
-            for one in newer.past
-            if one.region == grant.region
-            and one.low <= grant.low
-            and grant.high <= one.high
-            and one.ends >= grant.ends
+        retained = [
+            other
+            for other in newer.past
+            if other.region == grant.region
+            and other.low <= grant.low
+            and grant.high <= other.high
+            and other.ends >= grant.ends
         ]
-        if not gone and newer.issued < grant.ends + KEEP_PAST_MS:
+        if not retained and newer.issued < grant.ends + KEEP_PAST_MS:
             raise EpochError(
                 f"past: epoch {newer.number} forgets too early that {grant.region} held places "
                 f"from {grant.low}"
--- a/brassweir/regions/shares.py
+++ b/brassweir/regions/shares.py
@@ -1,15 +1,15 @@
-"""What part of a partner's limit this region may use, without asking the other. Pure.
+"""The share of a partner's limit that this region may use without asking the other regions. Pure.
 
-A limit holds over all regions together. Each region knows the same epochs, so each can work out its own
-part, and the parts add up to no more than the whole, whatever a region has or has not heard:
+A limit holds over all regions together. Each region computes its own share from the epoch it knows. The
+shares add up to at most 1, whatever each region has received:
 
-- the owned part, ``OWNED`` of the limit, goes by the places that a region may take messages of now; grants
-  never overlap in time, clock errors included, so these parts cannot add up to more;
-- the rest is split evenly between the regions named in the epoch, for safe messages, which need no owner.
+- ``OWNED`` of the limit goes by the places that a region may accept messages of now. Grants never overlap in
+  time, clock errors included, so these parts add up to at most ``OWNED``.
+- The other part is split evenly between the regions that the epoch names, for safe messages, which need no
+  owner.
 
-A region that comes back after it owned nothing, or after its lease had lapsed, does not use its whole part
-at once: its partners have been filled by nobody, or by others, and are not to be met by a burst (rule 4). It
-ramps.
+A region whose share rises, as when it returns after its lease had lapsed, ramps up to it, so that partners do
+not meet a burst (rule 4).
 """
 
 from __future__ import annotations
@@ -19,82 +19,80 @@
 from brassweir.regions.epochs import PLACES, Epoch
 from brassweir.regions.ownership import Assumptions
 
-OWNED = 0.8  # of a limit goes by ownership: most load is keyed or unsafe where a limit matters
-START = 0.25  # of its part that a region uses when it comes back; partners come back cold about so
-RAMP = 10_000.0  # ms until it uses all of it
-# A change of less is not worth telling all senders' decisions of every listed rate anew.
-STEP = 0.02
+OWNED = 0.8  # part of a limit that goes by ownership: most load under a limit is keyed or unsafe
+RAMP_START = 0.25  # of its share that a region uses at once when the share rises
+RAMP_MS = 10_000.0  # until it uses the whole share
+MIN_RISE = 0.02  # a smaller rise of the share is not reported
 
 
 def owned(epoch: Epoch | None, region: str, wall: float, assumed: Assumptions) -> float:
-    """The part of all places that a region may take messages of now, by its own clock."""
+    """The part of all places that a region may accept messages of now, by its own clock (``wall``, ms)."""
     if epoch is None:
         return 0.0
     error = assumed.clock_error_ms
-    held = sum(
-        one.high - one.low
-        for one in epoch.grants
-        if one.region == region and one.begins + error <= wall < one.ends - error
+    places = sum(
+        grant.high - grant.low
+        for grant in epoch.grants
+        if grant.region == region and grant.begins + error <= wall < grant.ends - error
     )
-    return held / PLACES
+    return places / PLACES
 
 
 def part(epoch: Epoch | None, region: str, wall: float, assumed: Assumptions) -> float:
-    """The part of every limit that is a region's now, before any ramp. Nothing is known: an even part of
-    nothing.
+    """A region's share of every limit now, before any ramp; 0 if no epoch names the region.
 
-    Regions of different epochs may name different numbers of regions: the even part counts on the most that
-    any epoch names, which the operator keeps from shrinking while an older epoch may still be in use.
+    The even parts add up to at most the whole only while all regions know epochs that name equally many
+    regions. An operator must not reduce their number while an older epoch may be in use.
     """
-    if epoch is None or region not in {one.region for one in epoch.regions}:
+    if epoch is None or region not in {address.region for address in epoch.regions}:
         return 0.0
     return OWNED * owned(epoch, region, wall, assumed) + (1.0 - OWNED) / len(epoch.regions)
 
 
 @dataclass(slots=True)
 class LimitShare:
-    """One sender's part over time: ramps up, follows down at once, and tells only of changes that matter."""
+    """One region's share over time: it ramps up, falls at once, and reports only changes that matter."""
 
     region: str
     assumed: Assumptions
     reported: float = 0.0
-    up_since: float | None = None  # when the part last rose from what was used before
-    base: float = 0.0  # what was used then
-    parts: list[tuple[float, float]] = field(default_factory=list)  # (when, part): the last one seen
+    up_since: float | None = None  # monotonic time of the last rise (ms)
+    base: float = 0.0  # the share in use at that time
+    parts: list[tuple[float, float]] = field(default_factory=list)  # at most one: (monotonic, share)
 
     def now(self, epoch: Epoch | None, wall: float, monotonic: float, trusted: bool = True) -> float:
-        """The part that may be used now. ``monotonic`` (ms) times the ramp: the wall clock may step."""
-        whole = part(epoch, self.region, wall, self.assumed) if trusted else 0.0
+        """The share that may be used now. ``monotonic`` (ms) times the ramp, since the wall clock may
+        step; ``trusted``: whether the wall clock can be relied on."""
+        full = part(epoch, self.region, wall, self.assumed) if trusted else 0.0
         before = self.parts[-1][1] if self.parts else 0.0
-        if whole > before:
-            # It begins from what was in use, and never from less than a cold partner can bear of the new
-            # part.
-            self.base, self.up_since = max(self._used(monotonic), START * whole), monotonic
-        elif whole < before:
-            self.base = min(self.base, whole)
-        if whole != before:
-            self.parts = [(monotonic, whole)]
-        return min(whole, self._used(monotonic))
+        if full > before:
+            # Start from the share in use, but from no less than RAMP_START of the new one.
+            self.base, self.up_since = max(self._used(monotonic), RAMP_START * full), monotonic
+        elif full < before:
+            self.base = min(self.base, full)
+        if full != before:
+            self.parts = [(monotonic, full)]
+        return min(full, self._used(monotonic))
 
     def changed(self, epoch: Epoch | None, wall: float, monotonic: float, trusted: bool = True) -> bool:
-        """Is the part to be told anew? A fall is told at once, a rise by steps."""
+        """Whether to report the share again: a fall at once, a rise in steps of ``MIN_RISE``."""
         used = self.now(epoch, wall, monotonic, trusted)
         if (
             used < self.reported
-            or used - self.reported >= STEP
-            or (used > self.reported and used == self._whole())
+            or used - self.reported >= MIN_RISE
+            or (used > self.reported and used == self._full())
         ):
             self.reported = used
             return True
         return False
 
-    def _whole(self) -> float:
+    def _full(self) -> float:
         return self.parts[-1][1] if self.parts else 0.0
 
     def _used(self, monotonic: float) -> float:
-        """Where the ramp stands."""
-        whole = self._whole()
+        """The share in use, by the position of the ramp."""
+        full = self._full()
         if self.up_since is None:
-            return whole
-        into = min(1.0, max(0.0, monotonic - self.up_since) / RAMP)
-        return self.base + (whole - self.base) * into if whole > self.base else whole
+            return full
+        progress = min(1.0, max(0.0, monotonic - self.up_since) / RAMP_MS)
+        return self.base + (full - self.base) * progress if full > self.base else full
--- a/brassweir/regions/sources.py
+++ b/brassweir/regions/sources.py
@@ -1,10 +1,10 @@
-"""The two sources of epochs, head office's file and the agreed log, and which of them publishes. Pure.
+"""The two sources of epochs, head office's file and the agreed log, and which of them may publish. Pure.
 
-An epoch's publication term, its field ``turn``, counts hand-overs: even, and the file publishes the next
-epoch; odd, and the log does. A hand-over is itself an epoch, the last of its source: it changes no grant,
-only the term. Whoever has taken it takes nothing from the old source any more, across restarts too, so that
-never both are followed. Why that is enough: each source has one order of its epochs, and what a copy took
-of the old one binds the new one by ``follows``, as any older epoch does.
+The field ``turn`` of an epoch counts hand-overs of the right to publish. When it is even, the file publishes
+the next epoch; when it is odd, the log does. A hand-over is itself an epoch, the last of its source, and
+changes only ``turn``. A copy that has accepted a hand-over accepts nothing more from the old source, also
+after a restart, so the copy never follows both sources. This suffices because each source orders its own
+epochs, and an epoch of the new source must pass ``check_follows`` against the last one of the old.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 class Source(Enum):
-    """Where epochs come from."""
+    """A source of epochs."""
 
     FILE = "file"
     AGREED = "agreed"
 
 
 def publisher(epoch: Epoch) -> Source:
-    """Who publishes what comes after this epoch."""
+    """The source that publishes the epoch after this one."""
     return Source.AGREED if epoch.turn % 2 else Source.FILE
 
 
 def check_source(source: Source, newer: Epoch, known: Epoch | None) -> None:
-    """Raise EpochError unless ``newer`` may come from this source, after what is known."""
+    """Raise EpochError unless ``newer`` may come from this source, given the epoch known so far."""
     if known is not None and newer.turn < known.turn:
         raise EpochError(
             f"epoch {newer.number} is of turn {newer.turn}, and {known.turn} was reached: its "
--- a/tests/regions/samples.py
+++ b/tests/regions/samples.py
@@ -1,4 +1,4 @@
-"""Two and three regions, their first epoch, and a move without its guard."""
+"""Sample regions, epochs and messages, and a move that omits its wait."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 EAST, WEST = identity_in(0, PLACES // 2), identity_in(PLACES // 2, PLACES)
 
 
-def told(
-    own: Ownership, name: str, wall: float, born: float | None = None, effect: Effect = Effect.UNSAFE
+def refusal_reason(
+    ownership: Ownership, name: str, wall: float, born: float | None = None, effect: Effect = Effect.UNSAFE
 ) -> Reason | None:
-    found = own.refusal(effect, "c", name, wall, born)
-    return None if found is None else found.reason
+    refusal = ownership.refusal(effect, "c", name, wall, born)
+    return None if refusal is None else refusal.reason
 
 
 REGIONS = {"east": "e", "west": "w", "south": "s"}
@@ -40,17 +40,18 @@
 Mover = Callable[[Epoch, int, int, str, float, float, Assumptions], planning.Move]
 
 
-def at_once(right: Mover) -> Mover:
-    """A move that does not wait for the old owner."""
+def at_once(planner: Mover) -> Mover:
+    """A planner whose moves do not wait for the old owner's grant to end."""
 
     def moved(
         epoch: Epoch, low: int, high: int, to: str, now: float, lease: float, assumed: Assumptions
     ) -> planning.Move:
-        move = right(epoch, low, high, to, now, lease, assumed)
+        move = planner(epoch, low, high, to, now, lease, assumed)
         grants = tuple(
-            msgspec.structs.replace(one, begins=now) if one.begins > now else one for one in move.epoch.grants
+            msgspec.structs.replace(grant, begins=now) if grant.begins > now else grant
+            for grant in move.epoch.grants
         )
-        past = tuple(msgspec.structs.replace(one, ends=min(one.ends, now)) for one in move.epoch.past)
+        past = tuple(msgspec.structs.replace(grant, ends=min(grant.ends, now)) for grant in move.epoch.past)
         return planning.Move(msgspec.structs.replace(move.epoch, grants=grants, past=past), 0.0)
 
     return moved
--- a/tests/regions/test_moves.py
+++ b/tests/regions/test_moves.py
@@ -1,4 +1,4 @@
-"""No message is taken in two regions, whatever is published late, twice or never, and with each guard left out."""
+"""No message is accepted in two regions, whatever epochs arrive late, twice or never; each guard is needed."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     REGIONS,
     Mover,
     at_once,
+    refusal_reason,
     start,
-    told,
 )
 
 
 @dataclass
 class World:
-    """Head office, three regions with skewed clocks, and files that come late, twice, or not at all."""
+    """A publisher, three regions with skewed clocks, and epochs that arrive late, twice or not at all."""
 
     skew: dict[str, float]
     epochs: list[Epoch] = field(default_factory=list)
     views: dict[str, Ownership] = field(default_factory=dict)
-    took: dict[str, set[str]] = field(default_factory=dict)
+    accepted_in: dict[str, set[str]] = field(default_factory=dict)
     born: dict[str, float] = field(default_factory=dict)
 
 
@@ -64,38 +64,38 @@
     world = World(dict(zip(REGIONS, skews, strict=True)), [planning.first_epoch(REGIONS, 0.0, LEASE)])
     world.views = {name: Ownership(name, ASSUMED, world.epochs[0]) for name in REGIONS}
     names = list(REGIONS)
-    for what, a, b in script:
+    for action, a, b in script:
         now += a % 9_000
         region = names[b % 3]
         view = world.views[region]
         last = world.epochs[-1]
-        if what == "renew":
+        if action == "renew":
             world.epochs.append(planning.renewed(last, now, LEASE, ASSUMED))
-        elif what == "move":
+        elif action == "move":
             low = a % PLACES
             world.epochs.append(
                 planning.moved(last, low, min(PLACES, low + 1 + (b << 11)), region, now, LEASE, ASSUMED).epoch
             )
-        elif what == "drain":
+        elif action == "drain":
             world.epochs.append(planning.drained(last, region, now, LEASE, ASSUMED).epoch)
-        elif what == "deliver":  # any publication, old or new, to one region
+        elif action == "deliver":  # any epoch, old or new, to one region
             try:
                 view.accept(world.epochs[max(0, len(world.epochs) - 1 - a % 4)])
             except EpochError:
                 pass
-        elif what == "restart":  # it remembers its epoch, and nothing else
+        elif action == "restart":  # only its epoch is stored
             world.views[region] = Ownership(region, ASSUMED, view.epoch)
-        elif what in ("hand", "again"):
+        elif action in ("hand", "again"):
             ident = f"m{b % 40}"
-            if what == "hand" and ident not in world.born:
+            if action == "hand" and ident not in world.born:
                 world.born[ident] = now
-            made = world.born.get(ident)
-            if made is None or now > made + ASSUMED.answer_window_ms:
-                continue  # clients ask on for that long and no longer
-            # A client's date is as good as any clock; some clients have none.
-            born = made + (b % 400 - 200) if dated else None
+            created = world.born.get(ident)
+            if created is None or now > created + ASSUMED.answer_window_ms:
+                continue  # its client has stopped retrying
+            # A client's date is within the clock error; some clients send none.
+            born = created + (b % 400 - 200) if dated else None
             if view.refusal(Effect.UNSAFE, "c", ident, now + world.skew[region], born) is None:
-                world.took.setdefault(ident, set()).add(region)
+                world.accepted_in.setdefault(ident, set()).add(region)
     return world
 
 
@@ -104,40 +104,40 @@
 
 @given(steps, st.tuples(skew, skew, skew), st.booleans())
 @settings(max_examples=500, deadline=None)
-def test_no_message_is_taken_in_two_regions(
+def test_no_message_is_accepted_in_two_regions(
     script: list[tuple[str, int, int]], skews: tuple[float, float, float], dated: bool
 ) -> None:
     world = play(script, skews, dated)
-    assert all(len(regions) == 1 for regions in world.took.values()), {
-        one: found for one, found in world.took.items() if len(found) > 1
+    assert all(len(regions) == 1 for regions in world.accepted_in.values()), {
+        name: regions for name, regions in world.accepted_in.items() if len(regions) > 1
     }
 
 
-def taken_twice(move: planning.Move) -> bool:
-    """East has not heard of the move, west has; a client asks both for messages born early and late, at all times."""
+def accepted_twice(move: planning.Move) -> bool:
+    """East does not know of the move, west does: whether a client that retries at both is accepted by both."""
     east, west = Ownership("east", ASSUMED, start()), Ownership("west", ASSUMED, move.epoch)
     for born in (10_000.0, 28_000.0, move.epoch.grants[0].begins + 500.0):
         times = [born + step * 500.0 for step in range(int(ASSUMED.answer_window_ms / 500.0))]
-        if any(told(east, EAST, at, born) is None for at in times) and any(
-            told(west, EAST, at, born) is None for at in times
+        if any(refusal_reason(east, EAST, at, born) is None for at in times) and any(
+            refusal_reason(west, EAST, at, born) is None for at in times
         ):
             return True
     return False
 
 
 @pytest.mark.parametrize("fault", ["", "no lease", "no birth", "at once"])
-def test_each_guard_left_out_is_seen(monkeypatch: pytest.MonkeyPatch, fault: str) -> None:
-    make: Mover = planning.moved
+def test_each_guard_is_needed(monkeypatch: pytest.MonkeyPatch, fault: str) -> None:
+    planner: Mover = planning.moved
     if fault == "no lease":
-        right = Ownership.refusal
+        original = Ownership.refusal
 
-        def may(self: Ownership, *given: object) -> ownership.OwnershipRefusal | None:
-            found = right(self, *given)  # type: ignore[arg-type]
-            return None if found is not None and found.reason is Reason.LAPSED else found
+        def refusal(self: Ownership, *given: object) -> ownership.OwnershipRefusal | None:
+            refused = original(self, *given)  # type: ignore[arg-type]
+            return None if refused is not None and refused.reason is Reason.LAPSED else refused
 
-        monkeypatch.setattr(Ownership, "refusal", may)
+        monkeypatch.setattr(Ownership, "refusal", refusal)
     elif fault == "no birth":
         monkeypatch.setattr(Ownership, "_previous_grant", lambda *_: None)
     elif fault == "at once":
-        make = at_once(planning.moved)
-    assert taken_twice(make(start(), 0, PLACES // 2, "west", 5_000.0, LEASE, ASSUMED)) is bool(fault)
+        planner = at_once(planning.moved)
+    assert accepted_twice(planner(start(), 0, PLACES // 2, "west", 5_000.0, LEASE, ASSUMED)) is bool(fault)
--- a/tests/regions/test_sources.py
+++ b/tests/regions/test_sources.py
@@ -1,4 +1,4 @@
-"""Two sources of epochs, never both: hand-overs, what may not be cut short, and what is forgotten when."""
+"""Hand-overs between the two sources of epochs, leases that may not be cut short, and retention of past grants."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from brassweir.regions.ownership import Ownership
 from brassweir.regions.planning import LossStatement
 from brassweir.regions.sources import Source, check_source, publisher
-from tests.regions.samples import ASSUMED, EAST, LEASE, start, told
+from tests.regions.samples import ASSUMED, EAST, LEASE, refusal_reason, start
 
 FILE, AGREED = Source.FILE, Source.AGREED
 
 
-def learn(source: Source, own: Ownership, epoch: Epoch) -> bool:
-    """What a copy does with an epoch of its source."""
+def accept(source: Source, ownership: Ownership, epoch: Epoch) -> bool:
+    """Offer an epoch of a source as a copy does; returns whether it was accepted."""
     try:
-        check_source(source, epoch, own.epoch)
-        return own.accept(epoch)
+        check_source(source, epoch, ownership.epoch)
+        return ownership.accept(epoch)
     except EpochError:
         return False
 
 
-def test_an_epoch_without_a_turn_is_written_as_before_and_read_by_all() -> None:
+def test_an_epoch_of_turn_0_is_encoded_without_the_field() -> None:
     assert b"turn" not in msgspec.json.encode(start()) and parse(msgspec.json.encode(start())).turn == 0
     with pytest.raises(EpochError, match="turn"):
         parse(msgspec.json.encode(msgspec.structs.replace(start(), turn=-1)))
@@ -42,41 +42,43 @@
 
 def test_planning_keeps_the_turn() -> None:
     epoch = msgspec.structs.replace(planning.first_epoch({"e": "e", "w": "w"}, 0.0, LEASE), turn=3)
-    made = [
+    epochs = [
         planning.renewed(epoch, 1.0, LEASE, ASSUMED),
         planning.moved(epoch, 0, 9, "w", 1.0, LEASE, ASSUMED).epoch,
         planning.drained(epoch, "e", 1.0, LEASE, ASSUMED).epoch,
         planning.taken_over(epoch, "e", 1.0, LEASE, ASSUMED, LossStatement(True, True)).epoch,
     ]
-    assert [one.turn for one in made] == [3] * 4 and planning.handed_over(epoch, 1.0).turn == 4
+    assert [made.turn for made in epochs] == [3] * 4 and planning.handed_over(epoch, 1.0).turn == 4
 
 
-def test_a_hand_over_is_the_last_of_its_source_and_changes_no_grant() -> None:
+def test_a_hand_over_is_the_last_epoch_of_its_source_and_changes_no_grant() -> None:
     own = Ownership("east", ASSUMED, start())
     last = planning.handed_over(planning.renewed(start(), 1_000.0, LEASE, ASSUMED), 1_000.0)
-    assert not learn(FILE, own, last), "its lease was not known yet: it would do two things at once"
-    assert learn(FILE, own, planning.renewed(start(), 1_000.0, LEASE, ASSUMED)) and learn(FILE, own, last)
+    assert not accept(FILE, own, last), "a hand-over after an unknown renewal would also change grants"
+    assert accept(FILE, own, planning.renewed(start(), 1_000.0, LEASE, ASSUMED)) and accept(FILE, own, last)
     assert publisher(last) is AGREED
     later = planning.renewed(msgspec.structs.replace(last, turn=0), 2_000.0, LEASE, ASSUMED)
-    assert not learn(FILE, own, msgspec.structs.replace(later, number=9)), "head office went on publishing"
-    assert not learn(FILE, own, planning.renewed(last, 2_000.0, LEASE, ASSUMED))
-    assert learn(AGREED, own, planning.renewed(last, 2_000.0, LEASE, ASSUMED))
+    assert not accept(FILE, own, msgspec.structs.replace(later, number=9)), (
+        "the file went on publishing after the hand-over"
+    )
+    assert not accept(FILE, own, planning.renewed(last, 2_000.0, LEASE, ASSUMED))
+    assert accept(AGREED, own, planning.renewed(last, 2_000.0, LEASE, ASSUMED))
     back = planning.handed_over(own.epoch or start(), 3_000.0)
-    assert learn(AGREED, own, back) and not learn(
+    assert accept(AGREED, own, back) and not accept(
         AGREED, own, planning.renewed(back, 4_000.0, LEASE, ASSUMED)
     )
-    assert learn(FILE, own, planning.renewed(back, 4_000.0, LEASE, ASSUMED))
+    assert accept(FILE, own, planning.renewed(back, 4_000.0, LEASE, ASSUMED))
 
 
-def test_a_copy_that_missed_the_hand_over_takes_the_other_source_only_in_its_turn() -> None:
+def test_a_copy_that_missed_the_hand_over_accepts_the_new_source_only_in_its_turn() -> None:
     own = Ownership("east", ASSUMED, start())
-    assert not learn(AGREED, own, planning.renewed(start(), 1_000.0, LEASE, ASSUMED)), "the file publishes"
+    assert not accept(AGREED, own, planning.renewed(start(), 1_000.0, LEASE, ASSUMED)), "the file publishes"
     last = planning.handed_over(start(), 1_000.0)
-    assert learn(AGREED, own, planning.renewed(last, 2_000.0, LEASE, ASSUMED))
+    assert accept(AGREED, own, planning.renewed(last, 2_000.0, LEASE, ASSUMED))
 
 
 Event = tuple[str, int, int]
-Line = tuple[int, Source, Epoch, Epoch]  # copy, source, what it knew, what it took
+Acceptance = tuple[int, Source, Epoch, Epoch]  # copy, source, epoch known before, epoch accepted
 events = st.lists(
     st.tuples(
         st.sampled_from(["renew", "renew", "hand", "deliver", "deliver", "deliver", "switch", "fork"]),
@@ -87,19 +89,21 @@
 )
 
 
-def play(script: list[Event]) -> list[Line]:
-    """One history of epochs; copies set to either source hear of any part of it; on "fork", a head office goes on from
-    an epoch before it handed over. Returns the tape of what was taken."""
-    history, now, tape = [(FILE, start())], 0.0, list[Line]()
+def play(script: list[Event]) -> list[Acceptance]:
+    """Run one history of epochs with three copies that read any part of it from either source.
+
+    On "fork", the file continues from an epoch before its hand-over. Returns what was accepted.
+    """
+    history, now, tape = [(FILE, start())], 0.0, list[Acceptance]()
     copies, setting = [Ownership("east", ASSUMED, start()) for _ in range(3)], [FILE] * 3
-    for what, a, b in script:
+    for action, a, b in script:
         now += 500.0
         last = history[-1][1]
-        if what == "renew":
+        if action == "renew":
             history.append((publisher(last), planning.renewed(last, now, LEASE, ASSUMED)))
-        elif what == "hand":
+        elif action == "hand":
             history.append((publisher(last), planning.handed_over(last, now)))
-        elif what == "fork":
+        elif action == "fork":
             older = next(one for _, one in reversed(history) if publisher(one) is FILE)
             history.insert(
                 0,
@@ -110,33 +114,35 @@
                     ),
                 ),
             )
-        elif what == "switch":
+        elif action == "switch":
             setting[b % 3] = AGREED if setting[b % 3] is FILE else FILE
-        elif what == "deliver":
+        elif action == "deliver":
             own, source = copies[b % 3], setting[b % 3]
-            mine = [one for of, one in history if of is source]
+            published = [epoch for origin, epoch in history if origin is source]
             before = own.epoch
             if (
-                mine
+                published
                 and before is not None
-                and learn(source, own, mine[a % len(mine)])
+                and accept(source, own, published[a % len(published)])
                 and own.epoch is not None
             ):
                 tape.append((b % 3, source, before, own.epoch))
     return tape
 
 
-def broken(tape: list[Line]) -> list[str]:
-    """From the tape alone: a turn is followed from its own source, but for its first epoch; and never gone back on."""
-    found = []
+def broken(tape: list[Acceptance]) -> list[str]:
+    """Violations on the tape: a turn that decreased, or an epoch from a source that may not publish it."""
+    violations = []
     for copy, source, before, after in tape:
         if after.turn < before.turn:
-            found.append(f"copy {copy} went back from turn {before.turn} to {after.turn}")
+            violations.append(f"copy {copy} went back from turn {before.turn} to {after.turn}")
         if publisher(after) is not source and (
             after.turn != before.turn + 1 or after.grants != before.grants
         ):
-            found.append(f"copy {copy} took by the {source.value} what is not its to publish: {after.number}")
-    return found
+            violations.append(
+                f"copy {copy} took by the {source.value} what is not its to publish: {after.number}"
+            )
+    return violations
 
 
 @given(events)
@@ -145,7 +151,7 @@
     assert not broken(play(script))
 
 
-def test_without_the_rule_of_turns_both_are_followed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_the_check_of_turns_both_sources_are_followed(monkeypatch: pytest.MonkeyPatch) -> None:
     script: list[Event] = [
         ("hand", 0, 0),
         ("renew", 0, 0),
@@ -164,25 +170,26 @@
     assert "not its to publish" in broken([(0, FILE, start(), taken_early)])[0]
 
 
-def test_a_plan_from_an_older_state_may_follow_for_one_that_did_not_know_and_not_in_the_log() -> None:
-    """The race that a log has to refuse: a move planned from the lease before the last renewal."""
+def test_the_log_rejects_a_move_planned_from_an_older_epoch() -> None:
+    """A move planned from the lease before the last renewal: check_follows allows it, check_succeeds must not."""
     renewed = planning.renewed(start(), 20_000.0, LEASE, ASSUMED)
     stale = planning.moved(start(), 0, PLACES // 2, "west", 10_000.0, LEASE, ASSUMED).epoch
-    check_follows(stale, renewed)  # head office alone publishes, so for it this cannot be
+    check_follows(stale, renewed)  # a single publisher never issues it
     east, west = Ownership("east", ASSUMED, renewed), Ownership("west", ASSUMED, stale)
     begins = stale.grants[0].begins
     overlap = [
         at
         for at in range(int(begins), int(begins) + 20_000, 250)
-        if told(east, EAST, at) is None and told(west, EAST, at, born=begins + 500.0) is None
+        if refusal_reason(east, EAST, at) is None
+        and refusal_reason(west, EAST, at, born=begins + 500.0) is None
     ]
-    assert overlap, "two owners at once: follows is not enough"
+    assert overlap, "two owners at once: check_follows is not enough"
     with pytest.raises(EpochError, match="cuts short what east holds"):
         check_succeeds(stale, renewed)
     check_succeeds(planning.moved(renewed, 0, PLACES // 2, "west", 21_000.0, LEASE, ASSUMED).epoch, renewed)
 
 
-def test_a_lost_region_s_grants_may_be_cut_short_and_no_other_s() -> None:
+def test_only_a_lost_region_s_grants_may_be_cut_short() -> None:
     taken = planning.taken_over(start(), "east", 1_000.0, LEASE, ASSUMED, LossStatement(True, True)).epoch
     check_succeeds(taken, start(), "east")
     for lost in ("", "west"):
@@ -190,7 +197,7 @@
             check_succeeds(taken, start(), lost)
 
 
-def test_earlier_owners_are_told_of_for_longer_than_a_clock_may_be_wrong_by() -> None:
+def test_past_grants_are_retained_longer_than_a_clock_may_be_wrong_by() -> None:
     moved = planning.moved(start(), 0, 9, "west", 1_000.0, LEASE, ASSUMED).epoch
     span = ASSUMED.max_deadline_ms + ASSUMED.answer_window_ms + 4 * ASSUMED.clock_error_ms
     over = moved.past[0].ends + span
