--- a/brassweir/sites/__init__.py
+++ b/brassweir/sites/__init__.py
@@ -1,2 +1,5 @@
-"""Loss of a whole site, pure: the verdict on each site, where its load goes, what is refused first, and how
-it comes back. ``view.View`` is their sum: ``(now, facts) -> steps``. No clock, no input or output."""
+"""Loss and return of a whole site: verdict on each site, transfer of its load, admission, and slow start.
+Pure.
+
+``view.SitesView`` combines them as ``(now, facts) -> steps``, without clock, input or output.
+"""
--- a/brassweir/sites/facts.py
+++ b/brassweir/sites/facts.py
@@ -1,4 +1,4 @@
-"""What the cores of a site's loss are told, and the words for it. Times are ms, rates are calls a second."""
+"""Input of the handling of site loss. Times are ms, rates are calls a second."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class State(Enum):
-    """What is thought of a site's endpoints; in order of severity."""
+    """State of a site's endpoints, in order of severity."""
 
     WELL = "well"
     SUSPECTED = "suspected"
@@ -23,7 +23,7 @@
 
 
 class PeerState(Enum):
-    """What liveness says of a copy."""
+    """State of a copy by the failure detector."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """A listed copy and the site where it stands."""
+    """A listed copy and its site."""
 
     name: str
     site: str
@@ -40,7 +40,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcomes:
-    """How own calls to an endpoint ended since the last step; time-outs are not among the failures."""
+    """Outcomes of this copy's calls to an endpoint since the last step; time-outs are not counted as
+    failures."""
 
     endpoint: str
     passes: float
@@ -50,13 +51,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Witness:
-    """What another copy says of a site by **its own endings alone**: words made of others' words would echo.
-    ``passes`` and ``failures`` are its counts of the window (``evidence.WINDOW``), ``age`` is since it
-    said it."""
+    """Another copy's report on a site, from its own calls alone: reports based on reports would confirm
+    themselves.
+
+    ``passes`` and ``failures`` are its counts of the window (``evidence.WINDOW_MS``), ``age`` the time since
+    it reported.
+    """
 
     copy: str
     about: str
-    state: State | None  # None: too few calls to say anything, but the counts are there
+    state: State | None  # None: too few calls for a state, but the counts hold
     age: float
     passes: float = 0.0
     failures: float = 0.0
@@ -64,10 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Demand of one class and customer for one home site, as handed in at this copy.
+    """Demand of one class and customer for one home site, as submitted at this copy.
 
-    ``worth`` is of one message, ``room`` the calls that one needs, ``window`` the ms in which it may still be
-    delivered; ``pinned``: it may be delivered at its home site only.
+    ``worth`` is the value of one message, ``calls_per_message`` the calls that one needs, ``window`` the ms
+    in which it may still be delivered; ``pinned``: it may be delivered at its home site only.
     """
 
     class_name: str
@@ -82,8 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Where load goes, worked out beforehand: by case (what is left of which sites, ``plan.case_of``) the
-    rate from each home site to each taker, over all copies."""
+    """Where load is transferred, computed in advance.
+
+    ``cases`` gives, by case (what is left of which sites, see ``planning.case_of``), the rate from each home
+    site to each taker, over all copies.
+    """
 
     version: int
     cases: Mapping[frozenset[tuple[str, float]], Mapping[tuple[str, str], float]]
@@ -91,20 +98,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LogState:
-    """The agreed log's state. ``as_of``: when, on the own clock, the question was **asked** to which this is
-    the answer; never when it came. ``silent``: sites whose copies are agreed to be gone."""
+    """The agreed log's state. ``as_of``: when, on this copy's clock, it **asked** for the state; never
+    when the answer came. ``silent``: sites whose copies are agreed to be gone."""
 
     version: int
     as_of: float
     states: Mapping[str, State]
     silent: frozenset[str] = frozenset()
     plan: Plan | None = None
-    led_since: float = math.inf  # on the own clock: since when the log has had a leader without a break
+    led_since: float = (
+        math.inf
+    )  # on this copy's clock: since when the log has had a leader without interruption
 
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """All that has come since the last step. ``late``: the own loop or process was late (it stalled)."""
+    """Everything reported since the last step. ``late``: this copy's event loop or process stood still."""
 
     endings: tuple[Outcomes, ...] = ()
     witnesses: tuple[Witness, ...] = ()
@@ -116,8 +125,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """What a copy is told at start. ``start_capacity``: share of its capacity that a cold site bears;
-    ``cold``: ms until it bears all; ``spill``: the stated share of a site's load that may go elsewhere.
+    """Settings of a copy. ``start_capacity``: share of its capacity that a cold site can serve; ``cold``: ms
+    until it can serve all; ``spill``: the configured share of a site's load that may be transferred.
 
     Raises ValueError naming the field.
     """
@@ -130,7 +139,7 @@
     spill: float = 0.8
 
     def __post_init__(self) -> None:
-        """Refuse what makes no sense."""
+        """Reject invalid settings."""
         if self.own not in self.copies:
             raise ValueError(f"own: {self.own.name} is not among the copies")
         if len({copy.name for copy in self.copies}) != len(self.copies):
@@ -143,9 +152,9 @@
 
     @property
     def sites(self) -> tuple[str, ...]:
-        """All sites where endpoints stand, in order."""
+        """All sites that have endpoints, sorted."""
         return tuple(sorted({one.zone for one in self.endpoints}))
 
     def capacity(self, site: str) -> float:
-        """The listed rate of a site."""
+        """The sum of the listed rates of a site's endpoints."""
         return sum(one.rate for one in self.endpoints if one.zone == site)
--- a/brassweir/sites/flow.py
+++ b/brassweir/sites/flow.py
@@ -1,64 +1,67 @@
-"""Cheapest flow that places the most: the exact filling behind a plan. Pure; small graphs only."""
+"""Minimum-cost maximum flow, used to compute a plan. Pure; for small graphs."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
-TINY = 1e-9  # calls a second below which a rest is rounding
+EPSILON = 1e-9  # calls a second; a smaller residual is a rounding error
 
 
 class Flow:
-    """Successive cheapest paths, kept exact by edges that take flow back."""
+    """A network solved by successive cheapest augmenting paths; residual edges undo earlier choices."""
 
     def __init__(self) -> None:
-        self.to: list[int] = []
-        self.left: list[float] = []
+        self.heads: list[int] = []
+        self.residual: list[float] = []
         self.cost: list[float] = []
-        self.out: dict[int, list[int]] = {}
+        self.edges_from: dict[int, list[int]] = {}
         self.numbers: dict[Hashable, int] = {}
 
     def node(self, name: Hashable) -> int:
-        """The number of a node, made when first named."""
+        """The number of a node, which is added if it is new."""
         return self.numbers.setdefault(name, len(self.numbers))
 
-    def edge(self, start: Hashable, end: Hashable, most: float, cost: float) -> int:
-        """An edge; returns its number, for ``used``."""
-        a, b, number = self.node(start), self.node(end), len(self.to)
-        for where, other, room, price in ((a, b, most, cost), (b, a, 0.0, -cost)):
-            self.out.setdefault(where, []).append(len(self.to))
-            self.to.append(other)
-            self.left.append(room)
-            self.cost.append(price)
+    def edge(self, start: Hashable, end: Hashable, capacity: float, cost: float) -> int:
+        """Add an edge; returns its number, for ``used``."""
+        source, sink, number = self.node(start), self.node(end), len(self.heads)
+        for tail, head, residual, edge_cost in ((source, sink, capacity, cost), (sink, source, 0.0, -cost)):
+            self.edges_from.setdefault(tail, []).append(len(self.heads))
+            self.heads.append(head)
+            self.residual.append(residual)
+            self.cost.append(edge_cost)
         return number
 
     def used(self, edge: int) -> float:
-        """What flows over an edge."""
-        return self.left[edge ^ 1]
+        """The flow over an edge."""
+        return self.residual[edge ^ 1]
 
     def run(self, start: Hashable, end: Hashable) -> float:
-        """Place all that can be placed, cheapest first; returns how much."""
-        a, b, placed = self.node(start), self.node(end), 0.0
-        while (path := self._cheapest(a, b)) is not None:
-            step = min(self.left[edge] for edge in path)
+        """Send the maximum flow at minimum cost; returns the amount."""
+        source, sink, placed = self.node(start), self.node(end), 0.0
+        while (path := self._cheapest(source, sink)) is not None:
+            amount = min(self.residual[edge] for edge in path)
             for edge in path:
-                self.left[edge] -= step
-                self.left[edge ^ 1] += step
-            placed += step
+                self.residual[edge] -= amount
+                self.residual[edge ^ 1] += amount
+            placed += amount
         return placed
 
-    def _cheapest(self, a: int, b: int) -> list[int] | None:
-        dist, via = {a: 0.0}, {}
-        queue = [a]
-        for node in queue:  # Bellman-Ford: edges that take back cost less than nothing, cycles do not
-            for edge in self.out.get(node, ()):
-                far = dist[node] + self.cost[edge]
-                if self.left[edge] > TINY and far < dist.get(self.to[edge], float("inf")) - TINY:
-                    dist[self.to[edge]], via[self.to[edge]] = far, edge
-                    queue.append(self.to[edge])
-        if b not in via:
+    def _cheapest(self, source: int, sink: int) -> list[int] | None:
+        distance, edge_to = {source: 0.0}, {}
+        queue = [source]
+        for node in queue:  # Bellman-Ford: residual edges have negative cost, but no cycle has
+            for edge in self.edges_from.get(node, ()):
+                length = distance[node] + self.cost[edge]
+                if (
+                    self.residual[edge] > EPSILON
+                    and length < distance.get(self.heads[edge], float("inf")) - EPSILON
+                ):
+                    distance[self.heads[edge]], edge_to[self.heads[edge]] = length, edge
+                    queue.append(self.heads[edge])
+        if sink not in edge_to:
             return None
         path = []
-        while b != a:
-            path.append(via[b])
-            b = self.to[via[b] ^ 1]
+        while sink != source:
+            path.append(edge_to[sink])
+            sink = self.heads[edge_to[sink] ^ 1]
         return path
--- a/brassweir/sites/planning.py
+++ b/brassweir/sites/planning.py
@@ -1,10 +1,10 @@
-"""Where a site's load goes when it is lost, worked out beforehand for each loss and each second loss after
-it.
+"""Where a site's load goes when the site is lost, computed in advance for each loss and each second loss
+after it.
 
-For each case: the most load is placed that the stated share and the takers' headroom allow; of all ways to
-do so the one by the tiers of preference, and within a tier the one that fills takers evenly (by tenths of
-their headroom). Exact: a linear program gives the same. No taker is filled over ``FILL`` of its capacity,
-its own load counted.
+In each case as much load is transferred as the configured share and the takers' headroom allow. Among the
+ways to do so, the plan follows the tiers of preference, and within a tier it fills takers evenly (by tenths
+of their headroom). The result is exact: a linear program gives the same. No taker is filled over ``FILL`` of
+its capacity, its own load included.
 """
 
 from __future__ import annotations
@@ -14,23 +14,25 @@
 from itertools import permutations
 
 from brassweir.sites.facts import Plan
-from brassweir.sites.flow import TINY, Flow
+from brassweir.sites.flow import EPSILON, Flow
 
-FILL = 0.97  # of its capacity that a taker is planned to: its own load moves by some per cent within seconds
-SLACK = 1.5  # x what is placed at a taker with room: copies differ by some thirds in what they are asked
-TENTHS = 10  # equal slices of a headroom, the fuller the dearer: takers fill evenly to within one
-TIER = 100.0  # price of a tier over the one before, over any price of fullness
-HALF = 0.5  # what is left of a second site that goes in part: the case that is worked out beforehand
-CHANGED = 0.02  # share of a site's capacity by which its load or room must move for a new plan
+FILL = 0.97  # of a taker's capacity: its own load varies by a few per cent within seconds
+SLACK = 1.5  # x the rate placed at a taker that has headroom: demand differs between copies
+SLICES = 10  # of a taker's headroom, each dearer than the one before: takers fill evenly to within one
+TIER_COST = 100.0  # of a tier over the one before; greater than any cost of a slice
+HALF = 0.5  # what is left of a site in the precomputed cases of a partial loss
+MIN_CHANGE = 0.02  # change of load or capacity, as a share of capacity, that needs a new plan
 
 Case = frozenset[tuple[str, float]]
 
 
 @dataclass(frozen=True, slots=True)
 class SiteLoad:
-    """What one site bears and carries. ``listed`` 0: unknown, then what was ``served`` counts.
-    ``full_at``: the rate at which it last turned calls away. ``connections`` 0: no known limit;
-    ``call_ms``: of one call."""
+    """What one site can serve and what it serves.
+
+    ``listed`` 0: unknown, then ``served`` counts. ``full_at``: the rate at which it last rejected calls.
+    ``connections`` 0: no known limit; ``call_ms``: duration of one call.
+    """
 
     site: str
     load: float
@@ -39,13 +41,13 @@
     full_at: float = 0.0
     connections: int = 0
     call_ms: float = 100.0
-    warm: float = 1.0  # share of its capacity that it bears now, if it is cold itself
-    spill: float = 0.8  # the stated share of its load that may go elsewhere
-    tiers: tuple[tuple[str, ...], ...] = ()  # takers by preference; none named: all others alike
+    warm: float = 1.0  # share of its capacity that it can serve now, less than 1 if it is cold
+    spill: float = 0.8  # the configured share of its load that may be transferred
+    tiers: tuple[tuple[str, ...], ...] = ()  # takers by preference; empty: all others alike
 
     @property
     def capacity(self) -> float:
-        """Calls a second that it takes from all copies."""
+        """Calls a second that it can serve, over all copies."""
         most = self.listed or self.served
         if self.full_at:
             most = min(most, self.full_at)
@@ -55,65 +57,71 @@
 
 
 def case_of(left: Mapping[str, float]) -> Case:
-    """The name of a case: what is left of each site that is not whole."""
+    """The key of a case: what is left of each site that is not complete."""
     return frozenset((site, part) for site, part in left.items() if part < 1.0)
 
 
 def cases(sites: Iterable[str]) -> list[Case]:
-    """All that is worked out beforehand: each site lost or half lost; each lost, and half or all of a
-    second."""
+    """All cases that are computed: each site lost or half lost, and each lost with a second one lost or
+    half lost."""
     names = sorted(sites)
-    found = [case_of({one: part}) for one in names for part in (0.0, HALF)]
-    found += [
+    result = [case_of({site: part}) for site in names for part in (0.0, HALF)]
+    result += [
         case_of({first: 0.0, second: part})
         for first, second in permutations(names, 2)
         for part in (0.0, HALF)
     ]
-    return list(dict.fromkeys(found))
+    return list(dict.fromkeys(result))
 
 
 def demands(
-    rooms: Iterable[SiteLoad], left: Mapping[str, float]
+    loads: Iterable[SiteLoad], left: Mapping[str, float]
 ) -> tuple[dict[str, float], dict[str, float]]:
-    """What each broken site may give away, and what each whole one has room for."""
+    """What each damaged site may transfer, and the headroom of each complete one."""
     give, take = {}, {}
-    for one in rooms:
-        part = left.get(one.site, 1.0)
-        room = FILL * one.capacity * part
+    for entry in loads:
+        part = left.get(entry.site, 1.0)
+        headroom = FILL * entry.capacity * part
         if part < 1.0:
-            give[one.site] = min(max(0.0, one.load - room), one.spill * one.load)
+            give[entry.site] = min(max(0.0, entry.load - headroom), entry.spill * entry.load)
         else:
-            take[one.site] = max(0.0, room - one.load)
+            take[entry.site] = max(0.0, headroom - entry.load)
     return give, take
 
 
-def placed(rooms: tuple[SiteLoad, ...], case: Case) -> dict[tuple[str, str], float]:
-    """The rate from each broken site to each taker in one case."""
-    give, take = demands(rooms, dict(case))
+def placed(loads: tuple[SiteLoad, ...], case: Case) -> dict[tuple[str, str], float]:
+    """The rate from each damaged site to each taker in entry case."""
+    give, take = demands(loads, dict(case))
     flow, edges = Flow(), {}
-    for one in rooms:
-        if one.site not in give:
+    for entry in loads:
+        if entry.site not in give:
             continue
-        flow.edge("from", ("give", one.site), give[one.site], 0.0)
-        tiers = one.tiers or (tuple(site for site in take if site != one.site),)
+        flow.edge("from", ("give", entry.site), give[entry.site], 0.0)
+        tiers = entry.tiers or (tuple(site for site in take if site != entry.site),)
         for number, tier in enumerate(tiers):
             for site in tier:
-                if site in take and (one.site, site) not in edges:
-                    edges[one.site, site] = flow.edge(
-                        ("give", one.site), ("take", site), min(give[one.site], take[site]), TIER * number
+                if site in take and (entry.site, site) not in edges:
+                    edges[entry.site, site] = flow.edge(
+                        ("give", entry.site),
+                        ("take", site),
+                        min(give[entry.site], take[site]),
+                        TIER_COST * number,
                     )
-    for site, room in take.items():
-        for slice_ in range(TENTHS):
-            flow.edge(("take", site), "to", room / TENTHS, float(slice_))
+    for site, headroom in take.items():
+        for slice_ in range(SLICES):
+            flow.edge(("take", site), "to", headroom / SLICES, float(slice_))
     flow.run("from", "to")
-    return {pair: flow.used(edge) for pair, edge in edges.items() if flow.used(edge) > TINY}
+    return {pair: flow.used(edge) for pair, edge in edges.items() if flow.used(edge) > EPSILON}
+
 
+def allowed(loads: tuple[SiteLoad, ...], case: Case) -> dict[tuple[str, str], float]:
+    """What may go from each damaged site to each taker: the rate placed, times up to ``SLACK`` where the
+    taker has headroom.
 
-def allowed(rooms: tuple[SiteLoad, ...], case: Case) -> dict[tuple[str, str], float]:
-    """What may go from each broken site to each taker: what is placed, and up to ``SLACK`` of it where the
-    taker has room to spare, so that copies with more demand than others, and dead ones, waste less."""
-    flows = placed(rooms, case)
-    _, take = demands(rooms, dict(case))
+    Demand differs between copies and some are dead; the slack lets the others use what these leave.
+    """
+    flows = placed(loads, case)
+    _, take = demands(loads, dict(case))
     got = {site: sum(rate for (_, taker), rate in flows.items() if taker == site) for site in take}
     return {
         (home, taker): rate * max(1.0, min(SLACK, take[taker] / got[taker]))
@@ -121,16 +129,16 @@
     }
 
 
-def make_plan(version: int, rooms: tuple[SiteLoad, ...]) -> Plan:
-    """All cases for these loads."""
-    return Plan(version, {case: allowed(rooms, case) for case in cases(one.site for one in rooms)})
+def make_plan(version: int, loads: tuple[SiteLoad, ...]) -> Plan:
+    """The plan with all cases for these loads."""
+    return Plan(version, {case: allowed(loads, case) for case in cases(entry.site for entry in loads)})
 
 
 def plan_outdated(before: tuple[SiteLoad, ...], now: tuple[SiteLoad, ...]) -> bool:
-    """Have loads or room changed so far that the plan is to be worked out anew?"""
-    known = {one.site: one for one in before}
-    return known.keys() != {one.site for one in now} or any(
-        max(abs(one.load - known[one.site].load), abs(one.capacity - known[one.site].capacity))
-        > CHANGED * max(one.capacity, 1.0)
-        for one in now
+    """Whether loads or capacities changed enough to need a new plan."""
+    known = {entry.site: entry for entry in before}
+    return known.keys() != {entry.site for entry in now} or any(
+        max(abs(entry.load - known[entry.site].load), abs(entry.capacity - known[entry.site].capacity))
+        > MIN_CHANGE * max(entry.capacity, 1.0)
+        for entry in now
     )
--- a/brassweir/sites/steps.py
+++ b/brassweir/sites/steps.py
@@ -1,8 +1,7 @@
-"""The steps of a copy's view of the sites.
+"""The steps of a copy's view of the sites, for other parts of the program.
 
-Steps are facts for others: list entries whose rates and states are this copy's view (for the decision module,
-which divides a rate by the listed copies), what share of each line has room (for the fronts), what this copy
-says (for the agreed log).
+The decision module gets list entries with this copy's rates and states (it divides a rate by the number of
+listed copies), the fronts get the admitted rate of each demand, and the agreed log gets this copy's reports.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteStateChanged:
-    """The word on a site has changed; ``alone``: the agreed log was out of reach."""
+    """The state of a site that this copy acts on changed; ``alone``: the agreed log was out of reach."""
 
     site: str
     state: State
@@ -24,7 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnStateChanged:
-    """What this copy says to the agreed log and to witnesses, by its own endings; None: nothing any more."""
+    """This copy's report to the agreed log and to other copies changed, by its own calls; None: nothing to
+    report."""
 
     site: str
     state: State | None
@@ -32,15 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A list entry to tell the decision module."""
+    """A list entry for the decision module."""
 
     info: EndpointInfo
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimit:
-    """The rate of a line that has room from now on; the rest is refused at once, with ``retry_after`` (ms).
-    Infinite: all."""
+    """The rate of a demand that is admitted from now on, infinite for all; what exceeds it is rejected at
+    once, with ``retry_after`` (ms)."""
 
     line: Demand
     rate: float
--- a/tests/sites/test_plan.py
+++ b/tests/sites/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans place as much, as cheaply, as a linear program does; no taker over its room; stated share kept."""
+"""Plans place as much, at the same cost, as a linear program, within headroom and the configured share."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from brassweir.sites import planning
 from brassweir.sites.flow import Flow
-from brassweir.sites.planning import FILL, TENTHS, TIER, SiteLoad
+from brassweir.sites.planning import FILL, SLICES, TIER_COST, SiteLoad
 
 
-def drawn(rng: Random) -> tuple[SiteLoad, ...]:
+def random_loads(rng: Random) -> tuple[SiteLoad, ...]:
     names = [f"s{i}" for i in range(rng.randint(2, 5))]
-    rooms = []
+    loads = []
     for name in names:
         others = [one for one in names if one != name and rng.random() < 0.9]
         rng.shuffle(others)
         cut = rng.randint(0, len(others))
         tiers = rng.choice([(), (tuple(others[:cut]), tuple(others[cut:]))])
         listed = rng.uniform(50, 2000)
-        rooms.append(
+        loads.append(
             SiteLoad(
                 name,
                 listed * rng.uniform(0.1, 1.0),
@@ -32,34 +32,34 @@
                 full_at=rng.choice([0.0, listed * 0.8]),
             )
         )
-    return tuple(rooms)
+    return tuple(loads)
 
 
-def tiers_of(room: SiteLoad, take: dict[str, float]) -> dict[str, int]:
-    tiers = room.tiers or (tuple(take),)
+def tiers_of(entry: SiteLoad, take: dict[str, float]) -> dict[str, int]:
+    tiers = entry.tiers or (tuple(take),)
     return {
         site: number for number, tier in reversed(list(enumerate(tiers))) for site in tier if site in take
     }
 
 
-def by_programme(rooms: tuple[SiteLoad, ...], case: planning.Case) -> tuple[float, float]:
-    """The most that can be placed, and the least price of placing so much."""
-    give, take = planning.demands(rooms, dict(case))
+def by_linear_program(loads: tuple[SiteLoad, ...], case: planning.Case) -> tuple[float, float]:
+    """The largest rate that can be placed, and the least cost of placing it."""
+    give, take = planning.demands(loads, dict(case))
     pairs = [
-        (room.site, site, tier * TIER)
-        for room in rooms
-        if room.site in give
-        for site, tier in tiers_of(room, take).items()
+        (entry.site, site, tier * TIER_COST)
+        for entry in loads
+        if entry.site in give
+        for site, tier in tiers_of(entry, take).items()
     ]
-    slices = [(site, float(number)) for site in take for number in range(TENTHS)]
+    slices = [(site, float(number)) for site in take for number in range(SLICES)]
     answers: list[float] = []
     for least in (None, 0.0):
         solver = highspy.Highs()
         solver.silent()
-        for *_, price in pairs:
-            solver.addCol(-1.0 if least is None else price, 0.0, highspy.kHighsInf, 0, [], [])
-        for site, price in slices:
-            solver.addCol(0.0 if least is None else price, 0.0, take[site] / TENTHS, 0, [], [])
+        for *_, cost in pairs:
+            solver.addCol(-1.0 if least is None else cost, 0.0, highspy.kHighsInf, 0, [], [])
+        for site, cost in slices:
+            solver.addCol(0.0 if least is None else cost, 0.0, take[site] / SLICES, 0, [], [])
         for home, most in give.items():
             row = [i for i, pair in enumerate(pairs) if pair[0] == home]
             solver.addRow(-highspy.kHighsInf, most, len(row), row, [1.0] * len(row))
@@ -77,81 +77,81 @@
     return answers[0], answers[1]
 
 
-def price(rooms: tuple[SiteLoad, ...], case: planning.Case, flows: dict[tuple[str, str], float]) -> float:
-    _, take = planning.demands(rooms, dict(case))
+def cost(loads: tuple[SiteLoad, ...], case: planning.Case, flows: dict[tuple[str, str], float]) -> float:
+    _, take = planning.demands(loads, dict(case))
     total = sum(
-        rate * TIER * tiers_of(room, take)[to]
-        for room in rooms
+        rate * TIER_COST * tiers_of(entry, take)[to]
+        for entry in loads
         for (home, to), rate in flows.items()
-        if home == room.site
+        if home == entry.site
     )
-    for site, room_there in take.items():
+    for site, headroom in take.items():
         got = sum(rate for (_, to), rate in flows.items() if to == site)
-        for number in range(TENTHS):
-            part = min(got, room_there / TENTHS)
+        for number in range(SLICES):
+            part = min(got, headroom / SLICES)
             total, got = total + part * number, got - part
     return total
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_plan_is_as_good_as_a_linear_program(seed: int) -> None:
-    rooms = drawn(Random(seed))
-    for case in planning.cases(room.site for room in rooms):
-        flows = planning.placed(rooms, case)
-        total, cheapest = by_programme(rooms, case)
+    loads = random_loads(Random(seed))
+    for case in planning.cases(entry.site for entry in loads):
+        flows = planning.placed(loads, case)
+        total, cheapest = by_linear_program(loads, case)
         assert sum(flows.values()) == pytest.approx(total, rel=1e-6, abs=1e-4)
-        assert price(rooms, case, flows) == pytest.approx(cheapest, rel=1e-5, abs=1e-2)
-        give, take = planning.demands(rooms, dict(case))
-        for site, room in take.items():
-            assert sum(rate for (_, to), rate in flows.items() if to == site) <= room + 1e-6
-        for room_ in rooms:
+        assert cost(loads, case, flows) == pytest.approx(cheapest, rel=1e-5, abs=1e-2)
+        give, take = planning.demands(loads, dict(case))
+        for site, headroom in take.items():
+            assert sum(rate for (_, to), rate in flows.items() if to == site) <= headroom + 1e-6
+        for entry in loads:
             assert (
-                sum(rate for (home, _), rate in flows.items() if home == room_.site)
-                <= room_.spill * room_.load + 1e-6
+                sum(rate for (home, _), rate in flows.items() if home == entry.site)
+                <= entry.spill * entry.load + 1e-6
             )
 
 
-def test_a_greedy_flow_is_seen_by_the_same_comparison(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Flow, "edge", _no_way_back(Flow.edge))  # type: ignore[no-untyped-call]
+def test_the_comparison_detects_a_greedy_flow(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Flow, "edge", _without_residual_edges(Flow.edge))  # type: ignore[no-untyped-call]
     worse = 0
     for seed in range(12):
-        rooms = drawn(Random(seed))
-        for case in planning.cases(room.site for room in rooms):
-            flows = planning.placed(rooms, case)
-            total, cheapest = by_programme(rooms, case)
-            worse += sum(flows.values()) < total - 1e-3 or price(rooms, case, flows) > cheapest + 1e-1
+        loads = random_loads(Random(seed))
+        for case in planning.cases(entry.site for entry in loads):
+            flows = planning.placed(loads, case)
+            total, cheapest = by_linear_program(loads, case)
+            worse += sum(flows.values()) < total - 1e-3 or cost(loads, case, flows) > cheapest + 1e-1
     assert worse > 0
 
 
-def _no_way_back(edge):  # type: ignore[no-untyped-def]
-    def made(self, start, end, most, cost):  # type: ignore[no-untyped-def]
-        number = edge(self, start, end, most, cost)
-        self.out[self.node(end)].remove(number + 1)
+def _without_residual_edges(edge):  # type: ignore[no-untyped-def]
+    def edge_without_residual(self, start, end, capacity, cost):  # type: ignore[no-untyped-def]
+        number = edge(self, start, end, capacity, cost)
+        self.edges_from[self.node(end)].remove(number + 1)
         return number
 
-    return made
+    return edge_without_residual
 
 
-def test_takers_fill_alike_and_by_preference() -> None:
-    rooms = (
+def test_takers_fill_evenly_and_by_preference() -> None:
+    loads = (
         SiteLoad("a", 600.0, 1000.0, spill=0.5),
         SiteLoad("b", 400.0, 1000.0),
         SiteLoad("c", 700.0, 1000.0),
     )
-    flows = planning.placed(rooms, planning.case_of({"a": 0.0}))
-    room = {"b": FILL * 1000 - 400, "c": FILL * 1000 - 700}
-    fills = [flows["a", site] / room[site] for site in room]
-    assert sum(flows.values()) == pytest.approx(300.0) and abs(fills[0] - fills[1]) <= 1.0 / TENTHS + 1e-9
-    first = (SiteLoad("a", 600.0, 1000.0, spill=1.0, tiers=(("c",), ("b",))), *rooms[1:])
+    flows = planning.placed(loads, planning.case_of({"a": 0.0}))
+    headroom = {"b": FILL * 1000 - 400, "c": FILL * 1000 - 700}
+    fills = [flows["a", site] / headroom[site] for site in headroom]
+    assert sum(flows.values()) == pytest.approx(300.0) and abs(fills[0] - fills[1]) <= 1.0 / SLICES + 1e-9
+    first = (SiteLoad("a", 600.0, 1000.0, spill=1.0, tiers=(("c",), ("b",))), *loads[1:])
     assert planning.placed(first, planning.case_of({"a": 0.0})) == pytest.approx(
         {("a", "c"): 270.0, ("a", "b"): 330.0}
     )
 
 
-def test_a_new_plan_is_asked_for_only_by_a_change_that_matters() -> None:
-    rooms = (SiteLoad("a", 600.0, 1000.0), SiteLoad("b", 400.0, 1000.0))
-    assert not planning.plan_outdated(rooms, (SiteLoad("a", 615.0, 1000.0), rooms[1]))
-    assert planning.plan_outdated(rooms, (SiteLoad("a", 625.0, 1000.0), rooms[1])) and planning.plan_outdated(
-        rooms, rooms[:1]
+def test_only_a_large_change_makes_a_plan_outdated() -> None:
+    loads = (SiteLoad("a", 600.0, 1000.0), SiteLoad("b", 400.0, 1000.0))
+    assert not planning.plan_outdated(loads, (SiteLoad("a", 615.0, 1000.0), loads[1]))
+    assert planning.plan_outdated(loads, (SiteLoad("a", 625.0, 1000.0), loads[1])) and planning.plan_outdated(
+        loads, loads[:1]
     )
-    assert planning.plan_outdated(rooms, (SiteLoad("a", 600.0, 1000.0, warm=0.5), rooms[1]))
+    assert planning.plan_outdated(loads, (SiteLoad("a", 600.0, 1000.0, warm=0.5), loads[1]))
--- a/tests/sites/test_refusing.py
+++ b/tests/sites/test_refusing.py
@@ -1,4 +1,4 @@
-"""What is refused first, and what becomes of held messages."""
+"""The order in which demand is rejected, and what becomes of queued messages."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 HOG, BULKY = Demand("pay", "hog", "a", 100.0, 3.0), Demand("pay", "y", "a", 10.0, 3.0, calls_per_message=4.0)
 
 
-def test_the_order() -> None:
+def test_the_order_of_rejection() -> None:
     found = order([DEAR, CHEAP, PINNED, HOG, BULKY], 5000.0)
     assert found == [[PINNED], [BULKY], [CHEAP], [DEAR, HOG]], (
-        "worth by room: one that needs four times the room is worth less"
+        "worth per call: a message that needs four calls is worth less"
     )
     assert order([PINNED, CHEAP], 500.0) == [[CHEAP], [PINNED]], (
-        "in time at its own site: it stands by its worth"
+        "it can be delivered in time at its own site, so its worth decides"
     )
 
 
-def test_none_is_starved_beside_its_equal_and_a_hog_takes_nothing_from_others() -> None:
+def test_demand_of_equal_worth_shares_fairly() -> None:
     assert admitted_rates([CHEAP, DEAR, HOG], 0.0, 30.0, 5000.0) == [0.0, 10.0, 20.0]
     assert admitted_rates([CHEAP, DEAR, HOG], 0.0, 6.0, 5000.0) == [0.0, 3.0, 3.0]
     assert admitted_rates([CHEAP, DEAR, PINNED], 5.0, 20.0, 5000.0) == [15.0, 10.0, 0.0], (
-        "pinned and late: its room is of no use"
+        "pinned and too late: capacity would be wasted on it"
     )
     assert admitted_rates([CHEAP, DEAR, PINNED], 5.0, 20.0, 500.0) == [10.0, 10.0, 5.0], (
-        "pinned: only what its own site bears"
+        "pinned: only what its own site can serve"
     )
 
 
@@ -52,7 +52,7 @@
 
 
 @given(lines, st.floats(0, 150.0), st.floats(0, 150.0))
-def test_room_is_kept_and_used_and_no_lower_line_is_let_in_before_a_higher(
+def test_capacity_is_used_but_not_exceeded_and_lower_worth_is_rejected_first(
     found: list[Demand], home: float, away: float
 ) -> None:
     rates = admitted_rates(found, home, away, 5000.0)
@@ -70,7 +70,7 @@
         if rate < line.rate - 1e-6 and not line.pinned
     ]
     if short:
-        assert sum(used) >= home + away - 1e-6, "room is left, and one is refused"
+        assert sum(used) >= home + away - 1e-6, "capacity is unused although demand was rejected"
         for line, rate in zip(found, rates, strict=True):
             for cut in short:
                 assert (
@@ -80,14 +80,14 @@
 
 
 @given(st.lists(st.floats(0.0, 100.0), max_size=9), st.floats(0.0, 300.0))
-def test_filling_gives_the_least_served_the_most_possible(asked: list[float], room: float) -> None:
-    given_ = fill(asked, room)
-    assert abs(sum(given_) - min(room, sum(asked))) < 1e-6
-    cut = [got for got, ask in zip(given_, asked, strict=True) if got < ask - 1e-9]
-    assert not cut or max(given_) <= min(cut) + 1e-6
+def test_fill_is_max_min_fair(asked: list[float], capacity: float) -> None:
+    granted = fill(asked, capacity)
+    assert abs(sum(granted) - min(capacity, sum(asked))) < 1e-6
+    cut = [got for got, ask in zip(granted, asked, strict=True) if got < ask - 1e-9]
+    assert not cut or max(granted) <= min(cut) + 1e-6
 
 
-def test_held_messages() -> None:
+def test_queued_messages() -> None:
     def cls(effect: Effect, group: str = "all") -> MessageClass:
         return MessageClass("m", 100.0, 1000.0, effect, group=group)
 
@@ -98,7 +98,7 @@
     assert held(cls(Effect.SAFE), False, False, 500.0, 9000.0) is Held.MOVE
     assert held(cls(Effect.KEYED), False, False, 500.0, 9000.0) is Held.MOVE
     assert held(cls(Effect.KEYED, "zone"), False, False, 500.0, 9000.0) is Held.END, (
-        "the key's memory went with the site"
+        "the record of keys was lost with the site"
     )
     assert (
         held(cls(Effect.SAFE), True, True, 500.0, 9000.0) is Held.END
--- a/tests/sites/test_view.py
+++ b/tests/sites/test_view.py
@@ -1,4 +1,4 @@
-"""The view's steps: list entries, what is said, what has room, and the time to come back."""
+"""Steps of the view: list entries, reports, admitted demand and the time to retry."""
 
 from __future__ import annotations
 
@@ -44,24 +44,26 @@
     assert SiteStateChanged("b", State.LOST, False) in steps and OwnStateChanged("b", State.LOST) in steps
     entries = {one.info.name: one.info for one in steps if isinstance(one, EndpointUpdate)}
     assert sorted(info.state is EntryState.READY for info in entries.values()) == [False, True], (
-        "one endpoint is tried by this copy"
+        "this copy tries one endpoint"
     )
     assert all(info.zone == "b" and info.rate <= 200.0 for info in entries.values())
     alone = dict(view.spill)
-    whole = PLAN.cases[planning.case_of({"b": 0.0})]
-    assert all(rate <= ALONE * whole[pair] / len(COPIES) + 1e-9 for pair, rate in alone.items()) and set(
+    total = PLAN.cases[planning.case_of({"b": 0.0})]
+    assert all(rate <= ALONE * total[pair] / len(COPIES) + 1e-9 for pair, rate in alone.items()) and set(
         alone
     ) == {("b", "a"), ("b", "c")}
     steps = run(view, 12_000.0, 5, 1.0, {**WELL, "b": State.LOST}, version=2)
-    assert all(view.spill[pair] > 2 * alone[pair] for pair in alone), "agreed: the whole part"
-    let_in = {one.line.class_name: one for one in steps if isinstance(one, AdmissionLimit)}
+    assert all(view.spill[pair] > 2 * alone[pair] for pair in alone), (
+        "with the log's agreement the full share"
+    )
+    limits = {one.line.class_name: one for one in steps if isinstance(one, AdmissionLimit)}
     assert (
-        let_in["kept"].rate == 0.0 and let_in["pay"].rate == float("inf") and 0.0 < let_in["news"].rate < 7.0
+        limits["kept"].rate == 0.0 and limits["pay"].rate == float("inf") and 0.0 < limits["news"].rate < 7.0
     )
-    assert all(1_000.0 < one.retry_after < 60_000.0 for one in let_in.values() if one.rate < float("inf"))
+    assert all(1_000.0 < one.retry_after < 60_000.0 for one in limits.values() if one.rate < float("inf"))
     steps = run(view, 17_000.0, 6, 0.0, {**WELL, "b": State.LOST}, version=2)
     assert OwnStateChanged("b", State.RETURNING) in steps and view.state("b") is State.LOST, (
-        "the worse word is acted on"
+        "the worse state is acted on"
     )
     run(view, 23_000.0, 2, 0.0, {**WELL, "b": State.RETURNING}, version=3)
     assert 0.2 * 200.0 / len(COPIES) <= view.home["b"] < 0.8 * 200.0 / len(COPIES)
@@ -72,7 +74,7 @@
         and not view.spill
         and view.home["b"] == float("inf")
     )
-    assert {one.name for one in SETUP.endpoints if view.told[one.name] == one} == {
+    assert {one.name for one in SETUP.endpoints if view.reported[one.name] == one} == {
         one.name for one in SETUP.endpoints
     }
     assert [one.rate for one in steps if isinstance(one, AdmissionLimit)][-1] == float("inf")
@@ -87,7 +89,7 @@
     assert view.agreed.version == 7 and not view.verdicts.reached, "its lease is over"
 
 
-def test_without_anything_known_a_copy_starts_at_the_cold_part() -> None:
+def test_a_copy_that_knows_nothing_starts_at_the_cold_share() -> None:
     view = SitesView(SETUP, Random(1))
     view.step(0.0, Facts(demand=LINES))
     assert view.home["a"] <= 0.25 * 200.0 / len(COPIES) and not view.spill
--- a/tests/sites/test_world.py
+++ b/tests/sites/test_world.py
@@ -1,4 +1,4 @@
-"""Whole days of a fleet in the site world: limits by the second over all copies; each guard broken is seen."""
+"""Faults in the site simulation: limits hold at every second over all copies, and each guard is needed."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     start_capacity=0.2,
     spill=0.5,
 )
-DOUBT = (
-    4_000.0  # ms until a site that fails is called less: what rises again within them met what was on its way
+GRACE_MS = (
+    4_000.0  # until a failing site is called less: one that rises again sooner meets calls still on the way
 )
 
 DAYS: dict[str, tuple[World, tuple[Fault, ...], float]] = {
@@ -73,22 +73,22 @@
 
 
 def broken(world: World, faults: tuple[Fault, ...], tape: list[Second]) -> list[str]:
-    """What the judges complain of."""
-    found = []
+    """The limits that were violated, as text."""
+    violations = []
     if (figure := judges.peak_at_takers(tape, faults)) > 1.0:
-        found.append(f"taker at {figure:.2f} of its capacity")
-    if (figure := judges.peak_returning(tape, DOUBT)) > 1.0:
-        found.append(f"cold site at {figure:.2f} of what it bears")
+        violations.append(f"taker at {figure:.2f} of its capacity")
+    if (figure := judges.peak_returning(tape, GRACE_MS)) > 1.0:
+        violations.append(f"cold site at {figure:.2f} of what it bears")
     if (figure := judges.most_spilled(tape, world)) > 1.001:
-        found.append(f"spilled {figure:.2f} of the stated share")
+        violations.append(f"spilled {figure:.2f} of the stated share")
     if wrong := judges.refused_wrongly(tape):
-        found.append(f"refused in a wrong order: {wrong[0]}")
+        violations.append(f"refused in a wrong order: {wrong[0]}")
     if false := judges.false_losses(tape, faults):
-        found.append(f"false loss: {false[0]}")
-    found += [
+        violations.append(f"false loss: {false[0]}")
+    violations += [
         f"called while down: {site}" for site in world.capacity if judges.called_while_down(tape, site) > 0.05
     ]
-    return found
+    return violations
 
 
 @pytest.mark.parametrize("name", DAYS)
@@ -97,7 +97,7 @@
     assert broken(world, faults, SiteWorld(world, faults, 1).run(seconds)) == []
 
 
-def test_verdict_return_and_worth() -> None:
+def test_detection_and_return_are_fast_and_runs_are_reproducible() -> None:
     world, faults, seconds = DAYS["lost"]
     tape = SiteWorld(world, faults, 1).run(seconds)
     verdict_after, whole_after = judges.verdict_after(tape, LOST), judges.whole_after(tape, LOST)
@@ -108,17 +108,15 @@
         and whole_after <= 15_000.0
     )
     again = SiteWorld(world, faults, 1).run(seconds)
-    assert [one.offered for one in again] == [one.offered for one in tape], "the same seed, the same day"
+    assert [one.offered for one in again] == [one.offered for one in tape], "the same seed gives the same run"
 
 
 def test_silence_of_copies_moves_no_load() -> None:
     world, faults, seconds = DAYS["copies only"]
     tape = SiteWorld(world, faults, 1).run(seconds)
-    assert not any(one.spilled for one in tape), (
-        "its copies' clients go to others, its endpoints are called as before"
-    )
+    assert not any(one.spilled for one in tape), "its endpoints are called as before"
     assert judges.worth(tape) > 0.98, (
-        "copies that come back with a log just led anew ramp, though nothing was cold"
+        "copies restarted with a newly led log ramp up, but the site was never cold"
     )
 
 
@@ -126,21 +124,21 @@
 
 
 def wasted(tape: list[Second]) -> float:
-    """Calls that brought nothing in the last two flaps, of those of the first two."""
+    """Failed calls in the last two flaps, as a share of those in the first two."""
     return judges.lost_in(tape, "a", 60e3, 88e3) / judges.lost_in(tape, "a", 4e3, 32e3)
 
 
 def test_a_site_that_keeps_failing_costs_less_each_time(monkeypatch: pytest.MonkeyPatch) -> None:
     assert wasted(SiteWorld(EVERYDAY, FLAPS, 1).run(88)) < 0.5
     monkeypatch.setattr(SiteVerdicts, "distrust", lambda *_: 0.0)
-    assert wasted(SiteWorld(EVERYDAY, FLAPS, 1).run(88)) > 0.5, "distrust that does not grow is seen"
+    assert wasted(SiteWorld(EVERYDAY, FLAPS, 1).run(88)) > 0.5, "without distrust the waste stays"
 
 
-def one(owner: object, name: str, value: object) -> Callable[[pytest.MonkeyPatch], None]:
+def replace_with(owner: object, name: str, value: object) -> Callable[[pytest.MonkeyPatch], None]:
     return lambda monkeypatch: monkeypatch.setattr(owner, name, value)
 
 
-def by_copy(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], SitesView]:
+def whole_capacity_for_each_copy(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], SitesView]:
     def make(setup: Setup, rng: Random) -> SitesView:
         view = SitesView(setup, rng)
         for site, ramp in view.ramps.items():
@@ -150,30 +148,30 @@
     return make
 
 
-def takers_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def takers_without_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     demands = planning.demands
     monkeypatch.setattr(
         planning, "demands", lambda *args: (demands(*args)[0], dict.fromkeys(demands(*args)[1], 1e9))
     )
 
 
-def no_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_restart_of_ramps(monkeypatch: pytest.MonkeyPatch) -> None:
     step = Ramp.step
     monkeypatch.setattr(verdict, "RELAPSE", math.inf)
-    monkeypatch.setattr(slow_start, "LAPSE", math.inf)
+    monkeypatch.setattr(slow_start, "LAPSE_MS", math.inf)
     monkeypatch.setattr(
         Ramp, "step", lambda self, now, state, last, bad, *rest: step(self, now, state, last, 0.0, *rest)
     )
 
 
-def no_stated_share(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], SitesView]:
+def no_spill_limit(monkeypatch: pytest.MonkeyPatch) -> Callable[[Setup, Random], SitesView]:
     demands = planning.demands
     monkeypatch.setattr(
         planning,
         "demands",
-        lambda rooms, left: (
-            {one.site: one.load for one in rooms if one.site in left},
-            demands(rooms, left)[1],
+        lambda loads, left: (
+            {entry.site: entry.load for entry in loads if entry.site in left},
+            demands(loads, left)[1],
         ),
     )
 
@@ -187,28 +185,28 @@
 @pytest.mark.parametrize(
     "guard, day, seen",
     [
-        (by_copy, DAYS["lost"], "cold site"),
-        (one(SiteVerdicts, "_look_at_self", lambda *_: None), DAYS["cut off"], "false loss"),
-        (one(SiteVerdicts, "_general", lambda *_: False), DAYS["very slow"], "false loss"),
-        (takers_without_end, DAYS["lost at the peak"], "taker"),
-        (no_step_back, DAYS["relapse"], "cold site"),
+        (whole_capacity_for_each_copy, DAYS["lost"], "cold site"),
+        (replace_with(SiteVerdicts, "_check_own_isolation", lambda *_: None), DAYS["cut off"], "false loss"),
+        (replace_with(SiteVerdicts, "_general", lambda *_: False), DAYS["very slow"], "false loss"),
+        (takers_without_limit, DAYS["lost at the peak"], "taker"),
+        (no_restart_of_ramps, DAYS["relapse"], "cold site"),
         (
-            one(admission, "equal_groups", lambda lines: [[line] for line in lines]),
+            replace_with(admission, "equal_groups", lambda lines: [[line] for line in lines]),
             DAYS["lost at the peak"],
             "wrong order",
         ),
-        (one(slow_start, "SAFE", 2.0), DAYS["lost at the peak"], "cold site"),
-        (one(verdict, "UNANSWERED", 0.0), DAYS["a blip of the taker"], "cold site"),
-        (no_stated_share, DAYS["a small share"], "spilled"),
+        (replace_with(slow_start, "SAFE", 2.0), DAYS["lost at the peak"], "cold site"),
+        (replace_with(verdict, "UNANSWERED_MS", 0.0), DAYS["a blip of the taker"], "cold site"),
+        (no_spill_limit, DAYS["a small share"], "spilled"),
     ],
 )
-def test_a_guard_that_is_broken_is_seen(
+def test_each_guard_is_needed(
     monkeypatch: pytest.MonkeyPatch,
     guard: Callable[[pytest.MonkeyPatch], object],
     day: tuple[World, tuple[Fault, ...], float],
     seen: str,
 ) -> None:
-    """The same days are clean in ``test_limits_hold``."""
+    """The same faults violate nothing in ``test_limits_hold``."""
     world, faults, seconds = day
     make = guard(monkeypatch)
     tape = SiteWorld(world, faults, 1, make if make is not None else SitesView).run(seconds)  # type: ignore[arg-type]
