--- a/brassweir/cli/node.py
+++ b/brassweir/cli/node.py
@@ -1,4 +1,4 @@
-"""``brassweir node``: one sender on the platform."""
+"""The command ``brassweir node``: runs one sender on the platform."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 @click.command()
 def node() -> None:
-    """Run one sender on the platform, until SIGTERM; SIGHUP reads the configuration again.
+    """Run one sender on the platform until SIGTERM; SIGHUP reloads the configuration.
 
-    RELAY_CONFIG names the configuration, RELAY_STATE the folder that lasts.
+    RELAY_CONFIG names the configuration file, RELAY_STATE the directory that keeps the journal and the saved
+    list.
     """
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/brassweir/relay/__init__.py
+++ b/brassweir/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's HTTP side: calls to endpoints, notices of ends, the endpoint list, the configuration."""
+"""The platform's side of a sender: calls to endpoints, notices, the endpoint list and the configuration."""
--- a/brassweir/relay/carrier.py
+++ b/brassweir/relay/carrier.py
@@ -1,4 +1,4 @@
-"""Makes one attempt at one endpoint of the platform: ``POST /receive``."""
+"""Sends attempts to the platform's endpoints, each as one ``POST /receive``."""
 
 from __future__ import annotations
 
@@ -13,29 +13,37 @@
 from brassweir.net.pool_manager import PoolManager
 from brassweir.relay import outcomes
 
-# Seconds for which a call's last byte is held back (see HttpPool): enough for a reset to come from the next
-# machine but one, and little beside a call. Without it every closing that crosses a call may have run it.
+# For the last byte of a request (see ``post``): a reset of the connection that arrives before it proves that
+# the attempt has not run.
 HOLD = 0.005
-SETTLING = frozenset({200})  # a first line with this status is true, whatever follows it
-UNSURE = frozenset({Result.TIMEOUT, Result.RESET})  # endings without a word: the path may be gone
+# Statuses whose status line decides the outcome, whatever follows it.
+SETTLING = frozenset({200})
+# Without a response the network path may have failed, and the idle connections to the endpoint with it.
+UNSURE = frozenset({Result.TIMEOUT, Result.RESET})
 
 
 class RelayCarrier(TaskCarrier):
-    """Carries attempts to endpoints. A pool belongs to an endpoint and its address together: one that comes
-    to an address that another has left inherits none of its connections."""
+    """Carries attempts to endpoints over HTTP.
+
+    A connection pool belongs to the pair of endpoint and address, so that an endpoint that takes over the
+    address of another one does not inherit its connections.
+    """
 
     def __init__(self, urls: Urls, pools: PoolManager, clock: Clock, note: Note) -> None:
         super().__init__(urls, pools, note, "")
         self.pools, self.clock = pools, clock
 
     def close_idle(self, endpoint: str) -> None:
-        """Close idle connections to an endpoint."""
+        """Close the idle connections to an endpoint."""
         url = self.urls.url(endpoint)
         if url is not None:
             self.pools.close_idle(url, endpoint)
 
     async def call(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
-        """Make the attempt and tell how it ended."""
+        """Make the attempt and pass its outcome to ``done``.
+
+        An endpoint without an address ends as NO_CONNECTION.
+        """
         name, given = attempt.endpoint.name, attempt.submission
         url, payload = self.urls.url(name), given.payload
         if url is None or not isinstance(payload, Payload):
@@ -54,7 +62,7 @@
                 return
             outcome = no_answer(failed.stage is not Stage.CONNECT, True, failed.timed_out, failed.reason)
             if outcome.result in UNSURE:
-                pool.close_idle()  # the others to it may be as dead, and would say so no sooner
+                pool.close_idle()  # other connections to the endpoint may be dead too
             done(outcome)
         else:
             done(outcomes.status(reply.status, reply.headers.first, reply.reused))
--- a/brassweir/relay/discovery.py
+++ b/brassweir/relay/discovery.py
@@ -1,14 +1,14 @@
-"""Keeps up the watch of the endpoint list: one that is confirmed, and until there is one, requests in a row.
+"""Keeps a watch of the endpoint list open and replaces one that fails.
 
-A watch is confirmed by its first whole object or empty line: from then on its connection tells each
-change as it comes. Without one a request goes out every ``pace`` seconds, whatever became of those
-before: an agent that was silent and is back is heard within that time and the way there. Those that are
-not answered are left open as long as there is room, since a slow answer is one too; the oldest always
-stays, until it has been silent for too long.
+A watch is confirmed by its first complete object or empty line. From then on it delivers each change as it
+comes. While no watch is confirmed, a new request goes out every ``request_interval`` seconds without waiting
+for those before, so that an agent that comes back is noticed within that time. Unanswered requests stay open,
+up to ``MAX_UNCONFIRMED_WATCHES``, because their answers may only be slow. The oldest one stays open until its
+timeout.
 
-How late a change can be told: on an open watch, at once. A watch that fell silent costs ``SILENT`` and
-``READ_FIRST``, one more that gave its head and fell silent the same again, the next request at most ``pace``:
-5.14 s as a sum, and 6 s are allowed. A watch that was cut costs ``pace`` at most.
+The platform allows 6 s for a change to take effect. The worst case is a confirmed watch that falls silent,
+followed by one that falls silent after its response head: each takes ``SILENCE_TIMEOUT_SECONDS +
+FINAL_READ_SECONDS``, and the next request up to ``request_interval``. That is 5.14 s in total.
 """
 
 from __future__ import annotations
@@ -20,25 +20,29 @@
 from brassweir.relay.endpoint_list import Change, read
 from brassweir.relay.watch import Watch
 
-PACE = 0.1  # seconds between two requests while none is confirmed
-MOST_UNCONFIRMED = 4  # requests that are not confirmed, open at once
-LEFT_AFTER = 3.0  # seconds after a move for which the old address is still heard: 4 s after it, changes count
+PACE = 0.1  # while no watch is confirmed
+MOST_UNCONFIRMED = 4  # open at the same time
+# For a confirmed watch at the old address after a move; from 4 s on, changes at the new address count.
+LEFT_AFTER = 3.0
 
 Note = Callable[[str, dict[str, object]], None]
 
 
 def _nothing() -> None:
-    """Nobody asked."""
+    """Default for ``on_confirmed``."""
 
 
 def _unheard(why: str, heard: float) -> None:
-    """Nobody asked."""
+    """Default for ``on_lost``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hearers:
-    """Who is told of what: each change, that a watch is confirmed, and that none is any more, with the reason
-    and the loop time at which the last one was heard."""
+    """Callbacks for each change, for a watch that is confirmed, and for the loss of the confirmed watch.
+
+    ``on_lost`` gets the reason and the loop time (seconds) at which the agent was
+    last known to be up.
+    """
 
     change: Callable[[Change], None]
     confirmed: Callable[[], None] = _nothing
@@ -46,19 +50,22 @@
 
 
 class Discovery:
-    """Watches the list at ``address``. ``rev`` tells the version to go on from."""
+    """Watches the list at ``address``.
+
+    ``rev`` returns the version known, from which a new watch continues.
+    """
 
     def __init__(
         self, address: str, rev: Callable[[], int], hearers: Hearers, note: Note, pace: float = PACE
     ) -> None:
         self.address, self.rev, self.hearers, self.note, self.pace = address, rev, hearers, note, pace
         self.confirmed: Watch | None = None
-        self.unconfirmed: list[Watch] = []  # requests in the order in which they went out
+        self.unconfirmed: list[Watch] = []  # in the order of their requests
         self.opened = self.changes = 0
         self.stopped = False
-        self.failure = ""  # the last one told: a row of the same is told once
-        self.next: asyncio.TimerHandle | None = None  # of the next request
-        self.leaves: asyncio.TimerHandle | None = None  # of the end of the watch at the old address
+        self.failure = ""  # the last one logged: repetitions are not logged
+        self.next: asyncio.TimerHandle | None = None
+        self.leaves: asyncio.TimerHandle | None = None
         self.asked_at = float("-inf")  # loop time of the last request
 
     def start(self) -> None:
@@ -66,7 +73,10 @@
         self._open()
 
     def move(self, address: str) -> None:
-        """The list is told elsewhere from now on. A confirmed watch is heard until one is confirmed there."""
+        """Watch at another address.
+
+        A confirmed watch stays open until one is confirmed there, or for some seconds.
+        """
         if self.confirmed is not None and self.confirmed.address == address == self.address:
             return
         self.address, self.failure = address, ""
@@ -76,7 +86,7 @@
         self._open()
 
     def stop(self) -> None:
-        """End every watch."""
+        """Close every watch."""
         self.stopped = True
         self._cancel_next()
         self._drop_unconfirmed()
@@ -97,7 +107,7 @@
         self.next = loop.call_later(self.pace, self._open)
 
     def _open_in_turn(self) -> None:
-        """Send the next request, at once if the last one is long enough ago."""
+        """Schedule the next request for ``request_interval`` after the last one."""
         self._cancel_next()
         loop = asyncio.get_running_loop()
         self.next = loop.call_at(max(loop.time(), self.asked_at + self.pace), self._open)
@@ -123,22 +133,22 @@
     def _leave(self) -> None:
         self.leaves = None
         if self.confirmed is not None:
-            self.confirmed.end("its address was left")
+            self.confirmed.end("moved to another address")
 
-    # ---- as the watches' owner
+    # ---- events of the watches (WatchOwner)
 
     def headed(self, watch: Watch) -> None:
-        """An answer has begun: its first object or empty line is waited for before the next request."""
+        """A response has begun: wait for its first object or empty line before sending another request."""
         if watch in self.unconfirmed:
             self._cancel_next()
 
     def partial(self, watch: Watch) -> None:
-        """The rest of an object may never come: others are asked as long as it has not."""
+        """An object is incomplete: send other requests meanwhile, since the rest of it may never come."""
         if watch in self.unconfirmed and self.next is None:
             self._open_in_turn()
 
     def whole(self, watch: Watch, data: bytes) -> None:
-        """One object of a watch, or an empty line. Raises ListError."""
+        """Pass on a change; an object or an empty line also confirms the watch. Raises ListError."""
         if data.strip():
             self.hearers.change(read(data))
             self.changes += 1
@@ -156,7 +166,7 @@
         self.hearers.confirmed()
 
     def ended(self, watch: Watch, why: str) -> None:
-        """A watch is over; another request follows."""
+        """Report a watch that has ended, and send another request where one is needed."""
         if self.stopped:
             return
         if watch is self.confirmed:
--- a/brassweir/relay/endpoint_list.py
+++ b/brassweir/relay/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the platform tells it: objects in, news for the decisions out. Pure."""
+"""Parses the platform's endpoint list and derives what changed for the decision module. Pure."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 _STATES = {"active": EntryState.READY, "leaving": EntryState.DRAINING, "left": EntryState.GONE}
 _NAMES = {state: name for name, state in _STATES.items()}
-_SCHEME, _PATH = "http://", "/receive"  # around an endpoint's address
+_SCHEME, _PATH = "http://", "/receive"
 
 
 class Target(msgspec.Struct):
-    """One entry, with the platform's names."""
+    """One endpoint, with the field names of the platform."""
 
     uid: str
     endpoint: str
@@ -30,7 +30,7 @@
 
 
 class Change(msgspec.Struct):
-    """A whole list, or what changed in it up to version ``rev``."""
+    """A snapshot of the list (``all``), or the entries that changed up to version ``rev``."""
 
     rev: int
     all: bool
@@ -38,35 +38,39 @@
 
 
 class ListError(ValueError):
-    """An object of the list cannot be read."""
+    """An object of the list is malformed or invalid."""
 
 
 _decoder = msgspec.json.Decoder(Change)
 
 
-# A string within a line, whole or cut by its end. It never goes back over what it read: no text takes long.
+# A JSON string within a line, or its beginning if the line ends in it. Possessive quantifiers rule out
+# backtracking.
 _STRING = re.compile(rb'"[^"\\]*+(?:\\.[^"\\]*+)*+"?')
 
 
 class Objects:
-    """Cuts the bytes of a watch into objects, each on one line or indented over several, and empty lines.
+    """Splits the bytes of a watch into JSON objects, on one line or indented over several, and empty lines.
 
-    Braces outside strings say where an object ends; no string goes over a line's end. ``largest`` bounds the
-    bytes of one object.
+    An object ends at the line that closes its last brace; braces within strings don't count, and strings
+    don't span lines. ``max_bytes`` limits one object.
     """
 
     def __init__(self, largest: int) -> None:
         self.largest, self.depth = largest, 0
-        self.lines = bytearray()  # of the object that is open
-        self.line = bytearray()  # the one that has not ended
+        self.lines = bytearray()  # complete lines of an incomplete object
+        self.line = bytearray()  # the line that has not ended yet
 
     @property
     def partial(self) -> bool:
-        """Has an object begun that is not whole?"""
+        """Whether an incomplete object is buffered."""
         return bool(self.lines or self.line)
 
     def feed(self, part: bytes) -> Iterator[bytes]:
-        """What is whole with these bytes. Raises ListError on an object that is too large."""
+        """Add bytes and yield what they complete: objects and empty lines.
+
+        Raises ListError if an object is too large.
+        """
         *ends, rest = part.split(b"\n")
         for end in ends:
             self.line += end
@@ -84,7 +88,7 @@
 
 
 def read(data: bytes | memoryview) -> Change:
-    """One object. Raises ListError, and then nothing of it counts."""
+    """Parse one object. Raises ListError."""
     try:
         return checked(_decoder.decode(data))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -92,23 +96,23 @@
 
 
 def checked(change: Change) -> Change:
-    """The same, with all that its types do not say looked at. Raises ListError."""
+    """Check what the types don't express, and return the change. Raises ListError."""
     seen = set()
     for one in change.targets:
         if one.state not in _STATES:
             raise ListError(f"endpoint list: {one.uid}: unknown state {one.state!r}")
         if not one.uid or one.uid in seen:
-            raise ListError(f"endpoint list: uid {one.uid!r} is empty or stands twice")
+            raise ListError(f"endpoint list: uid {one.uid!r} is empty or appears twice")
         if not 0.0 <= one.capacity_hint < 1e9 or one.pod_group < 0:
             raise ListError(f"endpoint list: {one.uid}: capacity_hint or pod_group is out of range")
         if not address(one.endpoint):
-            raise ListError(f"endpoint list: {one.uid}: {one.endpoint!r} is no address and port")
+            raise ListError(f"endpoint list: {one.uid}: {one.endpoint!r} is not an IPv4 address and port")
         seen.add(one.uid)
     return change
 
 
 def address(text: str) -> bool:
-    """Is this an IPv4 address and a port? There are no names on the platform."""
+    """Whether the text is an IPv4 address and a port. The platform uses no host names."""
     host, _, port = text.rpartition(":")
     if not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         return False
@@ -120,7 +124,10 @@
 
 
 class Listing:
-    """What is known of the list, where each endpoint is, and which destinations there have been."""
+    """The endpoints known, their URLs, and every destination listed so far.
+
+    ``known`` maps uids to endpoints, ``urls`` maps them to URLs. ``rev`` is the version of the list.
+    """
 
     def __init__(self) -> None:
         self.rev = 0
@@ -129,7 +136,7 @@
         self.destinations: set[int] = set()
 
     def whole(self) -> Change:
-        """All that is known, as one list of this version."""
+        """Return the complete list at its current version."""
         return Change(self.rev, True, [self._target(info) for info in self.known.values()])
 
     def _target(self, info: EndpointInfo) -> Target:
@@ -138,18 +145,18 @@
         return Target(info.name, place, info.destination, state, info.zone, info.kind, info.rate)
 
     def url(self, endpoint: str) -> str | None:
-        """The URL of a listed endpoint (see :class:`brassweir.core.ports.Urls`)."""
+        """Return the URL of a listed endpoint, or None (see :class:`brassweir.core.ports.Urls`)."""
         return self.places.get(endpoint)
 
     def listed(self, destination: int) -> bool:
-        """Is, or was, there such a destination?"""
+        """Whether the destination is or was listed."""
         return destination in self.destinations
 
     def take(self, change: Change, kind: ListKind = ListKind.DELTA) -> ListUpdate:
-        """What the decisions are to be told of a change: what is forbidden comes first.
+        """Apply a snapshot or a delta; return the entries that differ from before, with READY ones last.
 
-        Of a whole list only what differs is told, and what it lacks is gone. Endpoints that are gone are
-        forgotten here; an id is never given to another.
+        Endpoints that a snapshot lacks are reported as GONE. Endpoints that are gone are forgotten: the
+        platform never reuses a uid.
         """
         fresh = {one.uid: _info(one) for one in change.targets}
         if change.all:
--- a/brassweir/relay/notices.py
+++ b/brassweir/relay/notices.py
@@ -1,8 +1,8 @@
-"""Tells the platform of ends that are no delivery: ``POST /status``, one JSON object a line.
+"""Reports final answers other than deliveries to the platform: ``POST /status``, one JSON object per line.
 
-A notice is owed until it was answered; until then it stands in the journal too. Notices that come while one
-post is under way go together in the next. A notice that is told twice does no harm, one that comes late does:
-so a post that may be lost is given up soon, and one to where the platform was is given up as it moves.
+A notice is pending until the platform has acknowledged it, and the journal holds it until then. Notices that
+arrive during a post go together in the next one. A repeated notice is harmless and a late one is not:
+therefore posts have short timeouts, and a post to an old address is cancelled when the platform moves.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from brassweir.net.headers import Headers
 from brassweir.net.pool_manager import PoolManager
 
-MOST = 200  # notices of one post: some 20 KB, under the platform's bound on bodies
-WITHIN, PATIENT = 0.2, 1.0  # seconds for one post, doubled up to the second; the platform answers at once
-FIRST, LONGEST = 0.05, 0.5  # seconds between tries, doubled up to the longest
+MOST = 200  # about 20 KB, below the platform's limit on request bodies
+WITHIN, PATIENT = 0.2, 1.0  # doubled with each failure
+FIRST, LONGEST = 0.05, 0.5  # doubled with each failure
 
 Note = Callable[[str, dict[str, object]], None]
 
 
 class Notice(msgspec.Struct, omit_defaults=True):
-    """One end."""
+    """A final answer: ``bounced`` (refused; ``wait_ms`` until a new submission makes sense) or ``dead``."""
 
     ref: str
     result: str
@@ -34,25 +34,28 @@
 
 
 def notice(ref: str, answer: FinalAnswer) -> Notice:
-    """The platform's words for a final answer that is no delivery."""
+    """Translate a final answer other than a delivery into the platform's terms."""
     if answer.answer is Answer.REFUSED:
         return Notice(ref, "bounced", int(answer.retry_after))
     return Notice(ref, "dead")
 
 
 class Notices:
-    """The line of notices owed. ``told`` is called with the message's number once the platform has one."""
+    """Sends notices in order and repeats them until they are acknowledged.
+
+    ``on_acknowledged`` is called with the message's number once the platform has answered its notice.
+    """
 
     def __init__(self, pools: PoolManager, discovery: str, told: Callable[[int], None], note: Note) -> None:
         self.pools, self.told, self.note = pools, told, note
         self.owed: deque[tuple[int, Notice]] = deque()
         self.task: asyncio.Task[None] | None = None
         self.sent = 0
-        self.alone = 0  # posts to come with one notice each: one of them could not be read
+        self.alone = 0  # number of posts to send with one notice each, after a batch got a 400
         self.move(discovery)
 
     def move(self, discovery: str) -> None:
-        """From now on the platform listens elsewhere: what is owed goes there at once."""
+        """Send to another address from now on. A post under way is cancelled and repeated there at once."""
         self.url = f"http://{discovery}/status"
         self.pools.close_all_idle()
         if self.task is not None:
@@ -60,7 +63,7 @@
             self._start()
 
     def owe(self, message: int, one: Notice) -> None:
-        """A message has ended."""
+        """Queue the notice for a message that has ended."""
         self.owed.append((message, one))
         if self.task is None or self.task.done():
             self._start()
@@ -94,9 +97,9 @@
             self.note("notice_failed", {"error": str(failed), "owed": len(self.owed)})
             return False
         if reply.status == 400 and len(batch) > 1:
-            self.alone = len(batch)  # the others must not go unread with it
+            self.alone = len(batch)  # one unreadable notice must not block the others
             return False
         if reply.status == 400:
             self.note("notice_unreadable", {"refs": [one.ref for _, one in batch][:5]})
-            return True  # it will not be read the next time either
+            return True  # repeating it would give the same answer
         return 200 <= reply.status < 300
--- a/brassweir/relay/outcomes.py
+++ b/brassweir/relay/outcomes.py
@@ -1,21 +1,23 @@
-"""How each ending of a call to an endpoint reads. Pure; the platform's table, row by row.
+"""Maps an endpoint's response to the outcome of an attempt. Pure.
 
-=======================================  =============  ==================================================
-what came                                outcome        has it run?
-=======================================  =============  ==================================================
-200, whatever follows its line           ok             yes
-500                                      error          it may have
-429, perhaps with X-Backoff-Ms           full, a wait   never
-503                                      full           never
-503 that ends a new connection           crowded        never: the endpoint holds no more of them
-503 with X-Egress-Full: 1                moot           never: all slots of this sender were taken
-504                                      moot           never: no attempts are left; its end is owed
-410                                      moot, over     never: the message is over
-any other status                         error          it may have: nothing says that it has not
-no connection, or none was written to    no connection  never
-cut, or an answer that cannot be read    reset          it may have
-no whole answer in time                  timeout        it may have, or may yet
-=======================================  =============  ==================================================
+===========================================  ================  ==========================================
+response                                     result            has the message run?
+===========================================  ================  ==========================================
+200, whatever follows the status line        OK                yes
+500                                          ERROR             possibly
+429, with or without X-Backoff-Ms            BUSY, a wait      no
+503                                          BUSY              no
+503 that closes a new connection             CONNECTION_LIMIT  no: the connection limit is reached
+503 with X-Egress-Full: 1                    NOT_STARTED       no: all slots of this sender were in use
+504                                          NOT_STARTED       no: the attempts are used up
+410                                          NOT_STARTED       no, and the message is rejected as over
+any other status                             ERROR             possibly
+not connected, or nothing sent               NO_CONNECTION     no
+connection lost, or an unreadable response   RESET             possibly
+no complete response in time                 TIMEOUT           possibly, or it still may
+===========================================  ================  ==========================================
+
+The last three rows are decided by the carrier, which has no response in these cases.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 from brassweir.core.ports import Outcome
 from brassweir.interface import Result
 
-LONGEST = 3_600_000.0  # ms: a told wait beyond an hour cannot be meant
+LONGEST = 3_600_000.0  # a longer wait is taken for an error of the endpoint
 _NUMBER = re.compile(r"\d{1,9}(?:\.\d{1,6})?")
 _SHARE = re.compile(r"-?\d{1,12}(?:\.\d{1,12})?(?:[eE]-?\d{1,2})?")
 
@@ -34,11 +36,12 @@
 
 
 def status(code: int, field: Field, kept: bool) -> Outcome:
-    """What a whole answer says, on a connection that was kept from an earlier call or on a new one.
+    """Map a complete response to an outcome. ``reused`` says that the connection had served an earlier call.
 
-    One that is over its limit goes on with the connection, and reports if it ever does; one that holds too
-    many ends the new one unheard. Whoever takes that for the limit slows down, keeps the idle connections it
-    has, and so never learns why.
+    A 503 with ``Connection: close`` and without a load report on a new connection means that the endpoint's
+    connection limit is reached. An endpoint over its rate limit keeps the connection open and gets BUSY. If a
+    full connection limit counted as BUSY too, the call rate would drop while idle connections kept using up
+    the limit.
     """
     left, limit = report(field("X-Backend-Load"))
     if code == 200:
@@ -62,9 +65,10 @@
 
 
 def report(text: str) -> tuple[float | None, float | None]:
-    """The share of the allowance that is left, and the limit in calls a second; None for what is not told.
+    """Parse ``X-Backend-Load`` into the remaining share of the rate limit and the limit in calls per second.
 
-    A report that cannot be read in any part is passed over whole: half of one may be spoilt too.
+    Either is None if it is not reported. A header with any malformed or out-of-range part is ignored as a
+    whole.
     """
     found: dict[str, float] = {}
     for part in text.split(",") if text else ():
--- a/brassweir/relay/settings.py
+++ b/brassweir/relay/settings.py
@@ -1,6 +1,6 @@
-"""The platform's configuration, JSON, as a sender is given it. Pure.
+"""Parses the JSON configuration of a sender on the platform. Pure.
 
-Settings have one reader, the adapter's: what comes nested here is laid out as the simulator lays it out.
+The nested settings are flattened into the simulator's dotted names, so that the adapter's parser reads both.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from brassweir.interface import Settings, SettingsError
 from brassweir.relay.endpoint_list import Change, ListError, address, checked
 
-DRAIN_GRACE = 250.0  # ms, where the settings name none: the shortest that a deployment has
+DRAIN_GRACE = 250.0  # the shortest of all deployments
 
 
 class NodeError(ValueError):
-    """The configuration cannot be used; says which field."""
+    """The configuration is invalid; the message names the field."""
 
 
 class Limits(msgspec.Struct):
-    """What the machine gives."""
+    """Resources that the process may use."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """All that one sender on the platform is told."""
+    """The configuration of one sender on the platform. Addresses are ``host:port``."""
 
     name: str
     listen: str
@@ -52,41 +52,44 @@
     limits: Limits
     known: Change | None
     settings: Settings
-    drain_grace: float = 0.25  # seconds in which calls to an endpoint that was told off must cease
+    drain_grace: float = 0.25  # seconds within which calls to a draining endpoint must cease
 
     @property
     def shortest(self) -> float:
-        """The shortest deadline, in seconds."""
+        """The shortest deadline of all classes, in seconds."""
         return min(cls.deadline for cls in self.settings.classes) / 1000.0
 
     @property
     def longest(self) -> float:
-        """The longest deadline, in seconds: nothing that is held needs this process for longer, and platforms
-        with short ones kill a leaving one sooner."""
+        """The longest deadline of all classes, in seconds.
+
+        It limits a shutdown: no queued message can use more time, and platforms with short deadlines kill
+        sooner.
+        """
         return max(cls.deadline for cls in self.settings.classes) / 1000.0
 
 
 def read(data: bytes) -> NodeConfig:
-    """Read the file. Raises NodeError."""
+    """Parse the configuration file's content. Raises NodeConfigError."""
     try:
         given = msgspec.json.decode(data, type=_File)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise NodeError(str(error)) from None
     for field, value in (("listen", given.listen), ("discovery", given.discovery)):
         if not address(value):
-            raise NodeError(f"{field}: {value!r} is no address and port")
+            raise NodeError(f"{field}: {value!r} is not an IPv4 address and port")
     limits = given.limits
     if limits.sockets < 32 or limits.disk_mb <= 0 or limits.memory_mb <= 0:
-        raise NodeError("limits: sockets, disk_mb or memory_mb is too small to work in")
+        raise NodeError("limits: sockets, disk_mb or memory_mb is too small")
     try:
         seed = int(given.seed, 16)
     except ValueError:
-        raise NodeError(f"seed: {given.seed!r} is no hexadecimal number") from None
+        raise NodeError(f"seed: {given.seed!r} is not a hexadecimal number") from None
     try:
         known = checked(given.known) if given.known is not None else None
         pairs = [f"{name}={value}" for name, value in flat(given.settings)]
         settings = read_settings(Fields("settings", pairs))
-        # What the protocol says on sockets: a call carries one message, and endpoints hold few connections.
+        # Fixed by the HTTP protocol: a call carries one message, and endpoints accept few connections.
         kinds = tuple(replace(kind, batch=1) for kind in settings.kinds)
         settings = replace(settings, kinds=kinds, few_connections=True)
     except (ListError, WireError, SettingsError, RecursionError) as error:
@@ -96,16 +99,20 @@
 
 
 def _drain_grace(settings: dict[str, Any]) -> float:
-    """The grace of a drain, in seconds. Raises NodeError."""
+    """Return ``Rules.DrainGrace`` or its default, in seconds. Raises NodeConfigError."""
     rules = settings.get("Rules")
     grace = rules.get("DrainGrace", DRAIN_GRACE) if isinstance(rules, dict) else DRAIN_GRACE
     if isinstance(grace, bool) or not isinstance(grace, int | float) or not 0.0 < grace < 1e6:
-        raise NodeError(f"settings: Rules.DrainGrace: {grace!r} is no number of milliseconds")
+        raise NodeError(f"settings: Rules.DrainGrace: {grace!r} is not a number of milliseconds")
     return float(grace) / 1000.0
 
 
 def flat(tree: dict[str, Any], at: str = "") -> Iterator[tuple[str, str]]:
-    """Nested values as the simulator's paths: lists of plain values joined, of objects counted."""
+    """Yield nested values as the simulator's dotted names and texts.
+
+    A list of plain values becomes one text joined by commas. A list of objects becomes ``name.count`` and
+    ``name.0.field`` and so on. Nulls are left out.
+    """
     for name, value in tree.items():
         path = f"{at}{name}"
         if isinstance(value, dict):
@@ -125,5 +132,5 @@
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float) and value.is_integer():
-        return str(int(value))  # some writers of JSON give every number a fraction
+        return str(int(value))  # some JSON writers give every number a fraction
     return str(value)
--- a/brassweir/relay/watch.py
+++ b/brassweir/relay/watch.py
@@ -1,4 +1,4 @@
-"""One watch of the endpoint list: a connection, a request, an answer that stays open."""
+"""One watch of the endpoint list: a connection with one request, whose response stays open."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 
 from brassweir.relay.endpoint_list import ListError, Objects
 
-SILENT = 2.5  # seconds without a whole object or empty line: the platform sends one of them every 2 s
-UNANSWERED = (
-    5.5  # seconds without the answer's head: a slow one is heard within the 6 s that a change may take
-)
-READ_FIRST = 0.02  # seconds in which what lies in the socket is read before silence is believed
-LARGEST = 8 * 1024 * 1024  # bytes of one object
+SILENT = 2.5  # without a complete object or empty line: the platform sends one every 2 s
+# For the response head; below the 6 s within which a change must take effect.
+UNANSWERED = 5.5
+# After a timeout, to read data that arrived in time while the loop was blocked.
+READ_FIRST = 0.02
+LARGEST = 8 * 1024 * 1024
 
 
 class Owner(Protocol):
-    """Who has opened a watch."""
+    """Receives the events of a watch."""
 
     def headed(self, watch: Watch) -> None:
-        """Its answer has begun."""
+        """The response head has arrived, with status 200."""
 
     def partial(self, watch: Watch) -> None:
-        """An object of it has begun, and its rest has not come yet."""
+        """An object has begun and is incomplete."""
 
     def whole(self, watch: Watch, data: bytes) -> None:
-        """One object of it, or an empty line. Raises ListError."""
+        """A complete object or an empty line has arrived. Raises ListError, which ends the watch."""
 
     def ended(self, watch: Watch, why: str) -> None:
-        """It is over."""
+        """The watch has failed or was ended by :meth:`Watch.end`. No event follows."""
 
 
 class Watch(asyncio.Protocol):
-    """One connection. httptools' callbacks are its own. ``address`` is where the list is told."""
+    """One connection to the discovery agent at ``address``. The ``on_*`` methods are httptools' callbacks.
+
+    The watch ends by itself if no response head, or later no complete object or empty line, arrives in time.
+    """
 
     def __init__(self, owner: Owner, loop: asyncio.AbstractEventLoop, address: str) -> None:
         self.owner, self.loop, self.address = owner, loop, address
@@ -48,7 +51,7 @@
         self.opening: asyncio.Task[None] | None = None
 
     def open(self, rev: int) -> None:
-        """Open it and ask for what came after a version."""
+        """Connect, and request the changes after a version."""
         host, _, port = self.address.rpartition(":")
         self.opening = self.loop.create_task(self._connect(host, int(port), rev))
 
@@ -66,17 +69,17 @@
             )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It stands."""
+        """Keep the transport; abort it if the watch was closed meanwhile."""
         self.transport = cast(asyncio.Transport, transport)
         if self.dropped:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is gone."""
+        """End the watch."""
         self.end(str(exc) if exc else "closed by the platform")
 
     def _listen(self) -> None:
-        # The loop may have stood still itself: what lies in the socket is read before silence is believed.
+        # If the loop was blocked, data may wait in the socket: leave time to read it.
         left = self.heard + self.patience - self.loop.time()
         if left > 0.0:
             self.timer = self.loop.call_later(left, self._listen)
@@ -90,7 +93,10 @@
             self.end("silent")
 
     def data_received(self, data: bytes) -> None:
-        """Read on. Only what is whole counts as heard: its head, an object, an empty line."""
+        """Parse a part of the response.
+
+        Only a head, a complete object or an empty line resets the timeout.
+        """
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -99,7 +105,7 @@
             self.end(self.failed)
 
     def on_headers_complete(self) -> None:
-        """The answer's head has come."""
+        """Check the status, and report the response head."""
         self.heard, self.patience = self.loop.time(), SILENT
         if int(self.parser.get_status_code()) != 200:
             self.failed = f"status {self.parser.get_status_code()}"
@@ -108,7 +114,7 @@
         self.owner.headed(self)
 
     def on_body(self, part: bytes) -> None:
-        """Some of the list."""
+        """Report the objects and empty lines that this chunk completes."""
         if self.failed:
             return
         try:
@@ -121,22 +127,22 @@
             self.failed = str(error)
 
     def on_message_complete(self) -> None:
-        """A watch lasts; an answer that ends is no watch."""
-        self.failed = self.failed or "the answer ended"
+        """Treat the end of the response as a failure: a watch stays open."""
+        self.failed = self.failed or "the response ended"
 
     def end(self, why: str) -> None:
-        """It is over."""
+        """Close the connection and report the reason to the owner."""
         if not self.dropped:
             self.drop()
             self.owner.ended(self, why)
 
     def drop(self) -> None:
-        """Close at once, and say nothing more."""
+        """Close the connection at once, without any further event."""
         self.dropped = True
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if self.opening is not None:
-            self.opening.cancel()  # one that never comes up would hold its descriptor for ever
+            self.opening.cancel()  # a connection that is never established would keep its descriptor
         if self.transport is not None:
             self.transport.abort()
--- a/brassweir/service/node.py
+++ b/brassweir/service/node.py
@@ -1,7 +1,4 @@
-"""One sender on the platform: engine, journal and links as in ``serve``, with the platform's protocol around.
-
-Nothing else is imported here: memory is small, and time spent starting is time not served.
-"""
+"""Runs one sender on the platform. Imports only what it needs, for a small memory and a short start."""
 
 from __future__ import annotations
 
@@ -39,30 +36,32 @@
 from brassweir.service.saved_list import SavedList
 
 FAILURE_MEMORY_MS = (
-    3000.0  # ms that an ended message is known: ids are new at each hand-in, so only strays come again
+    3000.0  # for ended messages: each submission has a new id, so that only late duplicates repeat one
 )
-REMEMBER_MOST = 4000  # of them
-SERVES_ON = 3.3  # seconds after SIGTERM: the platform kills no sooner than 3.7 s after it
-ENDS_IN = 0.25  # seconds for what was read to be answered and for clients to close, before the process ends
-CLIENTS = 0.6  # share of the descriptors that clients may hold; usual ones take a third at most
-KEPT_BACK = 24  # descriptors for the journal, the list, notices, the log and the loop itself
-UNREAD = 0.06  # share of the memory for what clients have sent and was not taken up yet
-IDLE = 0.85  # share of the endpoints' idle time after which a connection is not trusted any more
-NOTICES = 2  # connections for notices, of those kept back: calls that hang hold none of them
-SETUPS = 64  # connections being made at once
-BELIEF = 1.0  # seconds between two lines of what the sender believes
-COLLECT = (5_000, 10, 1000)  # as in ``serve``: what is no longer used goes without the collector
-ANSWERS = Limits(head_bytes=16_384, max_headers=64, body_bytes=65_536)  # of endpoints and of the platform
+REMEMBER_MOST = 4000  # remembered
+SERVES_ON = 3.3  # after SIGTERM; the platform kills 3.7 s after it at the earliest
+ENDS_IN = 0.25  # to answer the commands read, and for clients to close
+CLIENTS = 0.6  # of the descriptors; a third at most for clients that have submitted messages
+KEPT_BACK = 24  # for journal, endpoint list, notices, log and event loop
+UNREAD = 0.06  # of the memory, for client input that was not processed yet
+IDLE = 0.85  # of the endpoints' idle timeout: closes connections before the endpoint does
+NOTICES = 2  # out of the reserved descriptors, so that hanging calls cannot delay notices
+SETUPS = 64  # at the same time
+BELIEF = 1.0  # between status lines in the log
+COLLECT = (5_000, 10, 1000)  # as in ``serve``: reference counting frees nearly everything
+ANSWERS = Limits(head_bytes=16_384, max_headers=64, body_bytes=65_536)
 
 
 def _number(destination: str) -> int | None:
-    """The number behind a destination's name in the journal; None if another kind of sender wrote it."""
+    """Parse a destination's number; None if another kind of sender wrote the record."""
     return int(destination) if destination.isascii() and destination.isdigit() else None
 
 
 def _as_now(taken: Taken, classes: Mapping[str, api.MessageClass]) -> Taken:
-    """Before format 2 the idempotency key stood where the key of order stands now. A keyed message that went
-    out without it could take effect twice."""
+    """Move the key of a record older than format 2 to ``subject``, where the idempotency key is now.
+
+    Without its idempotency key a message of a keyed class could take effect twice.
+    """
     cls = classes.get(taken.class_name)
     if taken.subject or cls is None or (cls.in_order and cls.effect is not api.Effect.KEYED):
         return taken
@@ -70,10 +69,10 @@
 
 
 class NodeProcess:
-    """A running sender. Made inside the loop that it will run on."""
+    """A running sender. Must be created inside the event loop that it will run on."""
 
     def __init__(self, config: NodeConfig, state: Path, log: Any) -> None:
-        """Wire everything together. Raises NodeError, and Unusable if the journal cannot be opened."""
+        """Create all parts. Raises NodeConfigError, and JournalUnusable if the journal cannot be opened."""
         loop = asyncio.get_running_loop()
         self.config, self.log, self.loop = config, log, loop
         given = config.settings
@@ -129,7 +128,7 @@
         self.telling: asyncio.TimerHandle | None = None
 
     def note(self, event: str, details: Mapping[str, object]) -> None:
-        """Something worth a line."""
+        """Log an event as a warning."""
         self.log.warning(event, **details)
 
     def _broken(self, error: BaseException) -> None:
@@ -138,7 +137,7 @@
             self.broken.set_result(error)
 
     def _waiter(self, message: int, submission: Submission) -> Waiter:
-        """Who waits for the end of a message that was taken on: the platform, unless it is a delivery."""
+        """Return the callback for a final answer: a notice to the platform, unless it is a delivery."""
 
         def tell(answer: FinalAnswer) -> None:
             if answer.answer is Answer.DELIVERED:
@@ -149,7 +148,7 @@
         return tell
 
     def _recover(self) -> None:
-        """Go on where the process before this one was, whatever ended it."""
+        """Restore the open messages and pending notices of the previous process from the journal."""
         plan = self.journal.plan(_number)
         plan.resumed = [replace(one, taken=_as_now(one.taken, self.classes)) for one in plan.resumed]
         end_keyless_messages(plan, self.classes, self.journal.clock.now())
@@ -168,7 +167,7 @@
         apply_plan(plan, self.engine, self.journal.store, _number, self._waiter)
 
     async def start(self) -> None:
-        """Know the list, recover, watch, then listen. Raises OSError."""
+        """Load the known list, recover from the journal, start the watch, then listen. Raises OSError."""
         self.list.begin(self.config.known)
         self._recover()
         self.list.discovery.start()
@@ -212,15 +211,16 @@
         self.telling = self.loop.call_at(due, self._belief, due)
 
     def reload(self, config: NodeConfig) -> None:
-        """The platform moves: the list and notices are elsewhere from now on."""
+        """Use the discovery address of a new configuration; its other fields are ignored."""
         self.log.info("reloaded", discovery=config.discovery)
         self.list.discovery.move(config.discovery)
         self.notices.move(config.discovery)
 
     async def leave(self, told: float) -> None:
-        """A planned restart, told at a loop time: serve while there is time, answer what was read, and end.
+        """Shut down: serve while there is time, answer the commands read, and close the clients.
 
-        A journal that breaks ends it at once, since nothing can be promised any more.
+        ``signalled_at`` is the loop time of the signal. A journal failure ends the shutdown at once, since no
+        message can be accepted any more.
         """
         self.log.info("leaving", open=self.engine.ledger.open_count)
         left = max(0.0, told + min(SERVES_ON, self.config.longest) - self.loop.time())
@@ -232,7 +232,7 @@
             await asyncio.sleep(0.01)
 
     def stop(self) -> None:
-        """End everything at once."""
+        """Stop everything at once and close the journal."""
         if self.telling is not None:
             self.telling.cancel()
         self.list.stop()
--- a/brassweir/service/node_config.py
+++ b/brassweir/service/node_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration as a file that the environment names."""
+"""Reads the configuration file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def configured() -> NodeConfig:
-    """The configuration that the environment names. Raises NodeError naming file and field."""
+    """Read and parse the configuration file. Raises NodeConfigError, which names the file and the field."""
     path = os.environ.get("RELAY_CONFIG", "")
     if not path:
         raise NodeError("RELAY_CONFIG is not set: it names the configuration file")
--- a/brassweir/service/node_list.py
+++ b/brassweir/service/node_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a sender on the platform: where it comes from, who is told, who vouches for it."""
+"""Keeps a sender's endpoint list: loads, watches and saves it, and reports changes to the engine."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from brassweir.relay.settings import NodeConfig
 from brassweir.service.saved_list import SavedList
 
-CONFIGURED, SAVED, WATCHED = "configuration", "folder", "watch"  # sources of the list, as the log names them
-HELD_UP = 0.15  # seconds for which a sender may be held up; the grace of a drain has to cover it
-LONGEST_PACE = 0.2  # seconds between two requests for the list, however long the grace
+CONFIGURED, SAVED, WATCHED = "configuration", "folder", "watch"  # sources of the list, in the log
+HELD_UP = 0.15  # of the event loop: a drain's grace has to cover it
+LONGEST_PACE = 0.2
 
 
 def pace(grace: float) -> float:
-    """Seconds between two requests for the list: what a grace (seconds) leaves for hearing of a change."""
+    """Return the seconds between two requests for the list, so that a drain is noticed within its grace."""
     return min(LONGEST_PACE, max(grace - HELD_UP, grace / 4.0))
 
 
 class NodeList:
-    """Takes in the lists known at the start and the changes of the watch, and tells the engine."""
+    """Applies the lists known at the start and the changes of the watch, and passes them to the engine."""
 
     def __init__(
         self, engine: Engine, clock: Clock, config: NodeConfig, saved: SavedList, log: Any, note: Note
@@ -33,15 +33,15 @@
         self.listing = Listing()
         self.source, self.learnt_at = "none", clock.now()
         self.state = Knowledge(clock.now() / 1000.0, config.shortest)
-        self.due: Handle | None = None  # of the end of the hold
-        self.save_failure = ""  # the last one told
+        self.due: Handle | None = None
+        self.save_failure = ""  # the last one logged: repetitions are not logged
         hearers = Hearers(self.take, self._confirmed, self._lost)
         self.discovery = Discovery(
             config.discovery, lambda: self.listing.rev, hearers, note, pace(config.drain_grace)
         )
 
     def knowledge(self) -> dict[str, object]:
-        """What is known of the list, for a log line: version, source, age, and who vouches for it."""
+        """Return the list's version, source, age and state as log fields."""
         return {
             "rev": self.listing.rev,
             "source": self.source,
@@ -50,7 +50,10 @@
         }
 
     def begin(self, known: Change | None) -> None:
-        """Know the lists of configuration and folder, the older first, and wait for the watch."""
+        """Apply the saved list and the configured one, the older first, and report the list as unconfirmed.
+
+        The watch itself is started by ``discovery.start``.
+        """
         lists = [(change, SAVED) for change in self.saved.load()]
         if known is not None:
             newer = lists and known.rev >= lists[-1][0].rev
@@ -59,16 +62,16 @@
             self._learn(change, ListKind.DELTA if number else ListKind.CACHED, source)
         self._save_whole()
         self.engine.update_list(ListUpdate(ListKind.UNCONFIRMED))
-        self._tell_state("a process begins", self.state.since)
+        self._tell_state("process started", self.state.since)
         self._await_hold()
 
     def look(self) -> None:
-        """Once in a while: write the list again, if that failed."""
+        """Save the list again if the last attempt failed. Called periodically."""
         if self.saved.due:
             self._save_whole()
 
     def stop(self) -> None:
-        """Hear nothing more."""
+        """Stop the watch."""
         if self.due is not None:
             self.due.cancel()
         self.discovery.stop()
@@ -76,9 +79,9 @@
     # ---- from the watch
 
     def take(self, change: Change) -> None:
-        """A change that the watch has told."""
+        """Apply a change from the watch; one that is behind the version known is ignored."""
         if change.rev < self.listing.rev:
-            # An agent that is behind: what it tells was true before, and could undo a drain.
+            # The agent is behind: applying its outdated state could undo a drain.
             self.note("list_behind", {"rev": change.rev, "known": self.listing.rev})
             return
         self._learn(change, ListKind.DELTA, WATCHED)
@@ -90,16 +93,16 @@
             self.due.cancel()
         if not usable:
             self.engine.update_list(ListUpdate(ListKind.USABLE))
-        self._tell_state("a watch has answered", since)
+        self._tell_state("a watch was confirmed", since)
 
     def _lost(self, why: str, heard: float) -> None:
         since = self.state.since
         self.state.lost(self.clock.now() / 1000.0, heard)
         self.engine.update_list(ListUpdate(ListKind.UNCONFIRMED))
-        self._tell_state(f"its watch ended: {why}", since)
+        self._tell_state(f"the watch ended: {why}", since)
         self._await_hold()
 
-    # ---- the hold
+    # ---- outage timeout
 
     def _await_hold(self) -> None:
         self.due = self.clock.call_at(self.state.gives_up_at * 1000.0, self._hold_over)
@@ -109,7 +112,7 @@
         self.state.look(self.clock.now() / 1000.0)
         if self.state.usable:
             self.engine.update_list(ListUpdate(ListKind.USABLE))
-            self._tell_state("no answer: the last list told is used", since)
+            self._tell_state("discovery is silent: the last list received is used", since)
         else:
             self._await_hold()
 
@@ -117,7 +120,7 @@
         before = round(self.clock.now() - since * 1000.0)
         self.log.info("list_state", why=why, before_ms=before, **self.knowledge())
 
-    # ---- what is known
+    # ---- applying and saving
 
     def _learn(self, change: Change, kind: ListKind, source: str) -> None:
         news = self.listing.take(change, kind)
--- a/brassweir/service/node_run.py
+++ b/brassweir/service/node_run.py
@@ -1,4 +1,4 @@
-"""The run of one sender on the platform: its signals, and the ways in which it ends."""
+"""Runs one sender on the platform until a signal or a journal failure ends it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 
 async def run(log: Any) -> None:
-    """Run a sender until SIGTERM or SIGINT. Raises NodeError, Unusable, OSError, and Broken."""
+    """Run a sender until SIGTERM or SIGINT; SIGHUP reloads the configuration.
+
+    Raises NodeConfigError for the configuration, JournalUnusable if the journal cannot be opened, OSError if
+    it cannot listen, and JournalBroken if the journal fails.
+    """
     loop = asyncio.get_running_loop()
     told: asyncio.Future[float] = loop.create_future()
     again = asyncio.Event()
@@ -29,10 +33,10 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
     loop.add_signal_handler(signal.SIGHUP, again.set)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those that came before there was a handler come now
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # delivers the signals that came before the handlers
     state = os.environ.get("RELAY_STATE", "")
     if not state:
-        raise NodeError("RELAY_STATE is not set: it names the folder that lasts")
+        raise NodeError("RELAY_STATE is not set: it names the state directory")
     process = NodeProcess(configured(), Path(state), log)
     await process.start()
 
@@ -50,7 +54,7 @@
     await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
     if not process.broken.done():
         await process.leave(told.result())
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # it ends already: no second word may end it otherwise
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # a second signal must not change the exit code
     reloading.cancel()
     if process.broken.done():
         raise JournalBroken(str(process.broken.result()))
--- a/brassweir/service/node_stats.py
+++ b/brassweir/service/node_stats.py
@@ -1,4 +1,4 @@
-"""What a sender on the platform believes, in a log line a second, beside what it counts."""
+"""Collects counts, decision state and process usage for the status line that a node logs every second."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import Outcome
 
-MOST_SICK = 6  # destinations told of in one line
+MOST_SICK = 6  # destinations, and reasons, in one line
 
 
 class Counting(EngineObserver):
-    """Counts what passes since it was last asked."""
+    """Counts outcomes, final answers and decision time since the last :meth:`take`."""
 
     def __init__(self) -> None:
         self.results: Counter[str] = Counter()
@@ -26,24 +26,24 @@
         self.turns, self.spent = 0, 0.0
 
     def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
-        """An attempt ended."""
+        """Count the result of an attempt, and its reason."""
         self.results[outcome.result.value] += 1
         if outcome.reason:
             self.reasons[outcome.reason] += 1
 
     def final(self, record: MessageRecord) -> None:
-        """A message has its answer."""
+        """Count a final answer."""
         answer = record.answer
         assert answer is not None
         self.answers[answer.answer.value] += 1
 
     def turn(self, events: int, actions: int, spent: float) -> None:
-        """One call of the module."""
+        """Add the CPU time (seconds) of one decision call."""
         self.turns += 1
         self.spent += spent
 
     def take(self) -> dict[str, Any]:
-        """The counts, which begin anew."""
+        """Return the counts and reset them."""
         told = {
             "results": dict(self.results),
             "answers": dict(self.answers),
@@ -59,7 +59,7 @@
 
 
 def belief(sender: Sender, now: float) -> dict[str, Any]:
-    """What the decisions rest on now. Reads the module's state; pure."""
+    """Return the decision module's state as log fields, with the most loaded degraded destinations. Pure."""
     sick = [
         dest
         for dest in sender.destinations.values()
@@ -100,7 +100,7 @@
 
 
 def usage() -> dict[str, Any]:
-    """Memory and CPU of this process."""
+    """Return memory and CPU usage of this process as log fields."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return {
         "rss_mb": round(resident() / 1e6, 1),
@@ -110,7 +110,7 @@
 
 
 def resident() -> int:
-    """Bytes resident now, or the most so far where the system does not tell."""
+    """Return the resident memory in bytes, or its peak on systems without /proc."""
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
             return int(file.read().split()[1]) * resource.getpagesize()
--- a/brassweir/service/node_trace.py
+++ b/brassweir/service/node_trace.py
@@ -1,7 +1,7 @@
-"""The life of each message in log lines: handed in, each attempt's first byte and ending, its answer.
+"""Logs the life of each message: its submission, each attempt's first byte and outcome, and its final answer.
 
-With the lines of the endpoint list these say, for any request, on what knowledge it left and why it ended.
-Each event is bounded (see :mod:`brassweir.observe.json_log`): a flood costs no more than its bound.
+Together with the log lines of the endpoint list they show which list an attempt was based on. The JSON log
+limits how many lines of each event it writes, so that a flood of messages cannot flood the log.
 """
 
 from __future__ import annotations
@@ -14,18 +14,21 @@
 from brassweir.service.node_stats import Counting
 
 HANDED_IN, BEGAN, ENDED, ANSWERED = "handed_in", "attempt_began", "attempt_ended", "answered"
-FREQUENT = frozenset({HANDED_IN, BEGAN, ENDED, ANSWERED})  # events with the larger bound
+FREQUENT = frozenset({HANDED_IN, BEGAN, ENDED, ANSWERED})  # events with the higher limit in the JSON log
 
 
 class Tracing(Counting):
-    """Counts what passes, and writes a line for each step. ``knowledge`` tells what the list rests on now."""
+    """Counts, and logs a line for each step of a message.
+
+    ``describe_list`` returns the list's state as log fields.
+    """
 
     def __init__(self, log: Any, knowledge: Callable[[], dict[str, object]]) -> None:
         super().__init__()
         self.log, self.knowledge = log, knowledge
 
     def submitted(self, record: MessageRecord, how: SubmitStatus) -> None:
-        """A message was handed in, or goes on from before a restart."""
+        """Log a message that was submitted or recovered from the journal."""
         given = record.submission
         self.log.info(
             HANDED_IN,
@@ -38,7 +41,7 @@
         )
 
     def began(self, record: MessageRecord, number: int) -> None:
-        """The first byte of an attempt at a message leaves now."""
+        """Log the first byte of an attempt."""
         self.log.info(
             BEGAN,
             message=record.id,
@@ -49,7 +52,7 @@
         )
 
     def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
-        """An attempt ended."""
+        """Log the outcome of an attempt."""
         super().outcome(record, number, outcome, late)
         self.log.info(
             ENDED,
@@ -63,7 +66,7 @@
         )
 
     def final(self, record: MessageRecord) -> None:
-        """A message has its answer."""
+        """Log the final answer of a message."""
         super().final(record)
         answer = record.answer
         assert answer is not None
--- a/brassweir/service/saved_list.py
+++ b/brassweir/service/saved_list.py
@@ -1,8 +1,8 @@
-"""The endpoint list as it was last told, kept in the folder that lasts: a restart goes on from it.
+"""Saves the endpoint list to a file, so that a restarted process knows the last list received.
 
-A file of frames: length and CRC-32 (little-endian), then one change as compressed JSON; the first is a
-whole list. What stands behind a frame that does not hold is not read. Writes are not synced: the folder
-outlives the process, and is lost with its machine anyhow.
+The file is a sequence of frames: length and CRC-32 (little-endian), then one change as compressed JSON. The
+first frame is a snapshot, the others are deltas. Reading stops at the first damaged frame. Writes are not
+synced: the directory outlives the process, and is lost with the machine in any case.
 """
 
 from __future__ import annotations
@@ -18,22 +18,28 @@
 from brassweir.relay.endpoint_list import Change, ListError, read
 
 NAME = "endpoint-list"
-SHARE = 1 / 16  # of the folder, old and new file together; the journal leaves a tenth (journal.sizes)
-LEAST_APPENDED = 4096  # bytes of changes behind a whole list before it is written anew
+SHARE = 1 / 16  # for old and new file together; the journal leaves a tenth (see journal.sizes)
+LEAST_APPENDED = 4096  # deltas after a snapshot before the file is rewritten
 _FRAME = struct.Struct("<II")
 
 
 class SavedList:
-    """The file. Nothing here raises OSError: ``failed`` tells what went wrong, and a whole list is due."""
+    """The file with the saved list.
+
+    No method raises OSError: a failed write sets ``failure`` to its reason and ``snapshot_due`` to true.
+    """
 
     def __init__(self, folder: Path, folder_bytes: int) -> None:
         self.path, self.room = folder / NAME, int(folder_bytes * SHARE) // 2
         self.size = self.whole_size = 0
-        self.due = True  # a whole list has to be written before changes can follow it
+        self.due = True  # a snapshot has to be written before deltas can follow
         self.failed = ""
 
     def load(self) -> list[Change]:
-        """What was kept: a whole list and the changes after it, as far as they hold."""
+        """Read the snapshot and the deltas after it, up to the first damaged frame.
+
+        Returns [] if there is no file.
+        """
         try:
             data = self.path.read_bytes()
         except FileNotFoundError:
@@ -44,7 +50,10 @@
         return _changes(data)
 
     def append(self, change: Change, whole: Callable[[], Change]) -> None:
-        """Keep a change; ``whole`` gives the list with it, and is asked only where that is written anew."""
+        """Append a delta, or replace the file by ``snapshot()`` if it has grown too large or a write failed.
+
+        ``snapshot`` returns the list with the change applied.
+        """
         frame = _frame(change)
         appended = self.size - self.whole_size + len(frame)
         too_long = appended > max(LEAST_APPENDED, self.whole_size) or self.size + len(frame) > self.room
@@ -60,11 +69,11 @@
             self.size += len(frame)
 
     def replace(self, whole: Change) -> None:
-        """Keep a whole list in place of all before it."""
+        """Replace the file by a snapshot. One that is too large is not written and sets ``failure``."""
         frame = _frame(whole)
         self.due = True
         if len(frame) > self.room:
-            self.failed = f"a list of {len(frame)} bytes has no room; {self.room} are the most"
+            self.failed = f"a list of {len(frame)} bytes exceeds the limit of {self.room} bytes"
             return
         fresh = self.path.with_suffix(".new")
         try:
--- a/tests/relay/breaking.py
+++ b/tests/relay/breaking.py
@@ -1,6 +1,6 @@
-"""Runs ``node`` on a folder that cannot be written any more once a file of the given name is there.
+"""Runs ``node`` with a journal whose appends fail with EIO while a given file exists.
 
-Told to end, it would serve for as long as its longest deadline first.
+After SIGTERM the node serves for up to its longest deadline.
 """
 
 from __future__ import annotations
--- a/tests/relay/dying.py
+++ b/tests/relay/dying.py
@@ -1,5 +1,8 @@
-"""Runs ``node`` and kills it at its n-th step of storage, in the middle of a write if the step is one; below
-zero right after the n-th write, when nothing that waited for it has gone on."""
+"""Runs ``node`` and kills it with SIGKILL at its n-th storage operation.
+
+An append is killed half-written. A negative n kills right after the n-th append, before anything that waits for it
+continues.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 def after(at: int) -> None:
-    """The process ends right after a write."""
+    """Kill the process right after its ``at``-th append."""
     real, done = DirectoryStorage.append, list[str]()
 
     def append(self: DirectoryStorage, name: str, data: bytes) -> None:
@@ -28,7 +31,7 @@
 
 
 def dying(name: str, at: int, done: list[str]) -> None:
-    """Let one kind of step count, and the process end at the ``at``-th of all."""
+    """Count one kind of operation in ``done``, and kill the process at the ``at``-th of all kinds."""
     real = getattr(DirectoryStorage, name)
 
     def step(self: DirectoryStorage, *args: Any) -> None:
--- a/tests/relay/failing_disk.py
+++ b/tests/relay/failing_disk.py
@@ -1,4 +1,4 @@
-"""Runs ``node`` on a folder whose writes fail while a file of this name stands beside it: half of each is done."""
+"""Runs ``node`` with storage operations that fail while the file FLAG exists; a failing append writes half its data."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def failing(name: str) -> None:
-    """Let one kind of step fail while the flag stands."""
+    """Make one kind of operation fail while the flag exists."""
     real = getattr(DirectoryStorage, name)
     flag = Path(os.environ["RELAY_STATE"]).parent / FLAG
 
--- a/tests/relay/moved.py
+++ b/tests/relay/moved.py
@@ -1,4 +1,4 @@
-"""Real sockets on loopback under a time that jumps from one timer to the next, and peers that play a script."""
+"""Runs tests with real sockets on loopback in virtual time, against servers with scripted behaviour."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from brassweir.relay.discovery import Discovery, Hearers
 from brassweir.relay.endpoint_list import Change
 
-ALL_READ = 0.002  # real seconds without a byte, after which nothing is under way on loopback
+ALL_READ = 0.002  # real time without a byte, after which no data is in flight on loopback
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class _Selector(selectors.DefaultSelector):
-    """Waits for sockets only as long as bytes may be under way; the rest of a wait is a step of the time."""
+    """Waits for sockets only as long as data may be in flight, then advances the virtual time by the timeout."""
 
     at = 1000.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """What is ready, or the time moved on."""
+        """Return the sockets that are ready, or advance the time."""
         ready = super().select(timeout if timeout is None else min(timeout, ALL_READ))
         if not ready and timeout:
             self.at += timeout
@@ -31,19 +31,19 @@
 
 
 class MovedLoop(asyncio.SelectorEventLoop):
-    """A loop whose time is moved by its timers alone; a test may move it further."""
+    """An event loop whose time advances only from timer to timer. Tests may advance it, too."""
 
     def __init__(self) -> None:
         self.clock = _Selector()
         super().__init__(self.clock)
 
     def time(self) -> float:
-        """The time as it was moved."""
+        """The virtual time in seconds."""
         return self.clock.at
 
 
 def moved(work: Coroutine[Any, Any, None], seconds: float = 60.0) -> None:
-    """Run a play; one that goes on for longer than ``seconds`` of the moved time fails."""
+    """Run a coroutine in virtual time; it fails after ``seconds`` of it."""
 
     async def bounded() -> None:
         async with asyncio.timeout(seconds):
@@ -54,18 +54,20 @@
 
 
 def now() -> float:
-    """The time as it was moved."""
+    """The virtual time in seconds."""
     return asyncio.get_running_loop().time()
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of an answer."""
+    """Encode one chunk of a chunked response."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 class Peer:
-    """A server whose connections each meet the next of its manners, the last again and again. ``seen`` are the
-    requests' first lines with their times."""
+    """A server that handles each connection by the next of its manners, and the last one repeatedly.
+
+    ``requests`` has the time and the request line of each request, ``bodies`` their bodies.
+    """
 
     def __init__(self, *manners: Manner) -> None:
         self.manners = list(manners)
@@ -90,12 +92,12 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def write(self, data: bytes) -> None:
-        """Write on the latest connection now, and not when the loop goes on."""
+        """Write to the latest connection synchronously."""
         assert self.writer is not None
         assert os.write(self.writer.get_extra_info("socket").fileno(), data) == len(data)
 
     async def asked(self, count: int) -> None:
-        """Wait for so many requests."""
+        """Wait until ``count`` requests have arrived."""
         while len(self.bodies) < count:
             self.more.clear()
             await self.more.wait()
@@ -122,7 +124,7 @@
 
 
 class Full:
-    """An address at which no connection comes up, and none is refused."""
+    """A listener with a full backlog: connections are neither established nor refused."""
 
     def __enter__(self) -> str:
         self.sockets = [socket.socket()]
@@ -143,16 +145,16 @@
 
 
 async def silent(_: asyncio.StreamWriter) -> None:
-    """Not a byte."""
+    """Send nothing."""
 
 
 async def only_head(writer: asyncio.StreamWriter) -> None:
-    """The head of a watch, and no line."""
+    """Send only the response head of a watch."""
     writer.write(HEAD)
 
 
 def says(*lines: bytes) -> Manner:
-    """A watch that tells this and falls silent."""
+    """Send a watch's response head and these chunks, then nothing."""
 
     async def manner(writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"".join(map(chunk, lines)))
@@ -161,7 +163,7 @@
 
 
 def trickles(begin: bytes, byte: bytes) -> Manner:
-    """So much, and then a byte twice a second."""
+    """Send ``begin``, then ``byte`` twice a second."""
 
     async def manner(writer: asyncio.StreamWriter) -> None:
         writer.write(begin)
@@ -173,22 +175,22 @@
 
 
 async def answers_204(writer: asyncio.StreamWriter) -> None:
-    """As the platform takes notices."""
+    """Answer 204, as the platform does to notices."""
     writer.write(b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n")
 
 
 async def says_200(writer: asyncio.StreamWriter) -> None:
-    """As an endpoint that serves."""
+    """Answer 200, as an endpoint does to a call."""
     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n")
 
 
 def change(rev: int, **more: Any) -> bytes:
-    """One object of the list that changes its version alone."""
+    """Encode a change of the list's version alone."""
     return json.dumps({"rev": rev, "all": False, "targets": []}, **more).encode() + b"\n"
 
 
 class Heard:
-    """A watch at a peer, and when it told what."""
+    """A discovery client that records the time and version of each change, and the failures of its watches."""
 
     def __init__(self, address: str) -> None:
         self.told: list[tuple[float, int]] = []
@@ -206,7 +208,7 @@
         self.more.set()
 
     async def until(self, rev: int) -> float:
-        """When a version was told."""
+        """Wait for a version; return the time at which it arrived."""
         while not self.told or self.told[-1][1] < rev:
             self.more.clear()
             await self.more.wait()
--- a/tests/relay/plays.py
+++ b/tests/relay/plays.py
@@ -1,4 +1,4 @@
-"""A day with one ``node``, and manners of endpoints that several tests use."""
+"""Runs a scenario with one ``node`` and checks the platform's rules afterwards."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def played(world: World, what: Play, *endpoints: Endpoint, judged: bool = True) -> None:
-    """Play one day. Where it is not judged by the rules, the day itself says what must hold."""
+    """Run a scenario. Without ``judged`` the platform's rules are not checked, only the scenario's own assertions."""
     try:
         await world.open(*endpoints)
         await what(world)
@@ -22,7 +22,7 @@
 
 
 def play(folder: Path, what: Play, *endpoints: Endpoint, judged: bool = True) -> None:
-    """Play one day by itself."""
+    """Run one scenario in a world and an event loop of its own."""
 
     async def run() -> None:
         await played(World(folder), what, *endpoints, judged=judged)
@@ -31,7 +31,7 @@
 
 
 def together(days: list[Callable[[], Awaitable[None]]]) -> list[BaseException | None]:
-    """Play many days, four at a time since each mostly waits; what was wrong with each."""
+    """Run many scenarios, four at a time since each mostly waits. Return the exception of each, or None."""
 
     async def run() -> list[BaseException | None]:
         room = asyncio.Semaphore(4)
@@ -46,7 +46,7 @@
 
 
 def first(spoilt: Manner, then: Manner) -> Manner:
-    """The first call meets the one, all others the other."""
+    """Handle the first call by ``spoilt`` and all others by ``then``."""
     met: list[str] = []
 
     async def manner(call: Call, writer: asyncio.StreamWriter) -> None:
--- a/tests/relay/quicker.py
+++ b/tests/relay/quicker.py
@@ -1,4 +1,4 @@
-"""Runs ``node`` with times of its own set shorter, where a test would only wait for them: ``module:NAME=seconds``."""
+"""Runs ``node`` with time constants overridden by arguments ``module:NAME=seconds``, to shorten tests."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from brassweir.cli.main import main
 
-BELIEF = "brassweir.service.node:BELIEF=0.05"  # between two lines of the log that tell counts
-SILENT = "brassweir.relay.watch:SILENT=0.5"  # without a byte of the list, until its watch is opened anew
+BELIEF = "brassweir.service.node:BELIEF=0.05"
+SILENT = "brassweir.relay.watch:SILENT=0.5"
 
 
 def program(*times: str) -> list[str]:
-    """What to run."""
+    """Return the Python arguments that run ``node`` with these overrides."""
     return ["-m", "tests.relay.quicker", *times]
 
 
--- a/tests/relay/settings_samples.py
+++ b/tests/relay/settings_samples.py
@@ -1,4 +1,4 @@
-"""The usual configuration with fields of its settings changed, or gone."""
+"""Variants of the default configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def told(**changes: Any) -> bytes:
-    """The configuration with fields of its settings changed, or gone; a path's dots are written ``__``."""
+    """Return the configuration with settings replaced, or removed if GONE. Dots in a path are written ``__``."""
     found = copy.deepcopy(world.configuration())
     for path, value in changes.items():
         *above, last = [int(one) if one.isdecimal() else one for one in path.split("__")]
@@ -27,5 +27,5 @@
 
 
 def classes(*changes: dict[str, Any]) -> list[dict[str, Any]]:
-    """A class for each change of the first one."""
+    """Return a copy of the first class for each set of changes."""
     return [{**world.CLASSES[0], **change} for change in changes]
--- a/tests/relay/signalled.py
+++ b/tests/relay/signalled.py
@@ -1,6 +1,7 @@
-"""Runs ``node`` and sends it a signal at a moment that no other process could meet: ``MOMENT SIGNAL``.
+"""Runs ``node`` and sends it a signal at an exact moment: ``MOMENT SIGNAL``.
 
-``import``: as the command is imported, before anything listens. ``end``: its loop has closed, and the interpreter goes.
+``import``: while the command is imported, before any signal handler is set. ``end``: after the event loop has closed,
+while the interpreter exits.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class Importing(MetaPathFinder):
-    """Finds nothing; told of the import, it sends the signal."""
+    """Sends the signal when the command is imported. Finds no modules."""
 
     def find_spec(self, fullname: str, path: Any = None, target: Any = None) -> ModuleSpec | None:
         if fullname == "brassweir.cli.node":
@@ -27,7 +28,7 @@
 
 
 def signalled(real: Any) -> Any:
-    """The end of a runner, with the signal behind it."""
+    """Wrap ``Runner.__exit__`` to send the signal after it."""
 
     def leave(self: asyncio.Runner, *args: Any) -> None:
         real(self, *args)
--- a/tests/relay/stepped.py
+++ b/tests/relay/stepped.py
@@ -1,4 +1,4 @@
-"""Runs ``node`` on a machine whose wall clock was stepped by so many seconds; its monotonic clock runs on."""
+"""Runs ``node`` with a wall clock that is off by a number of seconds. Its monotonic clock is unchanged."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_first_byte.py
+++ b/tests/relay/test_first_byte.py
@@ -1,4 +1,4 @@
-"""Real processes: drains that come as the knowledge of the list is in doubt, on each path a first byte may take."""
+"""Drains that come while the endpoint list is unconfirmed: no call begins on outdated knowledge. Real processes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.relay.test_list_restarts import MESSAGES, late, replaced, take
 from tests.relay.world import World
 
-STEADY = 40  # messages, one each 50 ms, that run over a drain
+STEADY = 40  # messages, one every 50 ms
 
 
 async def steady(world: World, during: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Hand in messages without a pause while something happens, and wait for the end of all."""
+    """Submit messages steadily while ``during`` runs, and wait until all have ended."""
     happening = asyncio.get_running_loop().create_task(during())
     client = await world.client()
     for i in range(STEADY):
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("answers_after", [0.0, 0.3, 1.0])
 def test_a_drain_that_comes_as_the_watch_is_cut(tmp_path: Path, answers_after: float) -> None:
-    """The agent takes the next request and is slow to answer it: calls wait for that, and none is lost."""
+    """The agent is slow to answer the next request: calls wait for the answer, and none is lost."""
 
     async def day(world: World) -> None:
         told = [0.0]
@@ -53,7 +53,7 @@
 
 
 def test_service_goes_on_while_discovery_is_down(tmp_path: Path) -> None:
-    """Cut and silent for good: after the hold the last list that was told is used, and nothing is lost."""
+    """The agent stays silent: after the outage timeout the last list received is used, and nothing is lost."""
 
     async def day(world: World) -> None:
         async def happens() -> None:
@@ -72,7 +72,7 @@
     async def day(world: World) -> None:
         await world.kill()
         world.discovery.silent = True
-        if refuses:  # notices too: every message has to be delivered
+        if refuses:  # notices are refused too: every message has to be delivered
             await world.discovery.stop()
         await world.start()
         await take(world)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("manner", ["answers", "slow", "silent"])
 def test_sighup_moves_the_list_under_a_drain(tmp_path: Path, manner: str) -> None:
-    """The drain is known at the new address. While that does not answer, the old watch still counts."""
+    """The new address reports the drain. While it does not answer, the watch at the old one still counts."""
 
     async def day(world: World) -> None:
         assert world.process is not None
@@ -119,7 +119,7 @@
 
 
 def test_a_loop_held_up_over_a_drain(tmp_path: Path) -> None:
-    """Held up for 0.15 s, with the change in its socket as it goes on."""
+    """The process is stopped for 0.15 s; the change waits in its socket when it continues."""
 
     async def day(world: World) -> None:
         assert world.process is not None
@@ -141,7 +141,7 @@
 
 
 def test_retries_do_not_go_back_to_an_endpoint_that_was_told_off(tmp_path: Path) -> None:
-    """The one endpoint breaks every call; repeats are due all the time as it drains."""
+    """The endpoint breaks every call, so that retries are due all the time while it drains."""
 
     async def day(world: World) -> None:
         client = await world.client()
--- a/tests/relay/test_knowledge.py
+++ b/tests/relay/test_knowledge.py
@@ -1,4 +1,4 @@
-"""Who vouches for the list, without sockets."""
+"""The states of the endpoint list, without sockets."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_large.py
+++ b/tests/relay/test_large.py
@@ -1,4 +1,4 @@
-"""A node told of 1,100 senders and 1,100 endpoints: nothing on its path ends at a smaller figure."""
+"""A node with 1,100 senders and 1,100 endpoints: guards against smaller limits anywhere on the way."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         try:
             world.discovery.entries.update({str(one["uid"]): one for one in others[:550]})
             await world.open(last)
-            world.discovery.change(*others[550:])  # the rest comes by the watch
+            world.discovery.change(*others[550:])  # the other endpoints come by the watch
             client = await world.client()
             for i in range(6):
                 assert (
--- a/tests/relay/test_list_crossings.py
+++ b/tests/relay/test_list_crossings.py
@@ -1,4 +1,4 @@
-"""The list in one sender: versions that are behind or equal, and news at each turn between a hand-in and its call."""
+"""Versions of the list that are behind or equal, and changes at each loop turn between a submission and its call."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.relay.moved import Full, Peer, moved, says_200
 from tests.relay.world import configuration
 
-NEWS_TURNS = range(12)  # of the loop, from the hand-in on: the call is out long before the last
+NEWS_TURNS = range(12)  # loop turns from the submission on: the call has begun long before the last
 
 
 def target(uid: str, state: str = "active", endpoint: str = "127.0.0.1:1") -> Target:
@@ -26,7 +26,7 @@
 
 
 def process(folder: Path, *targets: Target, rev: int = 5) -> NodeProcess:
-    """A sender that knows these, and listens nowhere."""
+    """A sender that knows these endpoints and does not listen."""
     given: dict[str, Any] = configuration()
     made = NodeProcess(settings.read(json.dumps(given).encode()), folder, structlog.get_logger())
     made._recover()
@@ -91,7 +91,7 @@
 def test_what_a_version_may_change(
     tmp_path: Path, change: Change, more: list[Change], states: dict[str, EntryState], rev: int
 ) -> None:
-    """As after a move to an agent that knows less, as much or more."""
+    """As after a move to an agent that is behind, equal or ahead."""
 
     async def play() -> None:
         sender = process(tmp_path, target("a"), target("b", "leaving"))
@@ -121,8 +121,8 @@
 @pytest.mark.parametrize("turns", NEWS_TURNS)
 @pytest.mark.parametrize("state", ["leaving", "left"])
 def test_news_at_each_turn_from_a_hand_in_to_its_call(tmp_path: Path, turns: int, state: str) -> None:
-    """The one endpoint is told off while the message is journaled, decided on, its intent written, its connection
-    made: it goes to the other at once, and does not wait for the first, whose connection never comes up."""
+    """The only endpoint drains while the message is on its way from the journal to a connection that is never
+    established: the message goes to the new endpoint at once."""
 
     async def play() -> None:
         async with Peer(says_200) as other:
@@ -140,7 +140,7 @@
                 await asyncio.sleep(0.1)
                 assert [one.answer for one in answers] == [Answer.DELIVERED] and len(other.seen) == 1
                 assert not sender.engine.unstarted.by_destination
-                await asyncio.sleep(0.5)  # the set-up ends with its own time
+                await asyncio.sleep(0.5)  # the connection setup has timed out
                 assert f"http://{full}/receive a" not in sender.pools.budget.holders
             sender.journal.close()
 
--- a/tests/relay/test_list_restarts.py
+++ b/tests/relay/test_list_restarts.py
@@ -1,7 +1,7 @@
-"""Real processes: no first byte goes to an endpoint that was told off while nobody listened (incident 39).
+"""No call goes to an endpoint that started to drain while the sender or discovery was down (incident 39).
 
-What the platform's agent has counts as told from a process's first moment, and what it learns while it is cut off
-counts as told at its return. The grace is that of the settings and 50 ms of slack.
+The platform counts a change as known once its agent has it, from the sender's first moment on or, after an outage of
+the agent, from the agent's return on. Real processes.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from tests.relay.plays import play
 from tests.relay.world import World
 
-GRACE = 300.0  # ms: the settings' 250 and the platform's slack
+GRACE = 300.0  # ms: 250 of the settings and 50 of slack
 MESSAGES = 8
 
 
 async def take(world: World, count: int = MESSAGES, first: int = 0) -> None:
-    """Hand in messages of the safe and the unsafe class in turn."""
+    """Submit messages of the safe and the unsafe class alternately."""
     client = await world.client()
     for i in range(first, first + count):
         assert await client.put(f"m{i}", ("note", "pay")[i % 2], 1, 5000.0) == b"+OK\r\n"
 
 
 def late(endpoint: Endpoint, told: float) -> list[float]:
-    """First bytes later than the grace after the endpoint was told off, as ms since then."""
+    """Calls that began later than the grace after the drain, as ms since the drain."""
     return [at - told for at in endpoint.begun if at > told + GRACE]
 
 
 async def replaced(world: World) -> Endpoint:
-    """The one endpoint drains, and another stands for it."""
+    """Drain the only endpoint and add another one."""
     spare = Endpoint("b", 1)
     await spare.start()
     world.endpoints.append(spare)
@@ -59,7 +59,7 @@
 
 
 def test_a_start_while_discovery_is_down_goes_on_from_the_last_list_that_was_told(tmp_path: Path) -> None:
-    """The process before had heard of the drain; the configuration is older. Service goes on all the same."""
+    """The previous process knew of the drain; the configuration is older. Service continues."""
 
     async def day(world: World) -> None:
         spare = await replaced(world)
@@ -79,7 +79,7 @@
 
 
 def test_a_change_that_comes_with_the_return_of_discovery_is_heard_within_the_grace(tmp_path: Path) -> None:
-    """The agent is silent for a while and takes no watch; what it has at its return counts as told then."""
+    """The agent is silent for a while; a change that it has at its return counts as known then."""
 
     async def day(world: World) -> None:
         await take(world)
--- a/tests/relay/test_node.py
+++ b/tests/relay/test_node.py
@@ -1,4 +1,4 @@
-"""``node`` over real sockets: taking on, calls, endings, and what it rests on. Judged from what passed there."""
+"""``node`` over real sockets: accepting messages, calls, their outcomes, and reused connections."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 
 
 async def ending(folder: Path, manner: Manner, cls: str, calls: int, end: str) -> None:
-    """The manners here answer by themselves, so deliveries are read off the calls: as many as the row says."""
+    """Check the number of calls and the notice of one case. Not judged: these endpoints don't record deliveries."""
 
     async def day(world: World) -> None:
         client = await world.client()
@@ -106,7 +106,7 @@
                 break
             await asyncio.sleep(0.02)
         told = [one["result"] for _, one in world.discovery.notices]
-        again = world.log().count('"notice_failed"')  # a post given up for its time may have been heard
+        again = world.log().count('"notice_failed"')  # a post that timed out may have arrived
         assert told[:1] == ([end] if end else []) and told == told[:1] * len(told) and len(told) <= 1 + again
         assert len(world.endpoints[0].calls) == calls
 
@@ -117,7 +117,7 @@
 
 @pytest.fixture(scope="module")
 def endings(tmp_path_factory: pytest.TempPathFactory) -> list[BaseException | None]:
-    """What was wrong with each row."""
+    """The exception of each case, or None."""
     return together([partial(ending, tmp_path_factory.mktemp("day"), *row) for row in ENDINGS])
 
 
@@ -136,7 +136,9 @@
         client = await world.client()
         assert await client.put("m1", "pay", 1, 2500.0) == b"+OK\r\n"
         await world.settled(1)
-        assert world.discovery.notices[0][1]["result"] == "bounced", "unsafe, and yet a later try is harmless"
+        assert world.discovery.notices[0][1]["result"] == "bounced", (
+            "unsafe, but a later submission is harmless"
+        )
 
     play(tmp_path, day, Endpoint("a", 1))
 
@@ -157,7 +159,7 @@
             await asyncio.sleep(0.01)
         once, again = (call for call in endpoint.calls if call.id == "m1")
         assert again.connection > max(call.connection for call in endpoint.calls if call.at <= once.at)
-        assert len(endpoint.writers) == 1, "the hung one and the idle ones are closed"
+        assert len(endpoint.writers) == 1, "the hanging connection and the idle ones are closed"
         endpoint.delivered.append("m1")
 
     play(tmp_path, day, Endpoint("a", 1))
@@ -170,7 +172,7 @@
     async def day(world: World) -> None:
         client = await world.client()
         world.endpoints[0].resets_kept = share
-        for i in range(12):  # one after the other, so that each finds a kept connection
+        for i in range(12):  # one after the other, so that each finds an idle connection
             assert await client.put(f"m{i}", "pay", 1) == b"+OK\r\n"
             await world.settled(i + 1)
         assert world.discovery.notices == [] and len(world.endpoints[0].delivered) == 12
--- a/tests/relay/test_node_calls.py
+++ b/tests/relay/test_node_calls.py
@@ -1,4 +1,4 @@
-"""``node`` whose system calls fail for a while, in ways that Linux documents: it lives, and loses nothing it took on."""
+"""System calls that fail for a while, as Linux documents: ``node`` survives and loses no accepted message."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 @pytest.fixture(scope="session")
 def shim(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The library that lets calls fail, made once; without a C compiler these tests fail."""
+    """Compile the preloaded library that makes calls fail. Requires a C compiler."""
     library = tmp_path_factory.mktemp("shim") / "failing_calls.so"
     subprocess.run(["cc", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"], check=True)
     return library
 
 
 class Failing(World):
-    """A world whose sender has the shim loaded; nobody else has."""
+    """A world whose sender alone runs with the shim preloaded."""
 
     def __init__(self, folder: Path, shim: Path, call: str, error: str) -> None:
         super().__init__(folder)
@@ -63,12 +63,12 @@
 
 @pytest.mark.parametrize(("call", "error"), CASES)
 def test_calls_that_fail_for_a_while(tmp_path: Path, shim: Path, call: str, error: str) -> None:
-    """Clients that hold a connection are served or refused meanwhile; new ones and all calls go on after."""
+    """Connected clients are served or refused meanwhile; new clients and all calls work afterwards."""
 
     async def day(world: World) -> None:
         assert isinstance(world, Failing) and world.process is not None
         client = await world.client()
-        assert await client.put("first", "note", 1, 5000.0) == b"+OK\r\n"  # so it was accepted
+        assert await client.put("first", "note", 1, 5000.0) == b"+OK\r\n"  # so the connection was accepted
         world.flag.write_text("")
         world.discovery.cut()
         taken = 0
--- a/tests/relay/test_node_clients.py
+++ b/tests/relay/test_node_clients.py
@@ -1,4 +1,4 @@
-"""``node`` and its clients over real sockets: bad input, floods, ids that are open, more than may be held."""
+"""``node`` and its clients over real sockets: bad input, floods, ids of open messages, full queues."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_node_deaths.py
+++ b/tests/relay/test_node_deaths.py
@@ -1,4 +1,4 @@
-"""``node`` killed at a step on the wire: a call read, answered and not yet read, a notice come and not yet answered."""
+"""``node`` killed at exact moments of a call or a notice: no message is lost or repeated against its class."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from tests.relay.plays import play, together
 from tests.relay.world import World
 
-WINDOW = 1000.0  # ms, of the keyed class
+WINDOW = 1000.0  # ms, of the class with an idempotency key
 CLASSES = ("note", "order", "pay")
 STEPS = ("read", "answered")
 
 
 class Short(World):
-    """A world whose keyed class has a window of a second."""
+    """A world whose keyed class has a window of one second."""
 
     def write(self, discovery: object = None) -> None:
         super().write()
@@ -36,7 +36,7 @@
 
 
 def killing(world: World, step: str) -> Callable[[Call, asyncio.StreamWriter], Awaitable[None]]:
-    """The call has come whole and runs. The sender dies then, or with the answer in its socket and not read."""
+    """Kill the sender after a complete call, either before the answer or with the answer unread in its socket."""
 
     async def manner(call: Call, writer: asyncio.StreamWriter) -> None:
         assert world.process is not None
@@ -64,7 +64,7 @@
         await world.settled(1)
         late = await world.client()
         assert await late.put("m2", cls, 1, 5000.0, key="k2" if cls == "order" else "") == b"+OK\r\n"
-        await world.settled(2)  # by then the first has gone again, if it goes at all
+        await world.settled(2)  # by then the first has been repeated, if it is repeated
         calls = [one.at for one in world.endpoints[0].calls if one.id == "m1"]
         told = [one["result"] for _, one in world.discovery.notices if one["ref"] == "m1"]
         if cls == "pay":
@@ -81,7 +81,7 @@
 
 @pytest.fixture(scope="module")
 def ends(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str], BaseException | None]:
-    """What was wrong after each death."""
+    """The exception of each case, or None."""
     days = [(cls, step) for cls in CLASSES for step in STEPS]
     return dict(
         zip(
@@ -123,7 +123,7 @@
         notices = [(one["ref"], one["result"]) for _, one in world.discovery.notices]
         assert notices == [("m1", "bounced")] * 2 and "m1" not in world.endpoints[0].delivered
         first = world.clients[0].sent[0]
-        assert world.discovery.notices[0][0] <= first.at + first.span + SLACK, "the first one counts"
+        assert world.discovery.notices[0][0] <= first.at + first.span + SLACK, "the first notice was in time"
 
     play(tmp_path, day, Endpoint("a", 1, hang), judged=False)
 
@@ -133,7 +133,7 @@
 ) -> None:
     async def day(world: World) -> None:
         await world.kill()
-        await world.start(dies_at=-4)  # the reserve, the header, that a process begins, the message
+        await world.start(dies_at=-4)  # appends: reserve, header, Began, the message
         client = await world.client()
         assert await client.put("m1", "pay", 1, 5000.0) == b""
         await world.start()
--- a/tests/relay/test_node_disk.py
+++ b/tests/relay/test_node_disk.py
@@ -1,4 +1,4 @@
-"""``node`` whose lasting folder takes no writes for a while: it lives, refuses what it cannot keep, and owes the rest."""
+"""A state directory that takes no writes for a while: ``node`` refuses new messages and ends the accepted ones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def hand_in(world: World, first: int, count: int) -> list[bytes]:
-    """The answers to messages of all classes, each on a connection of its own."""
+    """Submit messages of all classes, each on its own connection; return the replies, empty after a timeout."""
 
     async def one(i: int) -> bytes:
         client = await world.client()
@@ -46,7 +46,7 @@
         for i in range(15):
             refused += await hand_in(world, 100 + 3 * i, 3)
             await asyncio.sleep(0.1)
-        assert world.process.returncode is None, "it lives"
+        assert world.process.returncode is None, "the process survives"
         assert b"+OK\r\n" not in refused and refused.count(b"") <= 3, refused
         assert sum(line.startswith(b"-BUSY") for line in refused) >= 40
         flag.unlink()
--- a/tests/relay/test_node_list.py
+++ b/tests/relay/test_node_list.py
@@ -58,7 +58,7 @@
             found.cut()
         elif trouble == "garbled":
             found.say(b'{"rev": 5, "all": true, "targets": [{"uid": "a"')
-        for _ in range(300):  # the stand-in sends no empty lines: silence ends the watch by itself
+        for _ in range(300):  # the stand-in sends no empty lines, so that the watch times out
             if len(found.asked) > 1:
                 break
             await asyncio.sleep(0.02)
@@ -152,13 +152,13 @@
 
 
 def test_idle_clients_leave_descriptors_for_the_list_notices_calls_and_the_journal(tmp_path: Path) -> None:
-    """The system gives no more than the configuration says; idle clients by hundreds come meanwhile."""
+    """The descriptor limit is that of the configuration, and hundreds of idle clients connect."""
 
     async def day(world: World) -> None:
         assert world.process is not None
         client = await world.client()
-        assert await client.put("first", "note", 2) == b"+OK\r\n"  # one that was of no use gives way
-        resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (256, 256))  # as the configuration says
+        assert await client.put("first", "note", 2) == b"+OK\r\n"  # an idle connection is closed for it
+        resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (256, 256))  # as configured
         idle = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(400)]
         world.discovery.cut()
         for _ in range(100):
--- a/tests/relay/test_node_program.py
+++ b/tests/relay/test_node_program.py
@@ -1,4 +1,4 @@
-"""``node`` as a program: what it imports, what it refuses to start with; and the judge of its days."""
+"""``node`` as a program: its imports and the configurations it refuses; and the check of the platform's rules."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_node_restarts.py
+++ b/tests/relay/test_node_restarts.py
@@ -1,4 +1,4 @@
-"""``node`` killed, told to end, and started on a folder that others left or that is damaged."""
+"""``node`` killed, terminated, and started on a state directory that is damaged or of another sender."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 async def killed(folder: Path, step: int) -> None:
-    """A small folder and large bodies, so that segments are closed and the journal is rewritten meanwhile."""
+    """Kill at a storage operation, with so little space that segments are closed and the journal is compacted."""
     world = World(folder, disk_mb=0.25)
     try:
         await world.open(Endpoint("a", 1, after(0.01)), dies_at=step)
@@ -47,7 +47,7 @@
             if world.process.returncode is not None:
                 break
             if i % 10 == 0:
-                await asyncio.sleep(0.15)  # long enough for a look at whether to rewrite
+                await asyncio.sleep(0.15)  # long enough for a check whether to compact
                 try:
                     client = await world.client()
                 except ConnectionError:
@@ -74,7 +74,7 @@
 
 @pytest.fixture(scope="module")
 def ends(tmp_path_factory: pytest.TempPathFactory) -> dict[int, BaseException | None]:
-    """What was wrong after the death at each step."""
+    """The exception of each case, or None."""
     found = together([partial(killed, tmp_path_factory.mktemp("day"), step) for step in STEPS])
     return dict(zip(STEPS, found, strict=True))
 
@@ -117,7 +117,7 @@
         await asyncio.sleep(0.3)
         assert await client.put("m1", "note", 1) == b"+OK\r\n"
         late = await world.client()
-        assert await late.put("m2", "note", 1) == b"+OK\r\n", "new connections go on coming for a moment"
+        assert await late.put("m2", "note", 1) == b"+OK\r\n", "new connections are still accepted"
         assert await asyncio.wait_for(world.process.wait(), 3.6) == 0
         await world.start()
         await world.settled(2)
@@ -145,7 +145,7 @@
 
 
 def left_behind(folder: Path, name: str, taken: Taken) -> None:
-    """The journal of a sender that died with one message open."""
+    """Write the journal of a sender that died with one open message."""
     files = DirectoryStorage(World(folder).folder / "state", synced=False)
     writer = Writer(files, scan(files))
     writer.open()
@@ -163,7 +163,7 @@
         assert await (await world.client()).put("n1", "note", 1) == b"+OK\r\n"
         await world.settled(2)
         assert [one["ref"] for _, one in world.discovery.notices] == ["theirs"], (
-            "its end is owed all the same"
+            "its notice is sent all the same"
         )
 
     left_behind(
--- a/tests/relay/test_node_signals.py
+++ b/tests/relay/test_node_signals.py
@@ -1,4 +1,4 @@
-"""``node`` and signals at rare moments: before it hears them, while it leaves, as it goes."""
+"""Signals to ``node`` before its handlers are set, during its shutdown, and while it exits."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 def test_a_journal_that_takes_no_write_while_it_leaves_promises_nothing_and_ends_in_its_time(
     tmp_path: Path,
 ) -> None:
-    """Writes may pass again, so it goes on: what it cannot keep it does not take on, and the next process agrees."""
+    """It keeps retrying, refuses new messages meanwhile, and the next process delivers none of them."""
 
     async def day(world: World) -> None:
         client = await world.client()
@@ -94,23 +94,19 @@
             await asyncio.sleep(0.01)
         left = asyncio.get_running_loop().time()
         (world.folder / "broken").touch()
-        with pytest.raises(
-            TimeoutError
-        ):  # it meets the first write that fails; the platform's clients go then
+        with pytest.raises(TimeoutError):  # waits for the first write that fails
             await asyncio.wait_for(client.put("m2", "note", 1), 0.4)
         await client.close()
         for i in range(3, 9):
             other = await world.client()
             assert (await other.put(f"m{i}", "note", 1)).startswith(b"-BUSY"), "refused at once"
         assert await ended(world, 8.0) == 0
-        assert asyncio.get_running_loop().time() - left < 6.0 + 1.0, (
-            "its longest deadline, and the end itself"
-        )
+        assert asyncio.get_running_loop().time() - left < 6.0 + 1.0, "the longest deadline and the shutdown"
         assert world.log().count('"journal_stalled"') == 1 and '"journal_broken"' not in world.log()
         (world.folder / "broken").unlink()
         await world.start()
         await asyncio.sleep(0.5)
-        assert world.endpoints[0].delivered == ["m1"], "nothing that was not promised is delivered"
+        assert world.endpoints[0].delivered == ["m1"], "only the accepted message is delivered"
 
     world = World(tmp_path)
     world.program = ["-m", "tests.relay.breaking", str(tmp_path / "broken")]
@@ -118,7 +114,7 @@
 
 
 def test_what_is_handed_in_up_to_the_end_is_taken_on_and_answered_or_neither(tmp_path: Path) -> None:
-    """Clients that go on to the last: whatever was answered is delivered or told, and nothing else was called."""
+    """Clients submit until the end: every accepted message is delivered or reported, and no other was called."""
 
     async def day(world: World) -> None:
         clients = [await world.client() for _ in range(6)]
@@ -137,7 +133,7 @@
         await asyncio.gather(*going)
         taken = [ident for ident, line in told.items() if line == b"+OK\r\n"]
         called = {call.id for call in world.endpoints[0].calls}
-        assert called <= set(taken), "nothing went out whose client was not told"
+        assert called <= set(taken), "no call without an answer to the client"
         world.endpoints[0].manner = hang
         await world.start()
         await world.settled(len(taken))
--- a/tests/relay/test_notice_handovers.py
+++ b/tests/relay/test_notice_handovers.py
@@ -1,4 +1,4 @@
-"""Notices at hand-overs: the platform moves, or its answer comes, just as a post is given up. Each is told once."""
+"""Notices when the platform moves or answers just as a post times out: each is acknowledged once."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Place:
-    """An address of the platform; the first post meets ``step``, all others their answer."""
+    """An address of the platform; the first post is handled by ``step``, all others are answered."""
 
     def __init__(self, step: Step | None = None) -> None:
         self.step, self.got = step, list[list[str]]()
@@ -48,7 +48,7 @@
 
 
 async def cut(_: Place, writer: asyncio.StreamWriter) -> None:
-    """The connection breaks under the answer."""
+    """Abort the connection instead of answering."""
     writer.transport.abort()
 
 
@@ -57,11 +57,11 @@
 
 
 async def silent(_: Place, writer: asyncio.StreamWriter) -> None:
-    """The answer never comes."""
+    """Never answer."""
 
 
 async def late(_: Place, writer: asyncio.StreamWriter) -> None:
-    """It comes as the post has just been given up."""
+    """Answer just as the post times out."""
     await asyncio.sleep(notices.WITHIN)
     if not writer.is_closing():
         writer.write(ANSWER)
@@ -88,7 +88,7 @@
         to = await new.start()
 
         async def crossing(place: Place, writer: asyncio.StreamWriter) -> None:
-            line.owe(2, Notice("m2", "dead"))  # while the first is under way
+            line.owe(2, Notice("m2", "dead"))  # while the first is in flight
             if moves:
                 line.move(to)
             await step(place, writer)
@@ -103,7 +103,7 @@
         assert told == [1, 2] and not line.owed
         rest = new.got if moves else old.got[1:]
         assert old.got[0] == ["m1"] and (len(old.got) == 1 if moves else not new.got)
-        # Read twice it does no harm, and a post that is under way may be given up for the platform's new address.
+        # A notice may arrive twice: a post in flight is cancelled when the platform moves.
         assert rest == [["m1", "m2"]] or (not again and rest == [["m2"]])
         pools.close_all_idle()
         old.server.close()
--- a/tests/relay/test_notices.py
+++ b/tests/relay/test_notices.py
@@ -1,4 +1,4 @@
-"""Notices on real sockets under a moved time: room of their own, a platform that moves or falls silent, one end each."""
+"""Notices in virtual time: connections of their own, a platform that moves or falls silent, no duplicates."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Told:
-    """Notices to a peer, and when which message was told."""
+    """A notice sender to a peer that records the acknowledged messages in order."""
 
     def __init__(self, address: str) -> None:
         self.told: list[int] = []
@@ -43,7 +43,7 @@
         return now()
 
     async def until(self, *numbers: int) -> float:
-        """When these were told, each once, and nothing else; no call is left under way."""
+        """Wait until exactly these are acknowledged, each once; return the time. No call is left in flight."""
         while len(self.told) < len(numbers):
             self.more.clear()
             await self.more.wait()
@@ -139,7 +139,7 @@
 
 
 def test_a_platform_slow_to_answer_is_told_in_the_end() -> None:
-    """A little more time with each post: one that stands still for a while is not asked again for ever."""
+    """The timeout grows with each post, so that a slow platform is not asked forever."""
 
     async def play() -> None:
         async with Peer(later(0.9)) as platform:
--- a/tests/relay/test_pool_queue.py
+++ b/tests/relay/test_pool_queue.py
@@ -1,4 +1,4 @@
-"""Calls that wait in a pool, or for a connection, while the list is in doubt: none begins on what was known before."""
+"""Calls queued in a pool while the list is unconfirmed: none begins on the outdated list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def slow(writer: asyncio.StreamWriter) -> None:
-    """Serves after a while."""
+    """Answer after 0.2 s."""
     await asyncio.sleep(0.2)
     await says_200(writer)
 
@@ -23,7 +23,7 @@
 def test_calls_queued_for_the_one_connection_wait_until_the_list_is_confirmed(
     tmp_path: Path, count: int
 ) -> None:
-    """The connection comes free after the watch was cut and before another one is confirmed."""
+    """The connection becomes free after the watch was cut and before another one is confirmed."""
 
     async def play() -> None:
         async with Peer(slow) as old, Peer(says_200) as spare:
@@ -36,7 +36,9 @@
             await old.asked(1)
             sender.list.discovery.hearers.lost("cut", now())
             await asyncio.sleep(0.5)
-            assert len(old.seen) == 1 and len(answers) == 1, "the connection was free, and nothing left on it"
+            assert len(old.seen) == 1 and len(answers) == 1, (
+                "the connection was free, and no call began on it"
+            )
             sender.list.take(
                 Change(6, False, [target("a", "leaving", old.address), target("b", "active", spare.address)])
             )
@@ -50,7 +52,7 @@
 
 
 def test_a_repeat_that_is_due_meanwhile_waits_too(tmp_path: Path) -> None:
-    """The first attempt breaks; its repeat comes due while nobody vouches for the list."""
+    """The first attempt breaks; its retry is due while the list is unconfirmed."""
 
     async def breaks(writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
--- a/tests/relay/test_pure.py
+++ b/tests/relay/test_pure.py
@@ -1,4 +1,4 @@
-"""The platform's tables: endings, reports, the list, the configuration."""
+"""Parsing of responses, load reports, the endpoint list and the configuration."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     )
     kept = outcomes.status(code, lambda name: fields.get(name, ""), True).result
     assert kept is (Result.BUSY if result is Result.CONNECTION_LIMIT else result), (
-        "a kept connection is none too many"
+        "a reused connection cannot exceed the limit"
     )
 
 
@@ -109,7 +109,7 @@
         ("e", EntryState.DRAINING),
     }
     assert listing.url("b") is None and listing.url("e") == "http://10.0.0.1:81/receive" and listing.rev == 3
-    assert listing.take(Change(4, False, [target("z", "left")])).entries == (), "never known, nothing to tell"
+    assert listing.take(Change(4, False, [target("z", "left")])).entries == (), "never known, nothing changes"
     assert (
         listing.listed(1)
         and not listing.listed(2)
@@ -147,7 +147,7 @@
 
 def test_settings_have_one_reader() -> None:
     given = configuration()
-    given["settings"]["Specifics"]["KindBatch"] = [20]  # a call on sockets carries one all the same
+    given["settings"]["Specifics"]["KindBatch"] = [20]  # ignored: a call over HTTP carries one message
     config = settings.read(json.dumps(given).encode())
     sets = config.settings
     assert (
@@ -175,7 +175,7 @@
         ({"settings": {**configuration()["settings"], "Balancers": 0}}, "senders"),
         ({"settings": {**configuration()["settings"], "Specifics": {"CallSlots": 0}}}, "slots"),
         ({"limits": {"disk_mb": 0}}, "limits"),
-        ({"known": {"rev": 1, "all": True, "targets": [configured("a"), configured("a")]}}, "stands twice"),
+        ({"known": {"rev": 1, "all": True, "targets": [configured("a"), configured("a")]}}, "appears twice"),
         ({"known": {"rev": 1, "all": True, "targets": [{"uid": "a"}]}}, "endpoint"),
     ],
 )
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -1,4 +1,4 @@
-"""What another customer's settings may say: served, or one clear error that names the field."""
+"""Settings of other deployments are accepted, or refused with one error that names the field."""
 
 from __future__ import annotations
 
@@ -118,7 +118,7 @@
         ]
     with pytest.raises(settings.NodeError, match="classes") as caught:
         settings.read(told(Classes=classes(*({"Name": f"c{i % 59}"} for i in range(60)))))
-    assert len(str(caught.value)) < 500, "the names, and not all that is known of sixty classes"
+    assert len(str(caught.value)) < 500, "the names, not the full settings of sixty classes"
 
 
 def test_a_whole_number_may_come_as_a_fraction() -> None:
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize(("mode", "asks"), [("push", False), ("ask", True), ("odd", False), (3, False)])
 def test_the_list_is_watched_whatever_its_mode(mode: object, asks: bool) -> None:
-    """The platform has one watch; the mode only lets the module ask again for what the watch brings anyway."""
+    """The watch is opened in every mode; the mode only lets the decision module request the list as well."""
     assert settings.read(told(RegistryMode=mode)).settings.request_list is asks
 
 
@@ -163,7 +163,7 @@
     assert len(sent) == 1
     then = sender.handle(900.0, [AttemptEnded(1, 0, sent[0].endpoint, Result.TIMEOUT, 900.0)])
     assert not [one for one in then if isinstance(one, Send)], (
-        "it may have run, and no repeat of it is dropped"
+        "it may have run, and the endpoint would not drop a repeat"
     )
 
 
--- a/tests/relay/test_settings_in_service.py
+++ b/tests/relay/test_settings_in_service.py
@@ -1,4 +1,4 @@
-"""Another customer's settings in a process that serves: many classes, short deadlines, files changed under way."""
+"""Settings of other deployments in a running process: many classes, short deadlines, reloaded files."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 async def logged(seen: world.World, event: str, count: int) -> None:
-    """Wait until an event was logged so often."""
+    """Wait until an event was logged ``count`` times."""
     for _ in range(100):
         if seen.log().count(event) == count:
             return
         await asyncio.sleep(0.02)
-    raise AssertionError(f"{event} was to be logged {count} times: {seen.log()[-2000:]}")
+    raise AssertionError(f"expected {event} {count} times: {seen.log()[-2000:]}")
 
 
 def test_with_short_deadlines_a_planned_end_comes_before_the_kill(
@@ -35,13 +35,13 @@
         left, stopped = (
             next(line["at"] for line in lines if line["event"] == event) for event in ("leaving", "stopped")
         )
-        assert stopped - left < 3.0, "it was 3.3 s, whatever the deadlines"
+        assert stopped - left < 3.0, "the shutdown must not outlast the deadlines"
 
     play(tmp_path, day, Endpoint("a", 1))
 
 
 def test_sixty_classes_of_300_ms_in_a_process(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One is delivered, one hangs and ends by a notice in its time, and what names no class is told so."""
+    """One message is delivered, a hanging one ends by a notice, and an unknown class is refused."""
     monkeypatch.setattr(
         world,
         "CLASSES",
@@ -77,7 +77,7 @@
             seen.process.send_signal(signal.SIGHUP)
             await logged(seen, "reload_refused", count)
             refused = [line for line in seen.log().splitlines() if '"reload_refused"' in line]
-            assert len(refused) == count and field in refused[-1], "one clear line that names the field"
+            assert len(refused) == count and field in refused[-1], "one line that names the field"
         file.write_text(good)
         seen.process.send_signal(signal.SIGHUP)
         await logged(seen, "reloaded", 1)
@@ -92,7 +92,7 @@
 def test_a_class_that_has_another_effect_after_a_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, effect: str, again: bool
 ) -> None:
-    """It was safe and its call is out as the process dies. It has no idempotency key: only a safe one goes again."""
+    """Its call is in flight as the process dies, without an idempotency key: only a pure one is repeated."""
 
     async def day(seen: world.World) -> None:
         client = await seen.client()
--- a/tests/relay/test_wall_clock.py
+++ b/tests/relay/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""``node`` where the wall clock steps while it is down: what it took on has the time that is really left."""
+"""A wall clock that steps while ``node`` is down does not change the time left of accepted messages."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("step", [-HOUR, 0.0])
 def test_a_step_back_while_it_is_down_gives_no_time_to_a_message(tmp_path: Path, step: float) -> None:
-    """Its end is due at its time, on a machine that thinks it is an hour earlier."""
+    """The message ends at its deadline, even if the wall clock was set back by an hour."""
 
     async def day(world: World) -> None:
         client = await world.client()
--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the list on real sockets under a moved time: how late a change can be told, whatever failed before."""
+"""The delay until a change arrives by the watch, after failures of all kinds. Real sockets, virtual time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     trickles,
 )
 
-TOLD, MOVED = 6.0, 4.0  # seconds after which a change counts as told; after a move
+TOLD, MOVED = 6.0, 4.0  # seconds within which a change must arrive, normally and after a move
 
 
 OPEN = says(change(2), b"\n")
@@ -79,10 +79,10 @@
     ids=["a patient one", "the next", "the second", "a head"],
 )
 def test_a_change_is_told_in_time_after_calls_that_failed(out: list[Manner], then: list[Manner]) -> None:
-    """The change and the way to it are there just after a call has gone out that is never answered."""
+    """The change becomes available just after a request went out that is never answered."""
 
     async def play() -> None:
-        # Many calls before, so that the wait between them is at its longest; the last of them is a patient one.
+        # Many requests first, so that any backoff between them would be at its longest.
         before = [*[silent] * 12, *out]
         async with Peer(*before, *then, says(change(3))) as peer:
             heard = Heard(peer.address)
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("then", [[silent, silent], [only_head]], ids=["two not answered", "a head alone"])
 def test_a_move_is_made_up_for_in_time(then: list[Manner]) -> None:
-    """Just after the old address was found silent, so that a wait is on."""
+    """Just after a watch at the old address has failed."""
 
     async def play() -> None:
         async with Peer(silent) as old, Peer(*then, says(change(3))) as new:
@@ -131,7 +131,7 @@
 
 
 def test_a_quiet_list_keeps_its_watch() -> None:
-    """Nothing has changed: the head comes at once, and the first empty line 2 s later."""
+    """Without changes the head comes at once, and an empty line every 2 s."""
 
     async def play() -> None:
         async with Peer(trickles(HEAD, b"")) as idle, Peer(quiet) as peer:
@@ -141,7 +141,7 @@
             assert len(peer.seen) == 1 and not heard.notes
             heard.watch.move(idle.address)
             await idle.asked(2)
-            assert heard.notes == ["silent"], "the one that was left tells nothing more"
+            assert heard.notes == ["silent"], "the watch at the old address reports nothing more"
             heard.watch.stop()
             await asyncio.sleep(5.0)
             assert len(peer.seen) == 1 and len(idle.seen) == 2
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("cut", [1, 9, -1])
 def test_an_answer_that_stops_within_an_object_holds_up_no_other(cut: int) -> None:
-    """The agent is up: the next request is answered whole."""
+    """The agent is up: the next request gets a complete answer."""
     begun = trickles(HEAD + chunk(change(2)[:cut]), b"")
 
     async def play() -> None:
@@ -179,7 +179,7 @@
 
 
 async def quiet(writer: asyncio.StreamWriter) -> None:
-    """A list that does not change."""
+    """Send a list that does not change."""
     writer.write(HEAD)
     while True:
         await asyncio.sleep(2.0)
@@ -187,7 +187,7 @@
 
 
 def test_lists_may_come_indented_and_in_any_pieces() -> None:
-    """Objects over several lines, cut anywhere; what is no object ends the watch at once."""
+    """Objects span lines and chunks; anything else ends the watch at once."""
     whole = change(2, indent=2) + b"\r\n" + change(3, indent="\t") + change(4)
     bad = says(*(whole[i : i + 7] for i in range(0, len(whole), 7)), b"]\n")
 
@@ -204,7 +204,7 @@
 
 
 def test_what_lies_in_the_socket_is_read_before_silence_is_believed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop that serves runs its timers before it reads: it stands still while a change comes."""
+    """The event loop is blocked while a change arrives, and runs its timers before it reads."""
     monkeypatch.setattr("brassweir.relay.watch.SILENT", 0.4)
 
     async def play() -> None:
--- a/tests/relay/test_watch_descriptors.py
+++ b/tests/relay/test_watch_descriptors.py
@@ -1,4 +1,4 @@
-"""What a watch of the list holds of the system's descriptors, and what it does without one."""
+"""File descriptors of the watch: none leak, and their shortage only delays it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_connections_that_never_come_up_are_let_go() -> None:
-    """At either address, given up after a while or left in the middle of an open."""
+    """After timeouts, and after moves during connection setup."""
 
     async def play() -> None:
         with Full() as here, Full() as there:
@@ -42,7 +42,7 @@
 
 
 def test_connections_that_are_left_are_let_go_in_service() -> None:
-    """The same on the loop that serves: here only a move gives them up."""
+    """The same after moves alone, on a real event loop."""
 
     async def play() -> None:
         with Full() as here:
--- a/tests/relay/world.py
+++ b/tests/relay/world.py
@@ -1,4 +1,4 @@
-"""A small platform on loopback for the tests of ``node``: figures of our own."""
+"""A small platform on loopback for the tests of ``node``."""
 
 from __future__ import annotations
 
@@ -84,22 +84,22 @@
 
 
 class World:
-    """Endpoints, discovery and one ``node`` in a process of its own."""
+    """Stand-ins for endpoints and discovery, and one ``node`` as a subprocess."""
 
     def __init__(self, folder: Path, disk_mb: float = 2.0) -> None:
         self.folder, self.disk_mb = folder, disk_mb
         self.discovery = Discovery()
         self.endpoints: list[Endpoint] = []
         self.clients: list[Client] = []
-        self.senders = 1  # that the configuration tells of
+        self.senders = 1  # number in the configuration
         self.program = ["-m", "brassweir", "node"]
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
-        self.started = 0.0  # wall ms at which the sender was last started
+        self.started = 0.0  # wall time in ms of the last start
         (folder / "state").mkdir(exist_ok=True)
 
     async def open(self, *endpoints: Endpoint, dies_at: int = 0) -> World:
-        """Start everything; the sender may be one that dies at a step of its storage."""
+        """Start everything; ``dies_at`` is a storage operation at which the sender is killed, or 0."""
         await self.discovery.start()
         for endpoint in endpoints:
             await endpoint.start()
@@ -111,7 +111,7 @@
         return self
 
     def write(self, discovery: Discovery | None = None) -> None:
-        """Write the configuration."""
+        """Write the configuration file, with the address of ``discovery`` or the default one."""
         found = configuration(
             f"127.0.0.1:{self.port}",
             f"127.0.0.1:{(discovery or self.discovery).port}",
@@ -122,7 +122,7 @@
         (self.folder / "config.json").write_text(json.dumps(found))
 
     async def start(self, dies_at: int = 0) -> None:
-        """Start the sender, and wait until it answers, or has died where it was to."""
+        """Start the sender; wait until it answers a PING, or has died at ``dies_at``."""
         env = {
             **os.environ,
             "RELAY_CONFIG": str(self.folder / "config.json"),
@@ -145,25 +145,25 @@
                     return
                 assert self.process.returncode is None, self.log()
                 await asyncio.sleep(0.05)
-        raise AssertionError(f"it does not answer: {self.log()}")
+        raise AssertionError(f"the sender does not answer: {self.log()}")
 
     async def client(self) -> Client:
-        """One more client."""
+        """Connect another client."""
         self.clients.append(await Client("127.0.0.1", self.port).open())
         return self.clients[-1]
 
     async def kill(self, number: signal.Signals = signal.SIGKILL) -> int:
-        """End the sender, and wait for its end."""
+        """Send a signal to the sender, wait for its exit, and return its exit code."""
         assert self.process is not None
         self.process.send_signal(number)
         return await asyncio.wait_for(self.process.wait(), 10.0)
 
     def log(self) -> str:
-        """What it logged."""
+        """Return the sender's log."""
         return (self.folder / "log").read_text()
 
     def seen(self) -> Seen:
-        """What passed."""
+        """Return everything that the stand-ins recorded."""
         return Seen(
             [one for client in self.clients for one in client.sent],
             [(endpoint.destination, call) for endpoint in self.endpoints for call in endpoint.calls],
@@ -172,16 +172,16 @@
         )
 
     async def settled(self, count: int, within: float = 8.0) -> None:
-        """Wait until so many messages have ended."""
+        """Wait until ``count`` messages have been delivered or reported by a notice."""
         for _ in range(int(within / 0.02)):
             seen = self.seen()
             if len({*seen.delivered, *(one["ref"] for _, one in seen.notices)}) >= count:
                 return
             await asyncio.sleep(0.02)
-        raise AssertionError(f"{count} were to end: {self.seen()}\n{self.log()[-2000:]}")
+        raise AssertionError(f"expected {count} messages to end: {self.seen()}\n{self.log()[-2000:]}")
 
     async def close(self, judged: bool = True) -> None:
-        """End everything, and judge."""
+        """Stop everything and, if ``judged``, check the platform's rules."""
         if self.process is not None and self.process.returncode is None:
             await self.kill()
         for endpoint in self.endpoints:
--- a/tests/service/test_saved_list.py
+++ b/tests/service/test_saved_list.py
@@ -1,4 +1,4 @@
-"""The list kept in the folder that lasts: what is read back, whatever became of the writes."""
+"""The saved endpoint list is read back correctly after torn, failed and refused writes."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 def test_a_list_too_large_for_its_share_is_said_and_not_written(tmp_path: Path) -> None:
     saved = SavedList(tmp_path, 4096)
     saved.replace(listing(500).whole())
-    assert "no room" in saved.failed and not (tmp_path / NAME).exists()
+    assert "exceeds the limit" in saved.failed and not (tmp_path / NAME).exists()
 
 
 def test_the_largest_list_of_the_platform_has_room(tmp_path: Path) -> None:
