--- a/brassweir/cli/node.py
+++ b/brassweir/cli/node.py
@@ -10,10 +10,10 @@
 
 from brassweir.journal.group import JournalBroken
 from brassweir.observe.json_log import JsonLog
-from brassweir.relay.settings import NodeError
+from brassweir.relay.settings import NodeConfigError
 from brassweir.service.journaling import JournalUnusable
 from brassweir.service.node_run import run
-from brassweir.service.node_trace import FREQUENT
+from brassweir.service.node_trace import FREQUENT_EVENTS
 
 
 @click.command()
@@ -25,8 +25,8 @@
     """
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(run(JsonLog(frequent=FREQUENT)))
-    except (NodeError, JournalUnusable) as error:
+            runner.run(run(JsonLog(frequent=FREQUENT_EVENTS)))
+    except (NodeConfigError, JournalUnusable) as error:
         click.echo(f"brassweir node: {error}", err=True)
         sys.exit(1)
     except JournalBroken as error:
--- a/brassweir/relay/carrier.py
+++ b/brassweir/relay/carrier.py
@@ -15,11 +15,11 @@
 
 # For the last byte of a request (see ``post``): a reset of the connection that arrives before it proves that
 # the attempt has not run.
-HOLD = 0.005
+LAST_BYTE_DELAY_SECONDS = 0.005
 # Statuses whose status line decides the outcome, whatever follows it.
-SETTLING = frozenset({200})
+CONCLUSIVE_STATUSES = frozenset({200})
 # Without a response the network path may have failed, and the idle connections to the endpoint with it.
-UNSURE = frozenset({Result.TIMEOUT, Result.RESET})
+PATH_SUSPECT_RESULTS = frozenset({Result.TIMEOUT, Result.RESET})
 
 
 class RelayCarrier(TaskCarrier):
@@ -44,25 +44,32 @@
 
         An endpoint without an address ends as NO_CONNECTION.
         """
-        name, given = attempt.endpoint.name, attempt.submission
-        url, payload = self.urls.url(name), given.payload
+        name, submission = attempt.endpoint.name, attempt.submission
+        url, payload = self.urls.url(name), submission.payload
         if url is None or not isinstance(payload, Payload):
             done(Outcome(Result.NO_CONNECTION, "no address for this endpoint"))
             return
-        fields = Headers([("X-Correlation-Id", given.identity)])
+        headers = Headers([("X-Correlation-Id", submission.identity)])
         if payload.subject:
-            fields.add("Idempotency-Key", payload.subject)
-        fields.add("X-Time-Left", f"{max(1.0, attempt.abandon_at - self.clock.now()):.0f}m")
-        pool, until = self.pools.http_pool(url, name), attempt.abandon_at / 1000.0
+            headers.add("Idempotency-Key", payload.subject)
+        headers.add("X-Time-Left", f"{max(1.0, attempt.abandon_at - self.clock.now()):.0f}m")
+        pool, deadline = self.pools.http_pool(url, name), attempt.abandon_at / 1000.0
         try:
-            reply = await pool.post(fields, payload.content, until, until, attempt.start_guard.begin, HOLD)
+            reply = await pool.post(
+                headers,
+                payload.content,
+                deadline,
+                deadline,
+                attempt.start_guard.begin,
+                LAST_BYTE_DELAY_SECONDS,
+            )
         except CallFailed as failed:
             if failed.stage is Stage.CONNECT and failed.reused:
                 done(Outcome(Result.NOT_STARTED, "a kept connection was closed before the call was whole"))
                 return
             outcome = no_answer(failed.stage is not Stage.CONNECT, True, failed.timed_out, failed.reason)
-            if outcome.result in UNSURE:
+            if outcome.result in PATH_SUSPECT_RESULTS:
                 pool.close_idle()  # other connections to the endpoint may be dead too
             done(outcome)
         else:
-            done(outcomes.status(reply.status, reply.headers.first, reply.reused))
+            done(outcomes.response_outcome(reply.status, reply.headers.first, reply.reused))
--- a/brassweir/relay/discovery.py
+++ b/brassweir/relay/discovery.py
@@ -17,166 +17,187 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brassweir.relay.endpoint_list import Change, read
+from brassweir.relay.endpoint_list import Change, parse_change
 from brassweir.relay.watch import Watch
 
-PACE = 0.1  # while no watch is confirmed
-MOST_UNCONFIRMED = 4  # open at the same time
+REQUEST_INTERVAL_SECONDS = 0.1  # while no watch is confirmed
+MAX_UNCONFIRMED_WATCHES = 4  # open at the same time
 # For a confirmed watch at the old address after a move; from 4 s on, changes at the new address count.
-LEFT_AFTER = 3.0
+OLD_ADDRESS_SECONDS = 3.0
 
 Note = Callable[[str, dict[str, object]], None]
 
 
-def _nothing() -> None:
+def _ignore_confirmed() -> None:
     """Default for ``on_confirmed``."""
 
 
-def _unheard(why: str, heard: float) -> None:
+def _ignore_lost(reason: str, last_received: float) -> None:
     """Default for ``on_lost``."""
 
 
 @dataclass(frozen=True, slots=True)
-class Hearers:
+class WatchListeners:
     """Callbacks for each change, for a watch that is confirmed, and for the loss of the confirmed watch.
 
     ``on_lost`` gets the reason and the loop time (seconds) at which the agent was
     last known to be up.
     """
 
-    change: Callable[[Change], None]
-    confirmed: Callable[[], None] = _nothing
-    lost: Callable[[str, float], None] = _unheard
+    on_change: Callable[[Change], None]
+    on_confirmed: Callable[[], None] = _ignore_confirmed
+    on_lost: Callable[[str, float], None] = _ignore_lost
 
 
-class Discovery:
+class DiscoveryClient:
     """Watches the list at ``address``.
 
     ``rev`` returns the version known, from which a new watch continues.
     """
 
     def __init__(
-        self, address: str, rev: Callable[[], int], hearers: Hearers, note: Note, pace: float = PACE
+        self,
+        address: str,
+        rev: Callable[[], int],
+        listeners: WatchListeners,
+        note: Note,
+        request_interval: float = REQUEST_INTERVAL_SECONDS,
     ) -> None:
-        self.address, self.rev, self.hearers, self.note, self.pace = address, rev, hearers, note, pace
-        self.confirmed: Watch | None = None
-        self.unconfirmed: list[Watch] = []  # in the order of their requests
-        self.opened = self.changes = 0
+        self.address, self.rev, self.listeners, self.note, self.request_interval = (
+            address,
+            rev,
+            listeners,
+            note,
+            request_interval,
+        )
+        self.confirmed_watch: Watch | None = None
+        self.unconfirmed_watches: list[Watch] = []  # in the order of their requests
+        self.request_count = self.changes = 0
         self.stopped = False
-        self.failure = ""  # the last one logged: repetitions are not logged
-        self.next: asyncio.TimerHandle | None = None
-        self.leaves: asyncio.TimerHandle | None = None
-        self.asked_at = float("-inf")  # loop time of the last request
+        self.last_failure = ""  # the last one logged: repetitions are not logged
+        self.next_request: asyncio.TimerHandle | None = None
+        self.old_address_timer: asyncio.TimerHandle | None = None
+        self.requested_at = float("-inf")  # loop time of the last request
 
     def start(self) -> None:
         """Send the first request."""
-        self._open()
+        self._send_request()
 
     def move(self, address: str) -> None:
         """Watch at another address.
 
         A confirmed watch stays open until one is confirmed there, or for some seconds.
         """
-        if self.confirmed is not None and self.confirmed.address == address == self.address:
+        if self.confirmed_watch is not None and self.confirmed_watch.address == address == self.address:
             return
-        self.address, self.failure = address, ""
-        self._drop_unconfirmed()
-        if self.confirmed is not None and self.leaves is None:
-            self.leaves = asyncio.get_running_loop().call_later(LEFT_AFTER, self._leave)
-        self._open()
+        self.address, self.last_failure = address, ""
+        self._close_unconfirmed()
+        if self.confirmed_watch is not None and self.old_address_timer is None:
+            self.old_address_timer = asyncio.get_running_loop().call_later(
+                OLD_ADDRESS_SECONDS, self._end_old_watch
+            )
+        self._send_request()
 
     def stop(self) -> None:
         """Close every watch."""
         self.stopped = True
-        self._cancel_next()
-        self._drop_unconfirmed()
-        self._drop_confirmed()
+        self._cancel_next_request()
+        self._close_unconfirmed()
+        self._close_confirmed()
 
     # ---- requests
 
-    def _open(self) -> None:
-        self._cancel_next()
+    def _send_request(self) -> None:
+        self._cancel_next_request()
         loop = asyncio.get_running_loop()
-        self.opened += 1
-        self.asked_at = loop.time()
-        if len(self.unconfirmed) >= MOST_UNCONFIRMED:
-            self.unconfirmed.pop(1).drop()
+        self.request_count += 1
+        self.requested_at = loop.time()
+        if len(self.unconfirmed_watches) >= MAX_UNCONFIRMED_WATCHES:
+            self.unconfirmed_watches.pop(1).close()
         watch = Watch(self, loop, self.address)
-        self.unconfirmed.append(watch)
+        self.unconfirmed_watches.append(watch)
         watch.open(self.rev())
-        self.next = loop.call_later(self.pace, self._open)
+        self.next_request = loop.call_later(self.request_interval, self._send_request)
 
-    def _open_in_turn(self) -> None:
+    def _schedule_request(self) -> None:
         """Schedule the next request for ``request_interval`` after the last one."""
-        self._cancel_next()
+        self._cancel_next_request()
         loop = asyncio.get_running_loop()
-        self.next = loop.call_at(max(loop.time(), self.asked_at + self.pace), self._open)
-
-    def _cancel_next(self) -> None:
-        if self.next is not None:
-            self.next.cancel()
-            self.next = None
-
-    def _drop_unconfirmed(self) -> None:
-        for watch in self.unconfirmed:
-            watch.drop()
-        self.unconfirmed.clear()
-
-    def _drop_confirmed(self) -> None:
-        if self.leaves is not None:
-            self.leaves.cancel()
-            self.leaves = None
-        if self.confirmed is not None:
-            self.confirmed.drop()
-            self.confirmed = None
-
-    def _leave(self) -> None:
-        self.leaves = None
-        if self.confirmed is not None:
-            self.confirmed.end("moved to another address")
+        self.next_request = loop.call_at(
+            max(loop.time(), self.requested_at + self.request_interval), self._send_request
+        )
+
+    def _cancel_next_request(self) -> None:
+        if self.next_request is not None:
+            self.next_request.cancel()
+            self.next_request = None
+
+    def _close_unconfirmed(self) -> None:
+        for watch in self.unconfirmed_watches:
+            watch.close()
+        self.unconfirmed_watches.clear()
+
+    def _close_confirmed(self) -> None:
+        if self.old_address_timer is not None:
+            self.old_address_timer.cancel()
+            self.old_address_timer = None
+        if self.confirmed_watch is not None:
+            self.confirmed_watch.close()
+            self.confirmed_watch = None
+
+    def _end_old_watch(self) -> None:
+        self.old_address_timer = None
+        if self.confirmed_watch is not None:
+            self.confirmed_watch.end("moved to another address")
 
     # ---- events of the watches (WatchOwner)
 
-    def headed(self, watch: Watch) -> None:
+    def head_received(self, watch: Watch) -> None:
         """A response has begun: wait for its first object or empty line before sending another request."""
-        if watch in self.unconfirmed:
-            self._cancel_next()
+        if watch in self.unconfirmed_watches:
+            self._cancel_next_request()
 
-    def partial(self, watch: Watch) -> None:
+    def object_started(self, watch: Watch) -> None:
         """An object is incomplete: send other requests meanwhile, since the rest of it may never come."""
-        if watch in self.unconfirmed and self.next is None:
-            self._open_in_turn()
+        if watch in self.unconfirmed_watches and self.next_request is None:
+            self._schedule_request()
 
-    def whole(self, watch: Watch, data: bytes) -> None:
+    def object_received(self, watch: Watch, data: bytes) -> None:
         """Pass on a change; an object or an empty line also confirms the watch. Raises ListError."""
         if data.strip():
-            self.hearers.change(read(data))
+            self.listeners.on_change(parse_change(data))
             self.changes += 1
-        if watch in self.unconfirmed:
+        if watch in self.unconfirmed_watches:
             self._confirm(watch)
 
     def _confirm(self, watch: Watch) -> None:
-        self._cancel_next()
-        self.unconfirmed.remove(watch)
-        self._drop_unconfirmed()
-        self._drop_confirmed()
-        self.confirmed = watch
-        self.failure = ""
-        self.note("watch_confirmed", {"address": watch.address, "requests": self.opened, "rev": self.rev()})
-        self.hearers.confirmed()
-
-    def ended(self, watch: Watch, why: str) -> None:
+        self._cancel_next_request()
+        self.unconfirmed_watches.remove(watch)
+        self._close_unconfirmed()
+        self._close_confirmed()
+        self.confirmed_watch = watch
+        self.last_failure = ""
+        self.note(
+            "watch_confirmed", {"address": watch.address, "requests": self.request_count, "rev": self.rev()}
+        )
+        self.listeners.on_confirmed()
+
+    def watch_ended(self, watch: Watch, reason: str) -> None:
         """Report a watch that has ended, and send another request where one is needed."""
         if self.stopped:
             return
-        if watch is self.confirmed:
-            self._drop_confirmed()
-            self.note("watch_ended", {"why": why, "confirmed": True})
-            self.hearers.lost(why, watch.heard if why == "silent" else asyncio.get_running_loop().time())
-        elif watch in self.unconfirmed:
-            self.unconfirmed.remove(watch)
-            if why != self.failure:
-                self.failure = why
-                self.note("watch_ended", {"why": why, "confirmed": False})
-        if self.next is None and (self.confirmed is None or self.confirmed.address != self.address):
-            self._open_in_turn()
+        if watch is self.confirmed_watch:
+            self._close_confirmed()
+            self.note("watch_ended", {"why": reason, "confirmed": True})
+            self.listeners.on_lost(
+                reason, watch.last_received if reason == "silent" else asyncio.get_running_loop().time()
+            )
+        elif watch in self.unconfirmed_watches:
+            self.unconfirmed_watches.remove(watch)
+            if reason != self.last_failure:
+                self.last_failure = reason
+                self.note("watch_ended", {"why": reason, "confirmed": False})
+        if self.next_request is None and (
+            self.confirmed_watch is None or self.confirmed_watch.address != self.address
+        ):
+            self._schedule_request()
--- a/brassweir/relay/endpoint_list.py
+++ b/brassweir/relay/endpoint_list.py
@@ -12,9 +12,9 @@
 
 from brassweir.interface import EndpointInfo, EntryState, ListKind, ListUpdate
 
-_STATES = {"active": EntryState.READY, "leaving": EntryState.DRAINING, "left": EntryState.GONE}
-_NAMES = {state: name for name, state in _STATES.items()}
-_SCHEME, _PATH = "http://", "/receive"
+_STATE_BY_NAME = {"active": EntryState.READY, "leaving": EntryState.DRAINING, "left": EntryState.GONE}
+_NAME_BY_STATE = {state: name for name, state in _STATE_BY_NAME.items()}
+_URL_PREFIX, _URL_SUFFIX = "http://", "/receive"
 
 
 class Target(msgspec.Struct):
@@ -49,69 +49,71 @@
 _STRING = re.compile(rb'"[^"\\]*+(?:\\.[^"\\]*+)*+"?')
 
 
-class Objects:
+class ObjectSplitter:
     """Splits the bytes of a watch into JSON objects, on one line or indented over several, and empty lines.
 
     An object ends at the line that closes its last brace; braces within strings don't count, and strings
     don't span lines. ``max_bytes`` limits one object.
     """
 
-    def __init__(self, largest: int) -> None:
-        self.largest, self.depth = largest, 0
-        self.lines = bytearray()  # complete lines of an incomplete object
-        self.line = bytearray()  # the line that has not ended yet
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes, self.depth = max_bytes, 0
+        self.object_lines = bytearray()  # complete lines of an incomplete object
+        self.partial_line = bytearray()  # the line that has not ended yet
 
     @property
-    def partial(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether an incomplete object is buffered."""
-        return bool(self.lines or self.line)
+        return bool(self.object_lines or self.partial_line)
 
-    def feed(self, part: bytes) -> Iterator[bytes]:
+    def feed(self, data: bytes) -> Iterator[bytes]:
         """Add bytes and yield what they complete: objects and empty lines.
 
         Raises ListError if an object is too large.
         """
-        *ends, rest = part.split(b"\n")
-        for end in ends:
-            self.line += end
-            bare = _STRING.sub(b"", self.line)
-            self.depth += bare.count(b"{") - bare.count(b"}")
-            self.lines += self.line
-            self.line.clear()
+        *segments, rest = data.split(b"\n")
+        for segment in segments:
+            self.partial_line += segment
+            unquoted = _STRING.sub(b"", self.partial_line)
+            self.depth += unquoted.count(b"{") - unquoted.count(b"}")
+            self.object_lines += self.partial_line
+            self.partial_line.clear()
             if self.depth <= 0:
-                whole, self.depth = bytes(self.lines), 0
-                self.lines.clear()
-                yield whole
-        self.line += rest
-        if len(self.lines) + len(self.line) > self.largest:
-            raise ListError(f"an object over {self.largest} bytes")
+                complete, self.depth = bytes(self.object_lines), 0
+                self.object_lines.clear()
+                yield complete
+        self.partial_line += rest
+        if len(self.object_lines) + len(self.partial_line) > self.max_bytes:
+            raise ListError(f"an object over {self.max_bytes} bytes")
 
 
-def read(data: bytes | memoryview) -> Change:
+def parse_change(data: bytes | memoryview) -> Change:
     """Parse one object. Raises ListError."""
     try:
-        return checked(_decoder.decode(data))
+        return validate(_decoder.decode(data))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ListError(f"endpoint list: {error}") from None
 
 
-def checked(change: Change) -> Change:
+def validate(change: Change) -> Change:
     """Check what the types don't express, and return the change. Raises ListError."""
-    seen = set()
-    for one in change.targets:
-        if one.state not in _STATES:
-            raise ListError(f"endpoint list: {one.uid}: unknown state {one.state!r}")
-        if not one.uid or one.uid in seen:
-            raise ListError(f"endpoint list: uid {one.uid!r} is empty or appears twice")
-        if not 0.0 <= one.capacity_hint < 1e9 or one.pod_group < 0:
-            raise ListError(f"endpoint list: {one.uid}: capacity_hint or pod_group is out of range")
-        if not address(one.endpoint):
-            raise ListError(f"endpoint list: {one.uid}: {one.endpoint!r} is not an IPv4 address and port")
-        seen.add(one.uid)
+    uids = set()
+    for target in change.targets:
+        if target.state not in _STATE_BY_NAME:
+            raise ListError(f"endpoint list: {target.uid}: unknown state {target.state!r}")
+        if not target.uid or target.uid in uids:
+            raise ListError(f"endpoint list: uid {target.uid!r} is empty or appears twice")
+        if not 0.0 <= target.capacity_hint < 1e9 or target.pod_group < 0:
+            raise ListError(f"endpoint list: {target.uid}: capacity_hint or pod_group is out of range")
+        if not is_address(target.endpoint):
+            raise ListError(
+                f"endpoint list: {target.uid}: {target.endpoint!r} is not an IPv4 address and port"
+            )
+        uids.add(target.uid)
     return change
 
 
-def address(text: str) -> bool:
+def is_address(text: str) -> bool:
     """Whether the text is an IPv4 address and a port. The platform uses no host names."""
     host, _, port = text.rpartition(":")
     if not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -123,7 +125,7 @@
     return True
 
 
-class Listing:
+class EndpointList:
     """The endpoints known, their URLs, and every destination listed so far.
 
     ``known`` maps uids to endpoints, ``urls`` maps them to URLs. ``rev`` is the version of the list.
@@ -132,63 +134,63 @@
     def __init__(self) -> None:
         self.rev = 0
         self.known: dict[str, EndpointInfo] = {}
-        self.places: dict[str, str] = {}
+        self.urls: dict[str, str] = {}
         self.destinations: set[int] = set()
 
-    def whole(self) -> Change:
+    def snapshot(self) -> Change:
         """Return the complete list at its current version."""
         return Change(self.rev, True, [self._target(info) for info in self.known.values()])
 
     def _target(self, info: EndpointInfo) -> Target:
-        place = self.places[info.name].removeprefix(_SCHEME).removesuffix(_PATH)
-        state = _NAMES[info.state]
-        return Target(info.name, place, info.destination, state, info.zone, info.kind, info.rate)
+        address = self.urls[info.name].removeprefix(_URL_PREFIX).removesuffix(_URL_SUFFIX)
+        state = _NAME_BY_STATE[info.state]
+        return Target(info.name, address, info.destination, state, info.zone, info.kind, info.rate)
 
     def url(self, endpoint: str) -> str | None:
         """Return the URL of a listed endpoint, or None (see :class:`brassweir.core.ports.Urls`)."""
-        return self.places.get(endpoint)
+        return self.urls.get(endpoint)
 
-    def listed(self, destination: int) -> bool:
+    def knows_destination(self, destination: int) -> bool:
         """Whether the destination is or was listed."""
         return destination in self.destinations
 
-    def take(self, change: Change, kind: ListKind = ListKind.DELTA) -> ListUpdate:
+    def apply(self, change: Change, kind: ListKind = ListKind.DELTA) -> ListUpdate:
         """Apply a snapshot or a delta; return the entries that differ from before, with READY ones last.
 
         Endpoints that a snapshot lacks are reported as GONE. Endpoints that are gone are forgotten: the
         platform never reuses a uid.
         """
-        fresh = {one.uid: _info(one) for one in change.targets}
+        updated = {target.uid: _info(target) for target in change.targets}
         if change.all:
             for name, info in self.known.items():
-                if name not in fresh:
-                    fresh[name] = replace(info, state=EntryState.GONE)
-        for one in change.targets:
-            self.places[one.uid] = f"{_SCHEME}{one.endpoint}{_PATH}"
-            self.destinations.add(one.pod_group)
-        told = [
+                if name not in updated:
+                    updated[name] = replace(info, state=EntryState.GONE)
+        for target in change.targets:
+            self.urls[target.uid] = f"{_URL_PREFIX}{target.endpoint}{_URL_SUFFIX}"
+            self.destinations.add(target.pod_group)
+        changed = [
             info
-            for name, info in fresh.items()
+            for name, info in updated.items()
             if self.known.get(name) != info and (info.state is not EntryState.GONE or name in self.known)
         ]
-        for info in told:
+        for info in changed:
             if info.state is EntryState.GONE:
                 self.known.pop(info.name)
             else:
                 self.known[info.name] = info
-        for name, info in fresh.items():
+        for name, info in updated.items():
             if info.state is EntryState.GONE:
-                self.places.pop(name, None)
+                self.urls.pop(name, None)
         self.rev = change.rev
-        return ListUpdate(kind, tuple(sorted(told, key=lambda info: info.state is EntryState.READY)))
+        return ListUpdate(kind, tuple(sorted(changed, key=lambda info: info.state is EntryState.READY)))
 
 
-def _info(one: Target) -> EndpointInfo:
+def _info(target: Target) -> EndpointInfo:
     return EndpointInfo(
-        one.uid,
-        one.pod_group,
-        sys.intern(one.model),
-        sys.intern(one.az),
-        _STATES[one.state],
-        one.capacity_hint,
+        target.uid,
+        target.pod_group,
+        sys.intern(target.model),
+        sys.intern(target.az),
+        _STATE_BY_NAME[target.state],
+        target.capacity_hint,
     )
--- a/brassweir/relay/list_state.py
+++ b/brassweir/relay/list_state.py
@@ -18,9 +18,9 @@
 
 from enum import Enum
 
-HOLD = 2.0  # silence after which the agent counts as down
-HOLD_SHARE = 0.25  # of the shortest deadline: leaves time to deliver queued messages
-LEAST = 0.25  # for the answer to a new request, even after a long silence
+OUTAGE_TIMEOUT_SECONDS = 2.0  # silence after which the agent counts as down
+OUTAGE_TIMEOUT_SHARE = 0.25  # of the shortest deadline: leaves time to deliver queued messages
+MIN_ANSWER_SECONDS = 0.25  # for the answer to a new request, even after a long silence
 
 
 class ListState(Enum):
@@ -31,17 +31,17 @@
     UNREACHABLE = "unreachable"
 
 
-class Knowledge:
+class ListStateMachine:
     """Tracks the state from the start of the process. Times are in seconds of any one clock."""
 
     def __init__(self, now: float, shortest_deadline: float) -> None:
-        self.hold = min(HOLD, HOLD_SHARE * shortest_deadline)
+        self.outage_timeout = min(OUTAGE_TIMEOUT_SECONDS, OUTAGE_TIMEOUT_SHARE * shortest_deadline)
         self.state = ListState.UNCONFIRMED
         self.since = now
-        self.gives_up_at = now + self.hold  # while unconfirmed
+        self.outage_at = now + self.outage_timeout  # while unconfirmed
 
     @property
-    def usable(self) -> bool:
+    def calls_allowed(self) -> bool:
         """Whether calls may begin."""
         return self.state is not ListState.UNCONFIRMED
 
@@ -49,14 +49,16 @@
         """A watch has answered: the list is current."""
         self._enter(ListState.CONFIRMED, now)
 
-    def lost(self, now: float, heard: float) -> None:
+    def lost(self, now: float, last_received: float) -> None:
         """The confirmed watch has ended; ``last_received`` is when the agent was last known to be up."""
         self._enter(ListState.UNCONFIRMED, now)
-        self.gives_up_at = max(heard + self.hold, now + min(LEAST, self.hold))
+        self.outage_at = max(
+            last_received + self.outage_timeout, now + min(MIN_ANSWER_SECONDS, self.outage_timeout)
+        )
 
-    def look(self, now: float) -> None:
+    def check_outage(self, now: float) -> None:
         """Enter the state unreachable if the outage timeout has passed."""
-        if self.state is ListState.UNCONFIRMED and now >= self.gives_up_at:
+        if self.state is ListState.UNCONFIRMED and now >= self.outage_at:
             self._enter(ListState.UNREACHABLE, now)
 
     def _enter(self, state: ListState, now: float) -> None:
--- a/brassweir/relay/outcomes.py
+++ b/brassweir/relay/outcomes.py
@@ -28,14 +28,14 @@
 from brassweir.core.ports import Outcome
 from brassweir.interface import Result
 
-LONGEST = 3_600_000.0  # a longer wait is taken for an error of the endpoint
-_NUMBER = re.compile(r"\d{1,9}(?:\.\d{1,6})?")
-_SHARE = re.compile(r"-?\d{1,12}(?:\.\d{1,12})?(?:[eE]-?\d{1,2})?")
+MAX_BACKOFF_MS = 3_600_000.0  # a longer wait is taken for an error of the endpoint
+_BACKOFF = re.compile(r"\d{1,9}(?:\.\d{1,6})?")
+_LOAD_VALUE = re.compile(r"-?\d{1,12}(?:\.\d{1,12})?(?:[eE]-?\d{1,2})?")
 
-Field = Callable[[str], str]
+HeaderLookup = Callable[[str], str]
 
 
-def status(code: int, field: Field, kept: bool) -> Outcome:
+def response_outcome(status: int, header: HeaderLookup, reused: bool) -> Outcome:
     """Map a complete response to an outcome. ``reused`` says that the connection had served an earlier call.
 
     A 503 with ``Connection: close`` and without a load report on a new connection means that the endpoint's
@@ -43,45 +43,56 @@
     full connection limit counted as BUSY too, the call rate would drop while idle connections kept using up
     the limit.
     """
-    left, limit = report(field("X-Backend-Load"))
-    if code == 200:
-        return Outcome(Result.OK, limit_left=left, limit=limit)
-    reason = f"status {code}"
-    if code == 429:
-        return Outcome(Result.BUSY, reason, wait=_wait(field("X-Backoff-Ms")), limit_left=left, limit=limit)
-    if code == 503 and field("X-Egress-Full").strip() == "1":
+    limit_left, limit = parse_load_report(header("X-Backend-Load"))
+    if status == 200:
+        return Outcome(Result.OK, limit_left=limit_left, limit=limit)
+    reason = f"status {status}"
+    if status == 429:
         return Outcome(
-            Result.NOT_STARTED, "all slots of this sender were taken", limit_left=left, limit=limit
+            Result.BUSY,
+            reason,
+            wait=_parse_backoff(header("X-Backoff-Ms")),
+            limit_left=limit_left,
+            limit=limit,
         )
-    if code == 503 and not kept and left is None and field("Connection").strip().lower() == "close":
+    if status == 503 and header("X-Egress-Full").strip() == "1":
+        return Outcome(
+            Result.NOT_STARTED, "all slots of this sender were taken", limit_left=limit_left, limit=limit
+        )
+    if (
+        status == 503
+        and not reused
+        and limit_left is None
+        and header("Connection").strip().lower() == "close"
+    ):
         return Outcome(Result.CONNECTION_LIMIT, "status 503, connection closed")
-    if code == 503:
-        return Outcome(Result.BUSY, reason, limit_left=left, limit=limit)
-    if code == 504:
-        return Outcome(Result.NOT_STARTED, "no attempts are left", limit_left=left, limit=limit)
-    if code == 410:
+    if status == 503:
+        return Outcome(Result.BUSY, reason, limit_left=limit_left, limit=limit)
+    if status == 504:
+        return Outcome(Result.NOT_STARTED, "no attempts are left", limit_left=limit_left, limit=limit)
+    if status == 410:
         return Outcome(Result.NOT_STARTED, "the message is over", rejected=True)
-    return Outcome(Result.ERROR, reason, limit_left=left, limit=limit)
+    return Outcome(Result.ERROR, reason, limit_left=limit_left, limit=limit)
 
 
-def report(text: str) -> tuple[float | None, float | None]:
+def parse_load_report(text: str) -> tuple[float | None, float | None]:
     """Parse ``X-Backend-Load`` into the remaining share of the rate limit and the limit in calls per second.
 
     Either is None if it is not reported. A header with any malformed or out-of-range part is ignored as a
     whole.
     """
-    found: dict[str, float] = {}
+    values: dict[str, float] = {}
     for part in text.split(",") if text else ():
-        name, sign, value = part.strip().partition("=")
-        if not sign or name in found or not _SHARE.fullmatch(value):
+        name, separator, value = part.strip().partition("=")
+        if not separator or name in values or not _LOAD_VALUE.fullmatch(value):
             return None, None
-        found[name] = float(value)
-    left, limit = found.get("x0"), found.get("x1")
-    if (left is not None and not 0.0 <= left <= 1.0) or (limit is not None and limit < 0.0):
+        values[name] = float(value)
+    limit_left, limit = values.get("x0"), values.get("x1")
+    if (limit_left is not None and not 0.0 <= limit_left <= 1.0) or (limit is not None and limit < 0.0):
         return None, None
-    return left, limit
+    return limit_left, limit
 
 
-def _wait(text: str) -> float:
+def _parse_backoff(text: str) -> float:
     text = text.strip()
-    return min(float(text), LONGEST) if _NUMBER.fullmatch(text) else 0.0
+    return min(float(text), MAX_BACKOFF_MS) if _BACKOFF.fullmatch(text) else 0.0
--- a/brassweir/service/node.py
+++ b/brassweir/service/node.py
@@ -24,40 +24,39 @@
 from brassweir.journal.restart import apply_plan
 from brassweir.net.limits import Limits
 from brassweir.net.pool_manager import PoolManager
-from brassweir.relay.carrier import SETTLING, RelayCarrier
-from brassweir.relay.notices import Notices, notice
-from brassweir.relay.settings import NodeConfig, NodeError
+from brassweir.relay.carrier import CONCLUSIVE_STATUSES, RelayCarrier
+from brassweir.relay.notices import NoticeSender, build_notice
+from brassweir.relay.settings import NodeConfig, NodeConfigError
 from brassweir.resp.admission import Admission
 from brassweir.resp.front import Front
 from brassweir.service.journaling import JournalSettings, ProcessJournal
 from brassweir.service.node_list import NodeList
-from brassweir.service.node_stats import belief, usage
-from brassweir.service.node_trace import Tracing
+from brassweir.service.node_stats import process_usage, sender_status
+from brassweir.service.node_trace import TracingObserver
 from brassweir.service.saved_list import SavedList
 
-FAILURE_MEMORY_MS = (
-    3000.0  # for ended messages: each submission has a new id, so that only late duplicates repeat one
-)
-REMEMBER_MOST = 4000  # remembered
-SERVES_ON = 3.3  # after SIGTERM; the platform kills 3.7 s after it at the earliest
-ENDS_IN = 0.25  # to answer the commands read, and for clients to close
-CLIENTS = 0.6  # of the descriptors; a third at most for clients that have submitted messages
-KEPT_BACK = 24  # for journal, endpoint list, notices, log and event loop
-UNREAD = 0.06  # of the memory, for client input that was not processed yet
-IDLE = 0.85  # of the endpoints' idle timeout: closes connections before the endpoint does
-NOTICES = 2  # out of the reserved descriptors, so that hanging calls cannot delay notices
-SETUPS = 64  # at the same time
-BELIEF = 1.0  # between status lines in the log
-COLLECT = (5_000, 10, 1000)  # as in ``serve``: reference counting frees nearly everything
-ANSWERS = Limits(head_bytes=16_384, max_headers=64, body_bytes=65_536)
-
-
-def _number(destination: str) -> int | None:
+# For ended messages: each submission has a new id, so that only late duplicates repeat one.
+RETENTION_MS = 3000.0
+MAX_ENDED_MESSAGES = 4000  # remembered
+SERVE_SECONDS = 3.3  # after SIGTERM; the platform kills 3.7 s after it at the earliest
+CLOSE_TIMEOUT_SECONDS = 0.25  # to answer the commands read, and for clients to close
+CLIENT_SHARE = 0.6  # of the descriptors; a third at most for clients that have submitted messages
+RESERVED_DESCRIPTORS = 24  # for journal, endpoint list, notices, log and event loop
+INPUT_SHARE = 0.06  # of the memory, for client input that was not processed yet
+IDLE_CLOSE_SHARE = 0.85  # of the endpoints' idle timeout: closes connections before the endpoint does
+NOTICE_CONNECTIONS = 2  # out of the reserved descriptors, so that hanging calls cannot delay notices
+MAX_CONNECTION_SETUPS = 64  # at the same time
+STATUS_INTERVAL_SECONDS = 1.0  # between status lines in the log
+GC_THRESHOLDS = (5_000, 10, 1000)  # as in ``serve``: reference counting frees nearly everything
+RESPONSE_LIMITS = Limits(head_bytes=16_384, max_headers=64, body_bytes=65_536)
+
+
+def _destination_number(destination: str) -> int | None:
     """Parse a destination's number; None if another kind of sender wrote the record."""
     return int(destination) if destination.isascii() and destination.isdigit() else None
 
 
-def _as_now(taken: Taken, classes: Mapping[str, api.MessageClass]) -> Taken:
+def _upgraded(taken: Taken, classes: Mapping[str, api.MessageClass]) -> Taken:
     """Move the key of a record older than format 2 to ``subject``, where the idempotency key is now.
 
     Without its idempotency key a message of a keyed class could take effect twice.
@@ -75,82 +74,90 @@
         """Create all parts. Raises NodeConfigError, and JournalUnusable if the journal cannot be opened."""
         loop = asyncio.get_running_loop()
         self.config, self.log, self.loop = config, log, loop
-        given = config.settings
-        self.classes = classes = {cls.name: cls for cls in given.classes}
+        settings = config.settings
+        self.classes = classes = {cls.name: cls for cls in settings.classes}
         self.clock = LoopClock(loop)
-        self.counts = Tracing(log, lambda: self.list.knowledge())
+        self.observer = TracingObserver(log, lambda: self.list.describe())
         sockets = config.limits.sockets
-        calls = max(8, int(sockets * (1.0 - CLIENTS)) - KEPT_BACK)
+        max_calls = max(8, int(sockets * (1.0 - CLIENT_SHARE)) - RESERVED_DESCRIPTORS)
         self.pools = PoolManager(
-            ANSWERS,
-            calls,
-            IDLE * given.idle_close or 4000.0,
-            given.connect_timeout,
-            ConnectionBudget(calls),
-            SetupQueue(SETUPS),
-            SETTLING,
+            RESPONSE_LIMITS,
+            max_calls,
+            IDLE_CLOSE_SHARE * settings.idle_close or 4000.0,
+            settings.connect_timeout,
+            ConnectionBudget(max_calls),
+            SetupQueue(MAX_CONNECTION_SETUPS),
+            CONCLUSIVE_STATUSES,
         )
-        self.broken: asyncio.Future[BaseException] = loop.create_future()
+        self.journal_failure: asyncio.Future[BaseException] = loop.create_future()
         try:
-            parts = sizes.limits_within(int(config.limits.disk_mb * 1024 * 1024))
+            journal_sizes = sizes.limits_within(int(config.limits.disk_mb * 1024 * 1024))
         except ValueError as error:
-            raise NodeError(f"limits: disk_mb: {error}") from None
-        keeping = JournalSettings(
-            state, config.name, classes, FAILURE_MEMORY_MS, given.order_pause, parts, synced=False
+            raise NodeConfigError(f"limits: disk_mb: {error}") from None
+        journal_setup = JournalSettings(
+            state, config.name, classes, RETENTION_MS, settings.order_pause, journal_sizes, synced=False
         )
-        self.journal = ProcessJournal(keeping, str, self._broken, self.note)
+        self.journal = ProcessJournal(journal_setup, str, self._on_journal_failure, self.note)
         self.engine = Engine(
-            given,
+            settings,
             config.seed,
             self.clock,
             lambda _: self.carrier,
             store=self.journal.store,
-            observer=self.counts,
-            retention_ms=FAILURE_MEMORY_MS,
-            max_ended=REMEMBER_MOST,
+            observer=self.observer,
+            retention_ms=RETENTION_MS,
+            max_ended=MAX_ENDED_MESSAGES,
         )
-        apart = PoolManager(
-            ANSWERS, NOTICES, self.pools.idle_ms, given.connect_timeout, ConnectionBudget(NOTICES)
+        reserved = PoolManager(
+            RESPONSE_LIMITS,
+            NOTICE_CONNECTIONS,
+            self.pools.idle_ms,
+            settings.connect_timeout,
+            ConnectionBudget(NOTICE_CONNECTIONS),
+        )
+        self.notices = NoticeSender(
+            reserved, config.discovery, self.journal.store.receipt_delivered, self.note
+        )
+        saved_list = SavedList(state, int(config.limits.disk_mb * 1024 * 1024))
+        self.list = NodeList(self.engine, self.clock, config, saved_list, log, self.note)
+        self.carrier = RelayCarrier(self.list.endpoints, self.pools, self.clock, self.note)
+        admission = Admission(
+            int(sockets * CLIENT_SHARE), sockets // 3, config.limits.memory_mb * 2**20 * INPUT_SHARE
         )
-        self.notices = Notices(apart, config.discovery, self.journal.store.receipt_delivered, self.note)
-        saved = SavedList(state, int(config.limits.disk_mb * 1024 * 1024))
-        self.list = NodeList(self.engine, self.clock, config, saved, log, self.note)
-        self.carrier = RelayCarrier(self.list.listing, self.pools, self.clock, self.note)
-        admission = Admission(int(sockets * CLIENTS), sockets // 3, config.limits.memory_mb * 2**20 * UNREAD)
         self.front = Front(
             self.engine,
             admission,
-            self.list.listing.listed,
-            lambda record: self._waiter(record.id, record.submission),
+            self.list.endpoints.knows_destination,
+            lambda record: self._answer_callback(record.id, record.submission),
             self.journal.store.receipt_delivered,
             self.note,
         )
-        self.telling: asyncio.TimerHandle | None = None
+        self.status_timer: asyncio.TimerHandle | None = None
 
     def note(self, event: str, details: Mapping[str, object]) -> None:
         """Log an event as a warning."""
         self.log.warning(event, **details)
 
-    def _broken(self, error: BaseException) -> None:
+    def _on_journal_failure(self, error: BaseException) -> None:
         self.log.error("journal_broken", error=str(error))
-        if not self.broken.done():
-            self.broken.set_result(error)
+        if not self.journal_failure.done():
+            self.journal_failure.set_result(error)
 
-    def _waiter(self, message: int, submission: Submission) -> Waiter:
+    def _answer_callback(self, message: int, submission: Submission) -> Waiter:
         """Return the callback for a final answer: a notice to the platform, unless it is a delivery."""
 
-        def tell(answer: FinalAnswer) -> None:
+        def on_answer(answer: FinalAnswer) -> None:
             if answer.answer is Answer.DELIVERED:
                 self.journal.store.receipt_delivered(message)
             else:
-                self.notices.owe(message, notice(submission.identity, answer))
+                self.notices.add(message, build_notice(submission.identity, answer))
 
-        return tell
+        return on_answer
 
     def _recover(self) -> None:
         """Restore the open messages and pending notices of the previous process from the journal."""
-        plan = self.journal.plan(_number)
-        plan.resumed = [replace(one, taken=_as_now(one.taken, self.classes)) for one in plan.resumed]
+        plan = self.journal.plan(_destination_number)
+        plan.resumed = [replace(entry, taken=_upgraded(entry.taken, self.classes)) for entry in plan.resumed]
         end_keyless_messages(plan, self.classes, self.journal.clock.now())
         found = self.journal.scan
         self.log.info(
@@ -158,57 +165,57 @@
             again=len(plan.resumed),
             answered=len(plan.answered),
             dropped=plan.dropped,
-            owed=sum(one.receipt_pending for one in plan.answered),
+            owed=sum(entry.receipt_pending for entry in plan.answered),
             records=found.records,
             bytes=found.size,
             torn_bytes=found.torn_bytes,
             holes=len(found.holes),
         )
-        apply_plan(plan, self.engine, self.journal.store, _number, self._waiter)
+        apply_plan(plan, self.engine, self.journal.store, _destination_number, self._answer_callback)
 
     async def start(self) -> None:
         """Load the known list, recover from the journal, start the watch, then listen. Raises OSError."""
-        self.list.begin(self.config.known)
+        self.list.start(self.config.known)
         self._recover()
         self.list.discovery.start()
         gc.collect()
         gc.freeze()
-        gc.set_threshold(*COLLECT)
+        gc.set_threshold(*GC_THRESHOLDS)
         host, _, port = self.config.listen.rpartition(":")
         await self.front.listen(host, int(port))
-        self._belief(self.loop.time())
+        self._log_status(self.loop.time())
         self.log.info(
             "started",
             listen=self.config.listen,
-            endpoints=len(self.list.listing.known),
+            endpoints=len(self.list.endpoints.known),
             slots=self.config.settings.slots,
             max_open=self.config.settings.max_open,
             cores=self.config.limits.cores,
             memory_mb=self.config.limits.memory_mb,
             sockets=self.config.limits.sockets,
-            **usage(),
+            **process_usage(),
         )
 
-    def _belief(self, due: float) -> None:
-        late = max(0.0, self.loop.time() - due)
-        self.list.look()
+    def _log_status(self, scheduled_at: float) -> None:
+        delay = max(0.0, self.loop.time() - scheduled_at)
+        self.list.retry_save()
         front = self.front
         self.log.info(
             "belief",
-            late_ms=round(late * 1000.0),
-            **belief(self.engine.sender, self.clock.now()),
-            **self.counts.take(),
+            late_ms=round(delay * 1000.0),
+            **sender_status(self.engine.sender, self.clock.now()),
+            **self.observer.take(),
             **asdict(front.counts),
             clients=len(front.connections),
             calls=self.pools.budget.open,
-            owed=len(self.notices.owed),
-            rev=self.list.listing.rev,
+            owed=len(self.notices.pending),
+            rev=self.list.endpoints.rev,
             journal=self.journal.writer.total_bytes,
             ledger=len(self.engine.ledger.by_id),
-            **usage(),
+            **process_usage(),
         )
-        due = self.loop.time() + BELIEF
-        self.telling = self.loop.call_at(due, self._belief, due)
+        scheduled_at = self.loop.time() + STATUS_INTERVAL_SECONDS
+        self.status_timer = self.loop.call_at(scheduled_at, self._log_status, scheduled_at)
 
     def reload(self, config: NodeConfig) -> None:
         """Use the discovery address of a new configuration; its other fields are ignored."""
@@ -216,27 +223,27 @@
         self.list.discovery.move(config.discovery)
         self.notices.move(config.discovery)
 
-    async def leave(self, told: float) -> None:
+    async def shut_down(self, signalled_at: float) -> None:
         """Shut down: serve while there is time, answer the commands read, and close the clients.
 
         ``signalled_at`` is the loop time of the signal. A journal failure ends the shutdown at once, since no
         message can be accepted any more.
         """
         self.log.info("leaving", open=self.engine.ledger.open_count)
-        left = max(0.0, told + min(SERVES_ON, self.config.longest) - self.loop.time())
+        left = max(0.0, signalled_at + min(SERVE_SECONDS, self.config.longest_deadline) - self.loop.time())
         self.engine.announce_exit(self.clock.now() + left * 1000.0)
-        await asyncio.wait([self.broken], timeout=left)
+        await asyncio.wait([self.journal_failure], timeout=left)
         self.front.close()
-        end = self.loop.time() + ENDS_IN
-        while self.front.connections and self.loop.time() < end and not self.broken.done():
+        deadline = self.loop.time() + CLOSE_TIMEOUT_SECONDS
+        while self.front.connections and self.loop.time() < deadline and not self.journal_failure.done():
             await asyncio.sleep(0.01)
 
     def stop(self) -> None:
         """Stop everything at once and close the journal."""
-        if self.telling is not None:
-            self.telling.cancel()
+        if self.status_timer is not None:
+            self.status_timer.cancel()
         self.list.stop()
         self.front.close()
         self.front.withdraw_unanswered()
         self.journal.close()
-        self.log.info("stopped", open=self.engine.ledger.open_count, **usage())
+        self.log.info("stopped", open=self.engine.ledger.open_count, **process_usage())
--- a/brassweir/service/node_run.py
+++ b/brassweir/service/node_run.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from brassweir.journal.group import JournalBroken
-from brassweir.relay.settings import NodeError
+from brassweir.relay.settings import NodeConfigError
 from brassweir.service.node import NodeProcess
-from brassweir.service.node_config import configured
+from brassweir.service.node_config import read_config
 
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 
@@ -23,39 +23,39 @@
     it cannot listen, and JournalBroken if the journal fails.
     """
     loop = asyncio.get_running_loop()
-    told: asyncio.Future[float] = loop.create_future()
-    again = asyncio.Event()
+    signalled_at: asyncio.Future[float] = loop.create_future()
+    reload_requested = asyncio.Event()
 
-    def end() -> None:
-        if not told.done():
-            told.set_result(loop.time())
+    def request_end() -> None:
+        if not signalled_at.done():
+            signalled_at.set_result(loop.time())
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, end)
-    loop.add_signal_handler(signal.SIGHUP, again.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, request_end)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # delivers the signals that came before the handlers
     state = os.environ.get("RELAY_STATE", "")
     if not state:
-        raise NodeError("RELAY_STATE is not set: it names the state directory")
-    process = NodeProcess(configured(), Path(state), log)
+        raise NodeConfigError("RELAY_STATE is not set: it names the state directory")
+    process = NodeProcess(read_config(), Path(state), log)
     await process.start()
 
-    async def reloads() -> None:
+    async def handle_reloads() -> None:
         while True:
-            await again.wait()
-            again.clear()
+            await reload_requested.wait()
+            reload_requested.clear()
             try:
-                process.reload(configured())
-            except NodeError as error:
+                process.reload(read_config())
+            except NodeConfigError as error:
                 log.error("reload_refused", error=str(error))
 
-    reloading = loop.create_task(reloads())
-    either: set[asyncio.Future[Any]] = {told, process.broken}
-    await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
-    if not process.broken.done():
-        await process.leave(told.result())
+    reload_task = loop.create_task(handle_reloads())
+    endings: set[asyncio.Future[Any]] = {signalled_at, process.journal_failure}
+    await asyncio.wait(endings, return_when=asyncio.FIRST_COMPLETED)
+    if not process.journal_failure.done():
+        await process.shut_down(signalled_at.result())
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # a second signal must not change the exit code
-    reloading.cancel()
-    if process.broken.done():
-        raise JournalBroken(str(process.broken.result()))
+    reload_task.cancel()
+    if process.journal_failure.done():
+        raise JournalBroken(str(process.journal_failure.result()))
     process.stop()
--- a/brassweir/service/node_stats.py
+++ b/brassweir/service/node_stats.py
@@ -13,10 +13,10 @@
 from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import Outcome
 
-MOST_SICK = 6  # destinations, and reasons, in one line
+MAX_LISTED = 6  # destinations, and reasons, in one line
 
 
-class Counting(EngineObserver):
+class CountingObserver(EngineObserver):
     """Counts outcomes, final answers and decision time since the last :meth:`take`."""
 
     def __init__(self) -> None:
@@ -44,10 +44,10 @@
 
     def take(self) -> dict[str, Any]:
         """Return the counts and reset them."""
-        told = {
+        counts = {
             "results": dict(self.results),
             "answers": dict(self.answers),
-            "reasons": dict(self.reasons.most_common(MOST_SICK)),
+            "reasons": dict(self.reasons.most_common(MAX_LISTED)),
             "turns": self.turns,
             "decisions_ms": round(self.spent * 1000.0, 1),
         }
@@ -55,23 +55,23 @@
         self.answers.clear()
         self.reasons.clear()
         self.turns, self.spent = 0, 0.0
-        return told
+        return counts
 
 
-def belief(sender: Sender, now: float) -> dict[str, Any]:
+def sender_status(sender: Sender, now: float) -> dict[str, Any]:
     """Return the decision module's state as log fields, with the most loaded degraded destinations. Pure."""
-    sick = [
+    degraded = [
         dest
         for dest in sender.destinations.values()
         if dest.degraded
         or any(gate.circuit_open or gate.wait_until > now or gate.pace < math.inf for gate in dest.gates())
     ]
-    sick.sort(key=lambda dest: -dest.load.open_messages)
-    told = []
-    for dest in sick[:MOST_SICK]:
+    degraded.sort(key=lambda dest: -dest.load.open_messages)
+    entries = []
+    for dest in degraded[:MAX_LISTED]:
         gate = dest.gates()[0]
         calls = [one.max_calls for one in dest.endpoints.values() if one.usable and one.max_calls < math.inf]
-        told.append(
+        entries.append(
             {
                 "destination": dest.id,
                 "ill": dest.degraded,
@@ -94,22 +94,22 @@
         "apart_out": sender.degraded_load.used_slots,
         "mean_ms": round(sender.call_times.mean),
         "lost": round(sender.lost_share, 3),
-        "sick": told,
+        "sick": entries,
         "awake": len(sender.destinations),
     }
 
 
-def usage() -> dict[str, Any]:
+def process_usage() -> dict[str, Any]:
     """Return memory and CPU usage of this process as log fields."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
+    resources = resource.getrusage(resource.RUSAGE_SELF)
     return {
-        "rss_mb": round(resident() / 1e6, 1),
-        "cpu_s": round(used.ru_utime + used.ru_stime, 2),
+        "rss_mb": round(resident_bytes() / 1e6, 1),
+        "cpu_s": round(resources.ru_utime + resources.ru_stime, 2),
         "collections": gc.get_stats()[2]["collections"],
     }
 
 
-def resident() -> int:
+def resident_bytes() -> int:
     """Return the resident memory in bytes, or its peak on systems without /proc."""
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
--- a/brassweir/service/node_trace.py
+++ b/brassweir/service/node_trace.py
@@ -11,33 +11,35 @@
 
 from brassweir.core.ledger import MessageRecord, SubmitStatus
 from brassweir.core.ports import Outcome
-from brassweir.service.node_stats import Counting
+from brassweir.service.node_stats import CountingObserver
 
-HANDED_IN, BEGAN, ENDED, ANSWERED = "handed_in", "attempt_began", "attempt_ended", "answered"
-FREQUENT = frozenset({HANDED_IN, BEGAN, ENDED, ANSWERED})  # events with the higher limit in the JSON log
+SUBMITTED, BEGAN, ENDED, ANSWERED = "handed_in", "attempt_began", "attempt_ended", "answered"
+FREQUENT_EVENTS = frozenset(
+    {SUBMITTED, BEGAN, ENDED, ANSWERED}
+)  # events with the higher limit in the JSON log
 
 
-class Tracing(Counting):
+class TracingObserver(CountingObserver):
     """Counts, and logs a line for each step of a message.
 
     ``describe_list`` returns the list's state as log fields.
     """
 
-    def __init__(self, log: Any, knowledge: Callable[[], dict[str, object]]) -> None:
+    def __init__(self, log: Any, describe_list: Callable[[], dict[str, object]]) -> None:
         super().__init__()
-        self.log, self.knowledge = log, knowledge
+        self.log, self.describe_list = log, describe_list
 
     def submitted(self, record: MessageRecord, how: SubmitStatus) -> None:
         """Log a message that was submitted or recovered from the journal."""
-        given = record.submission
+        submission = record.submission
         self.log.info(
-            HANDED_IN,
+            SUBMITTED,
             message=record.id,
-            id=given.identity,
+            id=submission.identity,
             how="recovered" if record.resumed else how.name.lower(),
-            cls=given.class_name,
-            destination=given.destination,
-            left_ms=round(given.time_left),
+            cls=submission.class_name,
+            destination=submission.destination,
+            left_ms=round(submission.time_left),
         )
 
     def began(self, record: MessageRecord, number: int) -> None:
@@ -48,7 +50,7 @@
             id=record.submission.identity,
             attempt=number,
             endpoint=record.attempts[number].endpoint,
-            **self.knowledge(),
+            **self.describe_list(),
         )
 
     def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
--- a/brassweir/service/saved_list.py
+++ b/brassweir/service/saved_list.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from brassweir.relay.endpoint_list import Change, ListError, read
+from brassweir.relay.endpoint_list import Change, ListError, parse_change
 
-NAME = "endpoint-list"
-SHARE = 1 / 16  # for old and new file together; the journal leaves a tenth (see journal.sizes)
-LEAST_APPENDED = 4096  # deltas after a snapshot before the file is rewritten
-_FRAME = struct.Struct("<II")
+FILE_NAME = "endpoint-list"
+DISK_SHARE = 1 / 16  # for old and new file together; the journal leaves a tenth (see journal.sizes)
+MIN_DELTA_BYTES = 4096  # deltas after a snapshot before the file is rewritten
+_FRAME_HEADER = struct.Struct("<II")
 
 
 class SavedList:
@@ -29,11 +29,11 @@
     No method raises OSError: a failed write sets ``failure`` to its reason and ``snapshot_due`` to true.
     """
 
-    def __init__(self, folder: Path, folder_bytes: int) -> None:
-        self.path, self.room = folder / NAME, int(folder_bytes * SHARE) // 2
-        self.size = self.whole_size = 0
-        self.due = True  # a snapshot has to be written before deltas can follow
-        self.failed = ""
+    def __init__(self, directory: Path, directory_bytes: int) -> None:
+        self.path, self.max_bytes = directory / FILE_NAME, int(directory_bytes * DISK_SHARE) // 2
+        self.file_bytes = self.snapshot_bytes = 0
+        self.snapshot_due = True  # a snapshot has to be written before deltas can follow
+        self.failure = ""
 
     def load(self) -> list[Change]:
         """Read the snapshot and the deltas after it, up to the first damaged frame.
@@ -45,20 +45,23 @@
         except FileNotFoundError:
             return []
         except OSError as error:
-            self.failed = error.strerror or str(error)
+            self.failure = error.strerror or str(error)
             return []
-        return _changes(data)
+        return _decode_changes(data)
 
-    def append(self, change: Change, whole: Callable[[], Change]) -> None:
+    def append(self, change: Change, snapshot: Callable[[], Change]) -> None:
         """Append a delta, or replace the file by ``snapshot()`` if it has grown too large or a write failed.
 
         ``snapshot`` returns the list with the change applied.
         """
-        frame = _frame(change)
-        appended = self.size - self.whole_size + len(frame)
-        too_long = appended > max(LEAST_APPENDED, self.whole_size) or self.size + len(frame) > self.room
-        if change.all or self.due or too_long:
-            self.replace(whole())
+        frame = _encode_frame(change)
+        delta_bytes = self.file_bytes - self.snapshot_bytes + len(frame)
+        too_large = (
+            delta_bytes > max(MIN_DELTA_BYTES, self.snapshot_bytes)
+            or self.file_bytes + len(frame) > self.max_bytes
+        )
+        if change.all or self.snapshot_due or too_large:
+            self.replace(snapshot())
             return
         try:
             with self.path.open("ab") as file:
@@ -66,45 +69,45 @@
         except OSError as error:
             self._fail(error)
         else:
-            self.size += len(frame)
+            self.file_bytes += len(frame)
 
-    def replace(self, whole: Change) -> None:
+    def replace(self, snapshot: Change) -> None:
         """Replace the file by a snapshot. One that is too large is not written and sets ``failure``."""
-        frame = _frame(whole)
-        self.due = True
-        if len(frame) > self.room:
-            self.failed = f"a list of {len(frame)} bytes exceeds the limit of {self.room} bytes"
+        frame = _encode_frame(snapshot)
+        self.snapshot_due = True
+        if len(frame) > self.max_bytes:
+            self.failure = f"a list of {len(frame)} bytes exceeds the limit of {self.max_bytes} bytes"
             return
-        fresh = self.path.with_suffix(".new")
+        temporary = self.path.with_suffix(".new")
         try:
-            fresh.write_bytes(frame)
-            os.replace(fresh, self.path)
+            temporary.write_bytes(frame)
+            os.replace(temporary, self.path)
         except OSError as error:
             self._fail(error)
         else:
-            self.size = self.whole_size = len(frame)
-            self.due, self.failed = False, ""
+            self.file_bytes = self.snapshot_bytes = len(frame)
+            self.snapshot_due, self.failure = False, ""
 
     def _fail(self, error: OSError) -> None:
-        self.failed, self.due = error.strerror or str(error), True
+        self.failure, self.snapshot_due = error.strerror or str(error), True
 
 
-def _frame(change: Change) -> bytes:
+def _encode_frame(change: Change) -> bytes:
     payload = zlib.compress(msgspec.json.encode(change), 1)
-    return _FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+    return _FRAME_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def _changes(data: bytes) -> list[Change]:
-    found: list[Change] = []
-    at = 0
-    while len(data) - at >= _FRAME.size:
-        length, crc = _FRAME.unpack_from(data, at)
-        payload = data[at + _FRAME.size : at + _FRAME.size + length]
+def _decode_changes(data: bytes) -> list[Change]:
+    changes: list[Change] = []
+    offset = 0
+    while len(data) - offset >= _FRAME_HEADER.size:
+        length, crc = _FRAME_HEADER.unpack_from(data, offset)
+        payload = data[offset + _FRAME_HEADER.size : offset + _FRAME_HEADER.size + length]
         if len(payload) < length or zlib.crc32(payload) != crc:
             break
         try:
-            found.append(read(zlib.decompress(payload)))
+            changes.append(parse_change(zlib.decompress(payload)))
         except (ListError, zlib.error):
             break
-        at += _FRAME.size + length
-    return found
+        offset += _FRAME_HEADER.size + length
+    return changes
--- a/tests/relay/breaking.py
+++ b/tests/relay/failing_appends.py
@@ -24,5 +24,5 @@
         real(self, *args)
 
     DirectoryStorage.append = append  # type: ignore[assignment, method-assign]
-    node.SERVES_ON = 60.0
+    node.SERVE_SECONDS = 60.0
     main(["node"])
--- a/tests/relay/settings_samples.py
+++ b/tests/relay/settings_samples.py
@@ -8,22 +8,22 @@
 
 from tests.relay import world
 
-GONE = object()
+ABSENT = object()
 
 
-def told(**changes: Any) -> bytes:
-    """Return the configuration with settings replaced, or removed if GONE. Dots in a path are written ``__``."""
-    found = copy.deepcopy(world.configuration())
+def changed_config(**changes: Any) -> bytes:
+    """Return the configuration with settings replaced, or removed if ABSENT. Dots in a path are written ``__``."""
+    config = copy.deepcopy(world.configuration())
     for path, value in changes.items():
-        *above, last = [int(one) if one.isdecimal() else one for one in path.split("__")]
-        at: Any = found["settings"]
-        for one in above:
-            at = at[one]
-        if value is GONE:
-            del at[last]
+        *path_parts, last = [int(part) if part.isdecimal() else part for part in path.split("__")]
+        parent: Any = config["settings"]
+        for part in path_parts:
+            parent = parent[part]
+        if value is ABSENT:
+            del parent[last]
         else:
-            at[last] = value
-    return json.dumps(found).encode()
+            parent[last] = value
+    return json.dumps(config).encode()
 
 
 def classes(*changes: dict[str, Any]) -> list[dict[str, Any]]:
--- a/tests/relay/quicker.py
+++ b/tests/relay/shortened.py
@@ -7,13 +7,13 @@
 
 from brassweir.cli.main import main
 
-BELIEF = "brassweir.service.node:BELIEF=0.05"
-SILENT = "brassweir.relay.watch:SILENT=0.5"
+STATUS_INTERVAL = "brassweir.service.node:STATUS_INTERVAL_SECONDS=0.05"
+SILENCE_TIMEOUT = "brassweir.relay.watch:SILENCE_TIMEOUT_SECONDS=0.5"
 
 
-def program(*times: str) -> list[str]:
+def shortened(*times: str) -> list[str]:
     """Return the Python arguments that run ``node`` with these overrides."""
-    return ["-m", "tests.relay.quicker", *times]
+    return ["-m", "tests.relay.shortened", *times]
 
 
 if __name__ == "__main__":
--- a/tests/relay/test_large.py
+++ b/tests/relay/test_large.py
@@ -11,7 +11,7 @@
 MANY = 1100
 
 
-def test_the_last_of_eleven_hundred_is_served(tmp_path: Path) -> None:
+def test_the_last_of_1100_endpoints_is_served(tmp_path: Path) -> None:
     async def run() -> None:
         world, last = World(tmp_path), Endpoint("z-last", MANY)
         world.senders = MANY
--- a/tests/relay/test_list_crossings.py
+++ b/tests/relay/test_list_crossings.py
@@ -15,10 +15,10 @@
 from brassweir.relay import settings
 from brassweir.relay.endpoint_list import Change, Target
 from brassweir.service.node import NodeProcess
-from tests.relay.moved import Full, Peer, moved, says_200
+from tests.relay.virtual_time import BlackholeAddress, Peer, answer_200, run_virtual
 from tests.relay.world import configuration
 
-NEWS_TURNS = range(12)  # loop turns from the submission on: the call has begun long before the last
+CHANGE_TURNS = range(12)  # loop turns from the submission on: the call has begun long before the last
 
 
 def target(uid: str, state: str = "active", endpoint: str = "127.0.0.1:1") -> Target:
@@ -27,11 +27,11 @@
 
 def process(folder: Path, *targets: Target, rev: int = 5) -> NodeProcess:
     """A sender that knows these endpoints and does not listen."""
-    given: dict[str, Any] = configuration()
-    made = NodeProcess(settings.read(json.dumps(given).encode()), folder, structlog.get_logger())
-    made._recover()
-    made.list.take(Change(rev, True, list(targets)))
-    return made
+    config: dict[str, Any] = configuration()
+    sender = NodeProcess(settings.parse_config(json.dumps(config).encode()), folder, structlog.get_logger())
+    sender._recover()
+    sender.list.apply(Change(rev, True, list(targets)))
+    return sender
 
 
 @pytest.mark.parametrize(
@@ -93,19 +93,19 @@
 ) -> None:
     """As after a move to an agent that is behind, equal or ahead."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         sender = process(tmp_path, target("a"), target("b", "leaving"))
         await asyncio.sleep(0.0)
-        for told in (change, *more):
-            sender.list.take(told)
+        for update in (change, *more):
+            sender.list.apply(update)
             await asyncio.sleep(0.01)
-        known = sender.list.listing.known
+        known = sender.list.endpoints.known
         assert (
             {name: info.state for name, info in known.items()}
             == states
             == {name: info.state for name, info in sender.engine.endpoints.items()}
         )
-        assert sender.list.listing.rev == rev and set(sender.list.listing.places) == set(states)
+        assert sender.list.endpoints.rev == rev and set(sender.list.endpoints.urls) == set(states)
         usable = {
             name
             for dest in sender.engine.sender.destinations.values()
@@ -115,18 +115,18 @@
         assert not usable - {name for name, state in states.items() if state is EntryState.READY}
         sender.journal.close()
 
-    moved(play())
+    run_virtual(scenario())
 
 
-@pytest.mark.parametrize("turns", NEWS_TURNS)
+@pytest.mark.parametrize("turns", CHANGE_TURNS)
 @pytest.mark.parametrize("state", ["leaving", "left"])
-def test_news_at_each_turn_from_a_hand_in_to_its_call(tmp_path: Path, turns: int, state: str) -> None:
+def test_changes_at_each_turn_from_a_submission_to_its_call(tmp_path: Path, turns: int, state: str) -> None:
     """The only endpoint drains while the message is on its way from the journal to a connection that is never
     established: the message goes to the new endpoint at once."""
 
-    async def play() -> None:
-        async with Peer(says_200) as other:
-            with Full() as full:
+    async def scenario() -> None:
+        async with Peer(answer_200) as other:
+            with BlackholeAddress() as full:
                 sender = process(tmp_path, target("a", "active", full))
                 answers: list[FinalAnswer] = []
                 sender.engine.submit(
@@ -134,14 +134,16 @@
                 )
                 for _ in range(turns):
                     await asyncio.sleep(0.0)
-                sender.list.take(
+                sender.list.apply(
                     Change(6, False, [target("a", state, full), target("b", "active", other.address)])
                 )
                 await asyncio.sleep(0.1)
-                assert [one.answer for one in answers] == [Answer.DELIVERED] and len(other.seen) == 1
+                assert [answer.answer for answer in answers] == [Answer.DELIVERED] and len(
+                    other.requests
+                ) == 1
                 assert not sender.engine.unstarted.by_destination
                 await asyncio.sleep(0.5)  # the connection setup has timed out
                 assert f"http://{full}/receive a" not in sender.pools.budget.holders
             sender.journal.close()
 
-    moved(play())
+    run_virtual(scenario())
--- a/tests/relay/test_node.py
+++ b/tests/relay/test_node.py
@@ -9,13 +9,13 @@
 import pytest
 
 from brassweir.lab.standins.platform import SERVING, Call, Endpoint, Manner, answer, cut, good, hang, says
-from tests.relay.plays import GOOD, first, play, played, together
-from tests.relay.quicker import BELIEF, program
+from tests.relay.scenarios import GOOD, first_then, run_all, run_alone, run_scenario
+from tests.relay.shortened import STATUS_INTERVAL, shortened
 from tests.relay.world import World
 
 
-def test_a_day_of_all_classes(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_messages_of_all_classes_are_delivered(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         for i in range(30):
             cls = ("note", "order", "pay")[i % 3]
@@ -30,11 +30,11 @@
         assert all(call.time_left.endswith("m") for endpoint in world.endpoints for call in endpoint.calls)
         assert max(endpoint.connections for endpoint in world.endpoints) <= 30
 
-    play(tmp_path, day, Endpoint("a", 1), Endpoint("b", 2))
+    run_alone(tmp_path, scenario, Endpoint("a", 1), Endpoint("b", 2))
 
 
 @pytest.mark.parametrize(("order", "at_once"), [(b"00076fafbac6d1dd", 1), (b"0" * 16, 2)])
-def test_messages_of_one_key_go_one_after_the_other(tmp_path: Path, order: bytes, at_once: int) -> None:
+def test_messages_of_one_key_are_sent_in_sequence(tmp_path: Path, order: bytes, at_once: int) -> None:
     open_now, most = 0, 0
 
     async def counting(call: Call, writer: asyncio.StreamWriter) -> None:
@@ -45,7 +45,7 @@
         open_now -= 1
         await good(call, writer)
 
-    async def day(world: World) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         for i in range(2):
             assert await client.put(f"m{i}", "order", 1, key=f"k{i}", order=order) == b"+OK\r\n"
@@ -53,7 +53,7 @@
         assert [call.id for call in world.endpoints[0].calls] == ["m0", "m1"] and most == at_once
 
     SERVING.add(counting)
-    play(tmp_path, day, Endpoint("a", 1, counting))
+    run_alone(tmp_path, scenario, Endpoint("a", 1, counting))
 
 
 def slow(data: bytes, rest: bytes) -> Manner:
@@ -65,20 +65,20 @@
     return manner
 
 
-ENDINGS: list[tuple[Manner, str, int, str]] = [
+OUTCOMES: list[tuple[Manner, str, int, str]] = [
     (says(GOOD), "pay", 1, ""),
-    (first(says(answer(500)), says(GOOD)), "note", 2, ""),
+    (first_then(says(answer(500)), says(GOOD)), "note", 2, ""),
     (says(answer(500)), "pay", 1, "dead"),
-    (first(says(answer(429, "X-Backoff-Ms: 100")), says(GOOD)), "pay", 2, ""),
-    (first(says(answer(503)), says(GOOD)), "pay", 2, ""),
-    (first(says(answer(503, "X-Egress-Full: 1")), says(GOOD)), "pay", 2, ""),
-    (first(says(answer(504)), says(GOOD)), "pay", 2, ""),
+    (first_then(says(answer(429, "X-Backoff-Ms: 100")), says(GOOD)), "pay", 2, ""),
+    (first_then(says(answer(503)), says(GOOD)), "pay", 2, ""),
+    (first_then(says(answer(503, "X-Egress-Full: 1")), says(GOOD)), "pay", 2, ""),
+    (first_then(says(answer(504)), says(GOOD)), "pay", 2, ""),
     (says(answer(410)), "note", 1, "dead"),
-    (first(cut, says(GOOD)), "order", 2, ""),
+    (first_then(cut, says(GOOD)), "order", 2, ""),
     (cut, "pay", 1, "dead"),
-    (first(hang, says(GOOD)), "note", 2, ""),
+    (first_then(hang, says(GOOD)), "note", 2, ""),
     (hang, "pay", 1, "dead"),
-    (first(says(b"\x00\xffnoise\r\n\r\n"), says(GOOD)), "note", 2, ""),
+    (first_then(says(b"\x00\xffnoise\r\n\r\n"), says(GOOD)), "note", 2, ""),
     (says(b"\x00\xffnoise\r\n\r\n"), "pay", 1, "dead"),
     (says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 9000), "pay", 1, ""),
     (says(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort"), "pay", 1, ""),
@@ -95,43 +95,47 @@
 ]
 
 
-async def ending(folder: Path, manner: Manner, cls: str, calls: int, end: str) -> None:
+async def check_outcome(folder: Path, manner: Manner, cls: str, calls: int, end: str) -> None:
     """Check the number of calls and the notice of one case. Not judged: these endpoints don't record deliveries."""
 
-    async def day(world: World) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         assert await client.put("m1", cls, 1, 2500.0, key="k") == b"+OK\r\n"
         for _ in range(300):
             if world.discovery.notices or (not end and '"delivered": 1' in world.log()):
                 break
             await asyncio.sleep(0.02)
-        told = [one["result"] for _, one in world.discovery.notices]
-        again = world.log().count('"notice_failed"')  # a post that timed out may have arrived
-        assert told[:1] == ([end] if end else []) and told == told[:1] * len(told) and len(told) <= 1 + again
+        results = [notice["result"] for _, notice in world.discovery.notices]
+        failed_posts = world.log().count('"notice_failed"')  # a post that timed out may have arrived
+        assert (
+            results[:1] == ([end] if end else [])
+            and results == results[:1] * len(results)
+            and len(results) <= 1 + failed_posts
+        )
         assert len(world.endpoints[0].calls) == calls
 
     world = World(folder)
-    world.program = program(BELIEF)
-    await played(world, day, Endpoint("a", 1, manner), judged=False)
+    world.program = shortened(STATUS_INTERVAL)
+    await run_scenario(world, scenario, Endpoint("a", 1, manner), judged=False)
 
 
 @pytest.fixture(scope="module")
-def endings(tmp_path_factory: pytest.TempPathFactory) -> list[BaseException | None]:
+def failures(tmp_path_factory: pytest.TempPathFactory) -> list[BaseException | None]:
     """The exception of each case, or None."""
-    return together([partial(ending, tmp_path_factory.mktemp("day"), *row) for row in ENDINGS])
+    return run_all([partial(check_outcome, tmp_path_factory.mktemp("day"), *row) for row in OUTCOMES])
 
 
-@pytest.mark.parametrize(("manner", "cls", "calls", "end"), ENDINGS)
-def test_each_ending(
-    endings: list[BaseException | None], manner: Manner, cls: str, calls: int, end: str
+@pytest.mark.parametrize(("manner", "cls", "calls", "end"), OUTCOMES)
+def test_each_outcome(
+    failures: list[BaseException | None], manner: Manner, cls: str, calls: int, end: str
 ) -> None:
-    wrong = endings[ENDINGS.index((manner, cls, calls, end))]
-    if wrong is not None:
-        raise wrong
+    failure = failures[OUTCOMES.index((manner, cls, calls, end))]
+    if failure is not None:
+        raise failure
 
 
-def test_endpoints_that_refuse_or_never_come_up_have_not_run_anything(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_endpoints_that_refuse_connections_have_run_nothing(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         await world.endpoints[0].stop()
         client = await world.client()
         assert await client.put("m1", "pay", 1, 2500.0) == b"+OK\r\n"
@@ -140,18 +144,18 @@
             "unsafe, but a later submission is harmless"
         )
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
-def test_a_timed_out_call_closes_its_connection_and_no_other_is_trusted(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_a_timed_out_call_closes_its_connection_and_the_idle_ones(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         endpoint = world.endpoints[0]
         client = await world.client()
         await asyncio.gather(
             *(one.put(f"w{i}", "note", 1) for i, one in enumerate([client, await world.client()]))
         )
         await world.settled(2)
-        endpoint.manner = first(hang, good)
+        endpoint.manner = first_then(hang, good)
         assert await client.put("m1", "note", 1) == b"+OK\r\n"
         for _ in range(400):
             if sum(call.id == "m1" for call in endpoint.calls) == 2:
@@ -162,14 +166,12 @@
         assert len(endpoint.writers) == 1, "the hanging connection and the idle ones are closed"
         endpoint.delivered.append("m1")
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
 @pytest.mark.parametrize("share", [0.0001, 0.9])
-def test_a_kept_connection_reset_as_the_next_request_comes_has_run_nothing(
-    tmp_path: Path, share: float
-) -> None:
-    async def day(world: World) -> None:
+def test_a_reused_connection_reset_by_the_next_request_has_run_nothing(tmp_path: Path, share: float) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         world.endpoints[0].resets_kept = share
         for i in range(12):  # one after the other, so that each finds an idle connection
@@ -178,11 +180,11 @@
         assert world.discovery.notices == [] and len(world.endpoints[0].delivered) == 12
         assert world.endpoints[0].resets >= 10
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
-def test_a_second_copy_of_an_answer_is_never_taken_for_the_next_calls(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_a_duplicate_response_is_never_taken_for_the_next_call(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         world.endpoints[0].repeats = True
         for i in range(8):
@@ -191,4 +193,4 @@
         await world.settled(8)
         assert world.discovery.notices == []
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
--- a/tests/relay/test_node_calls.py
+++ b/tests/relay/test_node_calls.py
@@ -11,10 +11,10 @@
 import pytest
 
 from brassweir.lab.standins.platform import Endpoint
-from tests.relay.plays import played
+from tests.relay.scenarios import run_scenario
 from tests.relay.world import World
 
-SOURCE = Path(__file__).with_name("failing_calls.c")
+SHIM_SOURCE = Path(__file__).with_name("failing_calls.c")
 CASES = [
     ("accept", "ECONNABORTED"),
     ("accept", "ENFILE"),
@@ -35,11 +35,11 @@
 def shim(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """Compile the preloaded library that makes calls fail. Requires a C compiler."""
     library = tmp_path_factory.mktemp("shim") / "failing_calls.so"
-    subprocess.run(["cc", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"], check=True)
+    subprocess.run(["cc", "-shared", "-fPIC", "-o", str(library), str(SHIM_SOURCE), "-ldl"], check=True)
     return library
 
 
-class Failing(World):
+class FailingWorld(World):
     """A world whose sender alone runs with the shim preloaded."""
 
     def __init__(self, folder: Path, shim: Path, call: str, error: str) -> None:
@@ -62,32 +62,32 @@
 
 
 @pytest.mark.parametrize(("call", "error"), CASES)
-def test_calls_that_fail_for_a_while(tmp_path: Path, shim: Path, call: str, error: str) -> None:
+def test_system_calls_that_fail_for_a_while(tmp_path: Path, shim: Path, call: str, error: str) -> None:
     """Connected clients are served or refused meanwhile; new clients and all calls work afterwards."""
 
-    async def day(world: World) -> None:
-        assert isinstance(world, Failing) and world.process is not None
+    async def scenario(world: World) -> None:
+        assert isinstance(world, FailingWorld) and world.process is not None
         client = await world.client()
         assert await client.put("first", "note", 1, 5000.0) == b"+OK\r\n"  # so the connection was accepted
         world.flag.write_text("")
         world.discovery.cut()
-        taken = 0
+        accepted = 0
         for i in range(20):
             line = await client.put(f"m{i}", ("note", "pay")[i % 2], 1, 5000.0)
             assert line[:3] in (b"+OK", b"-BU"), line
-            taken += line == b"+OK\r\n"
+            accepted += line == b"+OK\r\n"
             await asyncio.sleep(0.05)
         world.flag.unlink()
-        assert taken >= 10
+        assert accepted >= 10
         later = await asyncio.wait_for(world.client(), 2.0)
         for i in range(6):
             assert await later.put(f"z{i}", ("note", "pay")[i % 2], 1, 5000.0) == b"+OK\r\n"
-        await world.settled(taken + 7)
+        await world.settled(accepted + 7)
         assert world.process.returncode is None
         assert {f"z{i}" for i in range(6)} <= {*world.seen().delivered}
         world.discovery.change(world.endpoints[0].entry("leaving"))
         await asyncio.sleep(0.5)
         assert '"rev": 2, "source": "watch"' in world.log(), "the watch is open again"
 
-    world = Failing(tmp_path, shim, call, error)
-    asyncio.run(played(world, day, Endpoint("a", 1)))
+    world = FailingWorld(tmp_path, shim, call, error)
+    asyncio.run(run_scenario(world, scenario, Endpoint("a", 1)))
--- a/tests/relay/test_node_clients.py
+++ b/tests/relay/test_node_clients.py
@@ -10,7 +10,7 @@
 
 from brassweir.lab.standins.platform import Endpoint, good, hang
 from brassweir.lab.standins.relay_client import Client
-from tests.relay.plays import play
+from tests.relay.scenarios import run_alone
 from tests.relay.world import World
 
 BAD = [
@@ -30,10 +30,8 @@
 
 
 @pytest.mark.parametrize("data", BAD)
-def test_what_cannot_be_used_gets_an_error_or_a_close_and_nothing_is_taken_on(
-    tmp_path: Path, data: bytes
-) -> None:
-    async def day(world: World) -> None:
+def test_bad_input_gets_an_error_or_a_close_and_is_not_accepted(tmp_path: Path, data: bytes) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         started = asyncio.get_running_loop().time()
         line = await client.ask(data)
@@ -43,11 +41,11 @@
         assert await usual.put("m1", "note", 1) == b"+OK\r\n", "others are served"
         await world.settled(1)
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
-def test_a_flood_of_silent_and_bad_clients_leaves_room_for_usual_ones(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_a_flood_of_silent_and_bad_clients_leaves_capacity_for_others(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         flood = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(220)]
         for _, writer in flood[::3]:
             writer.write(Client.command(b"MSG.PUT", b"0", b"", b"", b"") * 200)
@@ -60,11 +58,11 @@
         for _, writer in flood:
             writer.transport.abort()
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
-def test_clients_that_send_on_and_on_after_an_error_do_not_fill_the_memory(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_clients_that_keep_sending_after_an_error_do_not_fill_the_memory(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         bad = Client.command(b"MSG.PUT", b"0", b"x", b"c=none", b"") * 5000
         flood = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(120)]
         for _, writer in flood:
@@ -78,11 +76,11 @@
         for _, writer in flood:
             writer.transport.abort()
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
 def test_the_id_of_an_open_message_is_refused_and_answers_keep_their_order(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+    async def scenario(world: World) -> None:
         client, other = await world.client(), await world.client()
         assert await client.put("m1", "note", 1) == b"+OK\r\n"
         assert (
@@ -94,15 +92,15 @@
         assert lines[:2] == [b"+OK\r\n", b"+PONG\r\n"] and lines[2].startswith(b"-ERR")
         world.endpoints[0].manner = good
 
-    play(tmp_path, day, Endpoint("a", 1, hang), judged=False)
+    run_alone(tmp_path, scenario, Endpoint("a", 1, hang), judged=False)
 
 
-def test_more_than_may_be_held_is_busy(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_a_full_queue_is_busy(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         lines = [await client.put(f"m{i}", "note", 1, 1500.0) for i in range(80)]
         assert lines[0] == b"+OK\r\n" and lines[-1].startswith(b"-BUSY")
         world.endpoints[0].manner = good
         await world.settled(sum(line == b"+OK\r\n" for line in lines))
 
-    play(tmp_path, day, Endpoint("a", 1, hang))
+    run_alone(tmp_path, scenario, Endpoint("a", 1, hang))
--- a/tests/relay/test_node_disk.py
+++ b/tests/relay/test_node_disk.py
@@ -9,17 +9,17 @@
 
 from brassweir.lab.standins.platform import Endpoint, after
 from tests.relay.failing_disk import FLAG
-from tests.relay.plays import played
+from tests.relay.scenarios import run_scenario
 from tests.relay.world import World
 
 WRITES = ("append", "create")
-ALL = ("append", "create", "truncate", "rename", "remove")
+ALL_OPERATIONS = ("append", "create", "truncate", "rename", "remove")
 
 
-async def hand_in(world: World, first: int, count: int) -> list[bytes]:
+async def submit(world: World, first: int, count: int) -> list[bytes]:
     """Submit messages of all classes, each on its own connection; return the replies, empty after a timeout."""
 
-    async def one(i: int) -> bytes:
+    async def submit_one(i: int) -> bytes:
         client = await world.client()
         cls = ("note", "order", "pay")[i % 3]
         try:
@@ -31,69 +31,69 @@
             return b""
         return line
 
-    return await asyncio.gather(*map(one, range(first, first + count)))
+    return await asyncio.gather(*map(submit_one, range(first, first + count)))
 
 
-@pytest.mark.parametrize("steps", [WRITES, ALL], ids=["writes", "every step"])
+@pytest.mark.parametrize("steps", [WRITES, ALL_OPERATIONS], ids=["writes", "every step"])
 @pytest.mark.parametrize("error", ["ENOSPC", "EIO"])
 def test_writes_that_fail_for_a_while(tmp_path: Path, error: str, steps: tuple[str, ...]) -> None:
-    async def day(world: World) -> None:
+    async def scenario(world: World) -> None:
         assert world.process is not None
-        kept = [line for line in await hand_in(world, 0, 12) if line == b"+OK\r\n"]
+        accepted = [line for line in await submit(world, 0, 12) if line == b"+OK\r\n"]
         flag = world.folder / FLAG
         flag.write_text(error)
         refused: list[bytes] = []
         for i in range(15):
-            refused += await hand_in(world, 100 + 3 * i, 3)
+            refused += await submit(world, 100 + 3 * i, 3)
             await asyncio.sleep(0.1)
         assert world.process.returncode is None, "the process survives"
         assert b"+OK\r\n" not in refused and refused.count(b"") <= 3, refused
         assert sum(line.startswith(b"-BUSY") for line in refused) >= 40
         flag.unlink()
         await asyncio.sleep(0.3)
-        again = await hand_in(world, 1000, 12)
+        again = await submit(world, 1000, 12)
         assert again == [b"+OK\r\n"] * 12, world.log()[-2000:]
-        await world.settled(len(kept) + 12)
+        await world.settled(len(accepted) + 12)
         assert "journal_stalled" in world.log() and "journal_goes_on" in world.log()
 
     world = World(tmp_path)
     world.program = ["-m", "tests.relay.failing_disk", *steps]
-    asyncio.run(played(world, day, Endpoint("a", 1, after(0.02))))
+    asyncio.run(run_scenario(world, scenario, Endpoint("a", 1, after(0.02))))
 
 
-def test_killed_while_writes_fail_it_owes_what_it_had_taken_on(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
-        kept = [line for line in await hand_in(world, 0, 12) if line == b"+OK\r\n"]
+def test_killed_while_writes_fail_it_ends_all_accepted_messages(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
+        accepted = [line for line in await submit(world, 0, 12) if line == b"+OK\r\n"]
         (world.folder / FLAG).write_text("ENOSPC")
-        await hand_in(world, 100, 6)
+        await submit(world, 100, 6)
         await world.kill()
         (world.folder / FLAG).unlink()
         await world.start()
-        await world.settled(len(kept))
+        await world.settled(len(accepted))
         assert "journal_damage" not in world.log()
 
     world = World(tmp_path)
-    world.program = ["-m", "tests.relay.failing_disk", *ALL]
-    asyncio.run(played(world, day, Endpoint("a", 1, after(0.3))))
+    world.program = ["-m", "tests.relay.failing_disk", *ALL_OPERATIONS]
+    asyncio.run(run_scenario(world, scenario, Endpoint("a", 1, after(0.3))))
 
 
 @pytest.mark.parametrize("error", ["ENOSPC", "EIO"])
-def test_a_start_while_writes_fail_serves_what_was_taken_on_and_refuses_more(
+def test_a_start_while_writes_fail_serves_accepted_messages_and_refuses_new_ones(
     tmp_path: Path, error: str
 ) -> None:
-    async def day(world: World) -> None:
-        assert await hand_in(world, 0, 12) == [b"+OK\r\n"] * 12
+    async def scenario(world: World) -> None:
+        assert await submit(world, 0, 12) == [b"+OK\r\n"] * 12
         await world.kill()
         (world.folder / FLAG).write_text(error)
         await world.start()
-        refused = await hand_in(world, 100, 6)
+        refused = await submit(world, 100, 6)
         assert all(line.startswith(b"-BUSY") for line in refused), refused
         (world.folder / FLAG).unlink()
         await asyncio.sleep(0.3)
-        assert await hand_in(world, 1000, 6) == [b"+OK\r\n"] * 6
+        assert await submit(world, 1000, 6) == [b"+OK\r\n"] * 6
         await world.settled(18)
         assert "journal_damage" not in world.log()
 
     world = World(tmp_path)
-    world.program = ["-m", "tests.relay.failing_disk", *ALL]
-    asyncio.run(played(world, day, Endpoint("a", 1, after(0.3))))
+    world.program = ["-m", "tests.relay.failing_disk", *ALL_OPERATIONS]
+    asyncio.run(run_scenario(world, scenario, Endpoint("a", 1, after(0.3))))
--- a/tests/relay/test_node_list.py
+++ b/tests/relay/test_node_list.py
@@ -12,13 +12,13 @@
 
 from brassweir.lab.standins.discovery import Discovery
 from brassweir.lab.standins.platform import Endpoint, cut
-from tests.relay.plays import play, played
-from tests.relay.quicker import SILENT, program
+from tests.relay.scenarios import run_alone, run_scenario
+from tests.relay.shortened import SILENCE_TIMEOUT, shortened
 from tests.relay.world import World
 
 
-def test_drains_new_endpoints_and_addresses_are_heard(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_drains_and_new_endpoints_take_effect(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         old, new = world.endpoints
         client = await world.client()
         assert await client.put("m1", "note", 1) == b"+OK\r\n"
@@ -41,7 +41,7 @@
             await new.start()
             await world.open(Endpoint("a", 1))
             world.endpoints.append(new)
-            await day(world)
+            await scenario(world)
         finally:
             await world.close()
 
@@ -49,21 +49,21 @@
 
 
 @pytest.mark.parametrize("trouble", ["cut", "garbled", "silent"])
-def test_a_watch_that_fails_is_opened_anew_from_the_last_version(tmp_path: Path, trouble: str) -> None:
-    async def day(world: World) -> None:
-        found = world.discovery
+def test_a_failed_watch_is_reopened_from_the_last_version(tmp_path: Path, trouble: str) -> None:
+    async def scenario(world: World) -> None:
+        discovery = world.discovery
         await asyncio.sleep(0.2)
-        assert found.asked == [1]
+        assert discovery.asked == [1]
         if trouble == "cut":
-            found.cut()
+            discovery.cut()
         elif trouble == "garbled":
-            found.say(b'{"rev": 5, "all": true, "targets": [{"uid": "a"')
+            discovery.say(b'{"rev": 5, "all": true, "targets": [{"uid": "a"')
         for _ in range(300):  # the stand-in sends no empty lines, so that the watch times out
-            if len(found.asked) > 1:
+            if len(discovery.asked) > 1:
                 break
             await asyncio.sleep(0.02)
-        assert found.asked[:2] == [1, 1]
-        found.change(world.endpoints[0].entry("leaving"))
+        assert discovery.asked[:2] == [1, 1]
+        discovery.change(world.endpoints[0].entry("leaving"))
         await asyncio.sleep(0.2)
         client = await world.client()
         assert await client.put("m1", "note", 1, 400.0) in (b"+OK\r\n", b"-BUSY\r\n")
@@ -72,12 +72,12 @@
 
     world = World(tmp_path)
     if trouble == "silent":
-        world.program = program(SILENT)
-    asyncio.run(played(world, day, Endpoint("a", 1)))
+        world.program = shortened(SILENCE_TIMEOUT)
+    asyncio.run(run_scenario(world, scenario, Endpoint("a", 1)))
 
 
 def test_sighup_moves_the_list_and_notices_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+    async def scenario(world: World) -> None:
         assert world.process is not None
         other = Discovery()
         await other.start()
@@ -96,32 +96,32 @@
             if other.notices:
                 break
             await asyncio.sleep(0.02)
-        assert [one["ref"] for _, one in other.notices] == ["m1"]
+        assert [notice["ref"] for _, notice in other.notices] == ["m1"]
         world.discovery.notices += other.notices
         await other.stop()
 
-    play(tmp_path, day, Endpoint("a", 1, cut))
+    run_alone(tmp_path, scenario, Endpoint("a", 1, cut))
 
 
 def test_a_list_that_is_behind_undoes_no_drain(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
-        found, endpoint = world.discovery, world.endpoints[0]
+    async def scenario(world: World) -> None:
+        discovery, endpoint = world.discovery, world.endpoints[0]
         await asyncio.sleep(0.2)
         for _ in range(3):
-            found.change(endpoint.entry("leaving"))
+            discovery.change(endpoint.entry("leaving"))
         await asyncio.sleep(0.2)
-        found.say(json.dumps({"rev": 2, "all": True, "targets": [endpoint.entry()]}).encode())
+        discovery.say(json.dumps({"rev": 2, "all": True, "targets": [endpoint.entry()]}).encode())
         await asyncio.sleep(0.2)
         client = await world.client()
         await client.put("m1", "note", 1, 500.0)
         await asyncio.sleep(0.9)
         assert endpoint.calls == [] and "list_behind" in world.log()
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
-def test_one_notice_that_cannot_be_read_takes_no_other_with_it(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+def test_an_unreadable_notice_blocks_no_other(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         world.discovery.status, world.discovery.refuses = 500, b"m2"
         client = await world.client()
         for i in range(5):
@@ -132,14 +132,14 @@
             if len(world.discovery.notices) >= 4:
                 break
             await asyncio.sleep(0.02)
-        assert sorted(one["ref"] for _, one in world.discovery.notices) == ["m0", "m1", "m3", "m4"]
+        assert sorted(notice["ref"] for _, notice in world.discovery.notices) == ["m0", "m1", "m3", "m4"]
         assert "notice_unreadable" in world.log()
 
-    play(tmp_path, day, Endpoint("a", 1, cut), judged=False)
+    run_alone(tmp_path, scenario, Endpoint("a", 1, cut), judged=False)
 
 
 def test_notices_outlast_a_platform_that_does_not_answer(tmp_path: Path) -> None:
-    async def day(world: World) -> None:
+    async def scenario(world: World) -> None:
         world.discovery.status = 500
         client = await world.client()
         assert await client.put("m1", "pay", 1, 3000.0) == b"+OK\r\n"
@@ -148,13 +148,13 @@
         world.discovery.status = 204
         await world.settled(1)
 
-    play(tmp_path, day, Endpoint("a", 1, cut))
+    run_alone(tmp_path, scenario, Endpoint("a", 1, cut))
 
 
 def test_idle_clients_leave_descriptors_for_the_list_notices_calls_and_the_journal(tmp_path: Path) -> None:
     """The descriptor limit is that of the configuration, and hundreds of idle clients connect."""
 
-    async def day(world: World) -> None:
+    async def scenario(world: World) -> None:
         assert world.process is not None
         client = await world.client()
         assert await client.put("first", "note", 2) == b"+OK\r\n"  # an idle connection is closed for it
@@ -174,4 +174,4 @@
         for _, writer in idle:
             writer.close()
 
-    play(tmp_path, day, Endpoint("a", 1, cut), Endpoint("b", 2))
+    run_alone(tmp_path, scenario, Endpoint("a", 1, cut), Endpoint("b", 2))
--- a/tests/relay/test_node_program.py
+++ b/tests/relay/test_node_program.py
@@ -34,10 +34,10 @@
         "brassweir.config",
     ]
     code = "import sys; import brassweir.cli.main, brassweir.cli.node; print('\\n'.join(sys.modules))"
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     ).stdout.split()
-    assert "brassweir.service.node" in found and not set(heavy) & set(found)
+    assert "brassweir.service.node" in result and not set(heavy) & set(result)
 
 
 @pytest.mark.parametrize(
@@ -47,31 +47,29 @@
         (json.dumps({**configuration(), "limits": {"disk_mb": 0.1}}), "disk_mb"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_one_line_and_an_exit(
-    tmp_path: Path, text: str, field: str
-) -> None:
+def test_an_invalid_configuration_exits_with_one_line(tmp_path: Path, text: str, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "brassweir", "node"],
         capture_output=True,
         text=True,
         env={"RELAY_CONFIG": str(path), "RELAY_STATE": str(tmp_path)},
         cwd=Path(__file__).parents[2],
     )
-    assert found.returncode == 1 and field in found.stderr and found.stderr.count("\n") == 1
+    assert result.returncode == 1 and field in result.stderr and result.stderr.count("\n") == 1
 
 
-def test_the_judge_sees_what_is_broken() -> None:
+def test_the_rules_check_finds_violations() -> None:
     from brassweir.lab.standins.relay_client import HandIn
 
-    one = HandIn(0.0, "m", "pay", 1, 1000.0, "", b"x", b"+OK\r\n")
+    submission = HandIn(0.0, "m", "pay", 1, 1000.0, "", b"x", b"+OK\r\n")
     call = Call(5.0, "a", "m", "", "1m", b"x", 1)
-    assert broken(Seen([one], [(1, call)], ["m"]), UNSAFE, 9999.0) == []
-    assert broken(Seen([one]), UNSAFE, 9999.0) == ["m was taken on and lost"]
-    assert broken(Seen([one], notices=[(2000.0, {"ref": "m"})]), UNSAFE, 9999.0) == [
+    assert broken(Seen([submission], [(1, call)], ["m"]), UNSAFE, 9999.0) == []
+    assert broken(Seen([submission]), UNSAFE, 9999.0) == ["m was taken on and lost"]
+    assert broken(Seen([submission], notices=[(2000.0, {"ref": "m"})]), UNSAFE, 9999.0) == [
         "m was taken on and lost"
     ]
-    assert len(broken(Seen([one], [(1, call)], ["m", "m"]), UNSAFE, 9999.0)) == 1
-    assert len(broken(Seen([one], [(2, call)], ["m"]), UNSAFE, 9999.0)) == 1
+    assert len(broken(Seen([submission], [(1, call)], ["m", "m"]), UNSAFE, 9999.0)) == 1
+    assert len(broken(Seen([submission], [(2, call)], ["m"]), UNSAFE, 9999.0)) == 1
     assert broken(Seen([], [(1, call)]), UNSAFE, 9999.0) == ["m was never handed in"]
--- a/tests/relay/test_notices.py
+++ b/tests/relay/test_notices.py
@@ -15,44 +15,46 @@
 from brassweir.net.headers import Headers
 from brassweir.net.pool_manager import PoolManager
 from brassweir.relay import notices, settings
-from brassweir.relay.notices import Notice, Notices
-from brassweir.service.node import ANSWERS, NodeProcess
-from tests.relay.moved import Full, Peer, answers_204, moved, now, silent
+from brassweir.relay.notices import Notice, NoticeSender
+from brassweir.service.node import RESPONSE_LIMITS, NodeProcess
+from tests.relay.virtual_time import BlackholeAddress, Peer, answer_204, now, run_virtual, silent
 from tests.relay.world import configuration
 
-DUE = 0.3  # seconds after which a notice counts as lost
+MAX_DELAY_SECONDS = 0.3  # after which a notice counts as lost
 
 
-class Told:
+class RecordingSender:
     """A notice sender to a peer that records the acknowledged messages in order."""
 
     def __init__(self, address: str) -> None:
-        self.told: list[int] = []
+        self.acknowledged: list[int] = []
         self.more = asyncio.Event()
         self.notes: list[str] = []
-        self.pools = PoolManager(ANSWERS, 2, 3000.0, 1000.0, ConnectionBudget(2))
-        self.line = Notices(self.pools, address, self.tell, lambda event, _: self.notes.append(event))
+        self.pools = PoolManager(RESPONSE_LIMITS, 2, 3000.0, 1000.0, ConnectionBudget(2))
+        self.notices = NoticeSender(
+            self.pools, address, self._record, lambda event, _: self.notes.append(event)
+        )
 
-    def tell(self, message: int) -> None:
-        self.told.append(message)
+    def _record(self, message: int) -> None:
+        self.acknowledged.append(message)
         self.more.set()
 
-    def owe(self, *numbers: int) -> float:
+    def add(self, *numbers: int) -> float:
         for number in numbers:
-            self.line.owe(number, Notice(f"m{number}", "dead"))
+            self.notices.add(number, Notice(f"m{number}", "dead"))
         return now()
 
-    async def until(self, *numbers: int) -> float:
+    async def wait_for(self, *numbers: int) -> float:
         """Wait until exactly these are acknowledged, each once; return the time. No call is left in flight."""
-        while len(self.told) < len(numbers):
+        while len(self.acknowledged) < len(numbers):
             self.more.clear()
             await self.more.wait()
         at = now()
         await asyncio.sleep(2.0)
         assert (
-            self.told == list(numbers)
-            and not self.line.owed
-            and not any(one.busy for one in self.pools.budget.holders.values())
+            self.acknowledged == list(numbers)
+            and not self.notices.pending
+            and not any(holder.busy for holder in self.pools.budget.holders.values())
         )
         return at
 
@@ -64,123 +66,127 @@
 def later(seconds: float) -> Callable[[asyncio.StreamWriter], Awaitable[None]]:
     async def manner(writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(seconds)
-        await answers_204(writer)
+        await answer_204(writer)
 
     return manner
 
 
 @pytest.mark.parametrize("setups", [False, True], ids=["calls that hang", "set-ups that hang"])
-def test_calls_and_set_ups_that_hang_leave_room_for_notices(
+def test_hanging_calls_and_setups_leave_connections_for_notices(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, setups: bool
 ) -> None:
-    async def play() -> None:
-        async with Peer(silent) as ill, Peer(silent) as worse, Peer(answers_204) as platform:
+    async def scenario() -> None:
+        async with Peer(silent) as hanging, Peer(silent) as also_hanging, Peer(answer_204) as platform:
             given = configuration(discovery=platform.address)
             given["limits"]["sockets"] = 64
-            process = NodeProcess(settings.read(json.dumps(given).encode()), tmp_path, structlog.get_logger())
-            told: list[int] = []
-            process.notices.told = told.append
-            with Full() as full:
-                wheres = [full] * 2 if setups else [*[ill.address] * 7, worse.address]
+            process = NodeProcess(
+                settings.parse_config(json.dumps(given).encode()), tmp_path, structlog.get_logger()
+            )
+            acknowledged: list[int] = []
+            process.notices.on_acknowledged = acknowledged.append
+            with BlackholeAddress() as full:
+                addresses = [full] * 2 if setups else [*[hanging.address] * 7, also_hanging.address]
                 calls = [
                     asyncio.ensure_future(
-                        process.pools.http_pool(f"http://{where}/receive").post(Headers(), b"", now() + 4.0)
+                        process.pools.http_pool(f"http://{address}/receive").post(Headers(), b"", now() + 4.0)
                     )
-                    for where in wheres
+                    for address in addresses
                 ]
                 await asyncio.sleep(0.02)
-                process.notices.owe(1, Notice("m1", "dead"))
-                await asyncio.sleep(DUE - 0.05)
-                assert told == [1] and refs(platform) == [["m1"]], process.pools.budget.open
+                process.notices.add(1, Notice("m1", "dead"))
+                await asyncio.sleep(MAX_DELAY_SECONDS - 0.05)
+                assert acknowledged == [1] and refs(platform) == [["m1"]], process.pools.budget.open
                 assert not any(call.done() for call in calls)
-                ended = await asyncio.gather(*calls, return_exceptions=True)
-                assert all(isinstance(one, CallFailed) for one in ended)
+                errors = await asyncio.gather(*calls, return_exceptions=True)
+                assert all(isinstance(error, CallFailed) for error in errors)
             process.journal.close()
 
-    monkeypatch.setattr("brassweir.service.node.SETUPS", 1 if setups else 64)
-    moved(play())
+    monkeypatch.setattr("brassweir.service.node.MAX_CONNECTION_SETUPS", 1 if setups else 64)
+    run_virtual(scenario())
 
 
-def test_a_connection_that_fell_silent_makes_no_notice_late() -> None:
-    async def play() -> None:
-        met: list[int] = []
+def test_a_silent_connection_delays_no_notice() -> None:
+    async def scenario() -> None:
+        calls: list[int] = []
 
         async def once(writer: asyncio.StreamWriter) -> None:
-            met.append(1)
-            if len(met) != 2:
-                await answers_204(writer)
+            calls.append(1)
+            if len(calls) != 2:
+                await answer_204(writer)
 
         async with Peer(once) as platform:
-            told = Told(platform.address)
-            told.owe(1)
-            await told.until(1)
-            owed = told.owe(2)
-            assert await told.until(1, 2) - owed < DUE
+            sender = RecordingSender(platform.address)
+            sender.add(1)
+            await sender.wait_for(1)
+            added_at = sender.add(2)
+            assert await sender.wait_for(1, 2) - added_at < MAX_DELAY_SECONDS
             assert refs(platform) == [["m1"], ["m2"], ["m2"]]
 
-    moved(play())
+    run_virtual(scenario())
 
 
-def test_a_post_given_up_as_its_answer_comes_ends_each_message_once() -> None:
-    async def play() -> None:
-        async with Peer(later(notices.WITHIN), answers_204) as platform:
-            told = Told(platform.address)
-            told.owe(1, 2)
-            await asyncio.sleep(notices.WITHIN / 2)
-            told.owe(3)
-            await told.until(1, 2, 3)
+def test_a_post_that_times_out_as_its_answer_comes_ends_each_message_once() -> None:
+    async def scenario() -> None:
+        async with Peer(later(notices.MIN_POST_TIMEOUT_SECONDS), answer_204) as platform:
+            sender = RecordingSender(platform.address)
+            sender.add(1, 2)
+            await asyncio.sleep(notices.MIN_POST_TIMEOUT_SECONDS / 2)
+            sender.add(3)
+            await sender.wait_for(1, 2, 3)
             assert refs(platform)[0] == ["m1", "m2"] and {ref for post in refs(platform) for ref in post} == {
                 "m1",
                 "m2",
                 "m3",
             }
 
-    moved(play())
+    run_virtual(scenario())
 
 
-def test_a_platform_slow_to_answer_is_told_in_the_end() -> None:
+def test_a_slow_platform_gets_the_notice_in_the_end() -> None:
     """The timeout grows with each post, so that a slow platform is not asked forever."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Peer(later(0.9)) as platform:
-            told = Told(platform.address)
-            told.owe(1)
-            await told.until(1)
-            assert set(told.notes) == {"notice_failed"}
+            sender = RecordingSender(platform.address)
+            sender.add(1)
+            await sender.wait_for(1)
+            assert set(sender.notes) == {"notice_failed"}
 
-    moved(play())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize(
     "after", [0.01, 0.1, 2.0], ids=["while it is posted", "a little later", "between tries"]
 )
 @pytest.mark.parametrize("there", ["silent", "refused", "not reached"])
-def test_a_platform_that_moves_is_told_at_its_new_address_at_once(there: str, after: float) -> None:
-    async def play() -> None:
-        async with Peer(silent) as quiet, Peer(answers_204) as new:
-            with Full() as full:
-                told = Told({"silent": quiet.address, "refused": "127.0.0.1:1", "not reached": full}[there])
-                told.owe(1)
+def test_notices_go_to_the_new_address_at_once_after_a_move(there: str, after: float) -> None:
+    async def scenario() -> None:
+        async with Peer(silent) as quiet, Peer(answer_204) as new:
+            with BlackholeAddress() as full:
+                sender = RecordingSender(
+                    {"silent": quiet.address, "refused": "127.0.0.1:1", "not reached": full}[there]
+                )
+                sender.add(1)
                 await asyncio.sleep(after)
-                told.owe(2)
-                told.line.move(new.address)
-                left = now()
-                assert await told.until(1, 2) - left < 0.05
+                sender.add(2)
+                sender.notices.move(new.address)
+                moved_at = now()
+                assert await sender.wait_for(1, 2) - moved_at < 0.05
                 assert refs(new) == [["m1", "m2"]]
 
-    moved(play())
+    run_virtual(scenario())
 
 
 def test_a_platform_that_answers_as_it_moves_ends_each_message_once() -> None:
-    async def play() -> None:
-        async with Peer(silent) as old, Peer(answers_204) as new:
-            told = Told(old.address)
-            told.owe(1)
-            await old.asked(1)
+    async def scenario() -> None:
+        async with Peer(silent) as old, Peer(answer_204) as new:
+            sender = RecordingSender(old.address)
+            sender.add(1)
+            await old.wait_for_requests(1)
             old.write(b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n")
-            told.line.move(new.address)
-            told.owe(2)
-            await told.until(1, 2)
+            sender.notices.move(new.address)
+            sender.add(2)
+            await sender.wait_for(1, 2)
             assert refs(old) == [["m1"]] and refs(new)[-1][-1] == "m2"
 
-    moved(play())
+    run_virtual(scenario())
--- a/tests/relay/test_pure.py
+++ b/tests/relay/test_pure.py
@@ -10,8 +10,15 @@
 from brassweir.core.ports import Answer, FinalAnswer
 from brassweir.interface import EntryState, ListKind, Result
 from brassweir.relay import outcomes, settings
-from brassweir.relay.endpoint_list import Change, ListError, Listing, Objects, Target, read
-from brassweir.relay.notices import notice
+from brassweir.relay.endpoint_list import (
+    Change,
+    EndpointList,
+    ListError,
+    ObjectSplitter,
+    Target,
+    parse_change,
+)
+from brassweir.relay.notices import build_notice
 from tests.relay.world import configuration
 
 
@@ -33,24 +40,24 @@
         (302, {}, Result.ERROR, 0.0, True, False),
     ],
 )
-def test_each_row(
+def test_each_response_status(
     code: int, fields: dict[str, str], result: Result, wait: float, may_have_run: bool, over: bool
 ) -> None:
-    found = outcomes.status(code, lambda name: fields.get(name, ""), False)
-    assert (found.result, found.wait, found.may_have_run, found.rejected) == (
+    outcome = outcomes.response_outcome(code, lambda name: fields.get(name, ""), False)
+    assert (outcome.result, outcome.wait, outcome.may_have_run, outcome.rejected) == (
         result,
         wait,
         may_have_run,
         over,
     )
-    kept = outcomes.status(code, lambda name: fields.get(name, ""), True).result
-    assert kept is (Result.BUSY if result is Result.CONNECTION_LIMIT else result), (
+    reused = outcomes.response_outcome(code, lambda name: fields.get(name, ""), True).result
+    assert reused is (Result.BUSY if result is Result.CONNECTION_LIMIT else result), (
         "a reused connection cannot exceed the limit"
     )
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("x0=0.4,x1=25", (0.4, 25.0)),
         ("x1=25, x0=0", (0.0, 25.0)),
@@ -65,17 +72,15 @@
         ("x0=1" + "0" * 400, (None, None)),
     ],
 )
-def test_reports_that_cannot_be_read_are_passed_over(
-    text: str, told: tuple[float | None, float | None]
-) -> None:
-    assert outcomes.report(text) == told
+def test_malformed_load_reports_are_ignored(text: str, expected: tuple[float | None, float | None]) -> None:
+    assert outcomes.parse_load_report(text) == expected
 
 
 def test_notices() -> None:
-    assert notice("a", FinalAnswer(Answer.REFUSED, "", 480.7)).wait_ms == 480
+    assert build_notice("a", FinalAnswer(Answer.REFUSED, "", 480.7)).wait_ms == 480
     assert (
-        notice("a", FinalAnswer(Answer.FAILED)).result,
-        notice("a", FinalAnswer(Answer.REFUSED)).result,
+        build_notice("a", FinalAnswer(Answer.FAILED)).result,
+        build_notice("a", FinalAnswer(Answer.REFUSED)).result,
     ) == ("dead", "bounced")
 
 
@@ -94,34 +99,40 @@
     return Target(uid, f"10.0.0.1:{port}", home, state, "a", "office", 4.0)
 
 
-def test_a_list_tells_what_differs_and_what_is_forbidden_first() -> None:
-    listing = Listing()
-    listing.take(Change(1, True, [target("a"), target("b"), target("c")]), ListKind.CACHED)
-    news = listing.take(Change(2, False, [target("d"), target("b", "leaving")]))
-    assert [(one.name, one.state) for one in news.entries] == [
+def test_a_list_reports_differences_with_drains_first() -> None:
+    endpoint_list = EndpointList()
+    endpoint_list.apply(Change(1, True, [target("a"), target("b"), target("c")]), ListKind.CACHED)
+    update = endpoint_list.apply(Change(2, False, [target("d"), target("b", "leaving")]))
+    assert [(info.name, info.state) for info in update.entries] == [
         ("b", EntryState.DRAINING),
         ("d", EntryState.READY),
     ]
-    news = listing.take(Change(3, True, [target("a"), target("d"), target("e", "leaving", 81)]))
-    assert {(one.name, one.state) for one in news.entries} == {
+    update = endpoint_list.apply(Change(3, True, [target("a"), target("d"), target("e", "leaving", 81)]))
+    assert {(info.name, info.state) for info in update.entries} == {
         ("b", EntryState.GONE),
         ("c", EntryState.GONE),
         ("e", EntryState.DRAINING),
     }
-    assert listing.url("b") is None and listing.url("e") == "http://10.0.0.1:81/receive" and listing.rev == 3
-    assert listing.take(Change(4, False, [target("z", "left")])).entries == (), "never known, nothing changes"
     assert (
-        listing.listed(1)
-        and not listing.listed(2)
-        and set(listing.known) == {"a", "d", "e"} == set(listing.places)
+        endpoint_list.url("b") is None
+        and endpoint_list.url("e") == "http://10.0.0.1:81/receive"
+        and endpoint_list.rev == 3
+    )
+    assert endpoint_list.apply(Change(4, False, [target("z", "left")])).entries == (), (
+        "never known, nothing changes"
+    )
+    assert (
+        endpoint_list.knows_destination(1)
+        and not endpoint_list.knows_destination(2)
+        and set(endpoint_list.known) == {"a", "d", "e"} == set(endpoint_list.urls)
     )
 
 
 def test_an_address_that_moves() -> None:
-    listing = Listing()
-    listing.take(Change(1, True, [target("a")]))
-    assert listing.take(Change(2, False, [target("a", port=81)])).entries == ()
-    assert listing.url("a") == "http://10.0.0.1:81/receive"
+    endpoint_list = EndpointList()
+    endpoint_list.apply(Change(1, True, [target("a")]))
+    assert endpoint_list.apply(Change(2, False, [target("a", port=81)])).entries == ()
+    assert endpoint_list.url("a") == "http://10.0.0.1:81/receive"
 
 
 @pytest.mark.parametrize(
@@ -137,18 +148,18 @@
         {"pod_group": -1},
     ],
 )
-def test_a_list_that_cannot_be_read_is_refused_whole(change: dict[str, Any]) -> None:
+def test_an_invalid_list_is_refused_as_a_whole(change: dict[str, Any]) -> None:
     entry = {"uid": "a", "endpoint": "10.0.0.1:80", "pod_group": 1, "state": "active", **change}
     with pytest.raises(ListError):
-        read(json.dumps({"rev": 1, "all": True, "targets": [entry]}).encode())
+        parse_change(json.dumps({"rev": 1, "all": True, "targets": [entry]}).encode())
     with pytest.raises(ListError):
-        read(b"\xff{")
+        parse_change(b"\xff{")
 
 
-def test_settings_have_one_reader() -> None:
+def test_settings_are_parsed_by_the_adapter() -> None:
     given = configuration()
     given["settings"]["Specifics"]["KindBatch"] = [20]  # ignored: a call over HTTP carries one message
-    config = settings.read(json.dumps(given).encode())
+    config = settings.parse_config(json.dumps(given).encode())
     sets = config.settings
     assert (
         [cls.name for cls in sets.classes] == ["note", "order", "pay"]
@@ -179,9 +190,9 @@
         ({"known": {"rev": 1, "all": True, "targets": [{"uid": "a"}]}}, "endpoint"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_names_its_field(change: dict[str, Any], field: str) -> None:
-    with pytest.raises(settings.NodeError, match=field):
-        settings.read(json.dumps({**configuration(), **change}).encode())
+def test_an_invalid_configuration_names_its_field(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(settings.NodeConfigError, match=field):
+        settings.parse_config(json.dumps({**configuration(), **change}).encode())
 
 
 @pytest.mark.parametrize(
@@ -193,20 +204,20 @@
         "]\n{}\n",
     ],
 )
-def test_objects_are_cut_by_their_braces_however_they_come(text: str) -> None:
+def test_objects_are_split_by_their_braces_in_any_chunks(text: str) -> None:
     whole = text.encode()
-    wanted = [b"".join(one.split()) for one in Objects(1000).feed(whole)]
+    wanted = [b"".join(item.split()) for item in ObjectSplitter(1000).feed(whole)]
     assert b"".join(wanted) == b"".join(whole.split()) and len(wanted) > 1
     for size in (1, 2, 3, 7):
-        objects = Objects(1000)
+        objects = ObjectSplitter(1000)
         pieces = [whole[i : i + size] for i in range(0, len(whole), size)]
-        assert [b"".join(one.split()) for piece in pieces for one in objects.feed(piece)] == wanted
+        assert [b"".join(item.split()) for piece in pieces for item in objects.feed(piece)] == wanted
 
 
 @pytest.mark.parametrize("part", [b"x", b'{"a":\n', b'"\\', b'"'])
 def test_an_object_that_never_ends_is_bounded(part: bytes) -> None:
-    objects = Objects(1000)
+    objects = ObjectSplitter(1000)
     with pytest.raises(ListError, match="over 1000 bytes"):
         for _ in range(1001):
             assert list(objects.feed(part)) == []
-    assert len(objects.lines) + len(objects.line) <= 1000 + len(part)
+    assert len(objects.object_lines) + len(objects.partial_line) <= 1000 + len(part)
--- a/tests/relay/test_settings_in_service.py
+++ b/tests/relay/test_settings_in_service.py
@@ -11,7 +11,7 @@
 
 from brassweir.lab.standins.platform import Endpoint, hang
 from tests.relay import world
-from tests.relay.plays import play
+from tests.relay.scenarios import run_alone
 from tests.relay.settings_samples import classes
 
 
@@ -24,12 +24,12 @@
     raise AssertionError(f"expected {event} {count} times: {seen.log()[-2000:]}")
 
 
-def test_with_short_deadlines_a_planned_end_comes_before_the_kill(
+def test_with_short_deadlines_a_shutdown_ends_before_the_kill(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(world, "CLASSES", classes({"HardLimit": 300.0, "Objective": 200.0}))
 
-    async def day(seen: world.World) -> None:
+    async def scenario(seen: world.World) -> None:
         assert await seen.kill(signal.SIGTERM) == 0
         lines = [json.loads(line) for line in seen.log().splitlines()]
         left, stopped = (
@@ -37,10 +37,10 @@
         )
         assert stopped - left < 3.0, "the shutdown must not outlast the deadlines"
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
-def test_sixty_classes_of_300_ms_in_a_process(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sixty_classes_with_deadlines_of_300_ms(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """One message is delivered, a hanging one ends by a notice, and an unknown class is refused."""
     monkeypatch.setattr(
         world,
@@ -48,19 +48,21 @@
         classes(*({"Name": f"heart beat {i}", "HardLimit": 300.0, "Objective": 200.0} for i in range(60))),
     )
 
-    async def day(seen: world.World) -> None:
+    async def scenario(seen: world.World) -> None:
         client = await seen.client()
         assert await client.put("m1", "heart beat 59", 1, 300.0) == b"+OK\r\n"
         assert await client.put("m2", "heart beat 0", 2, 300.0) == b"+OK\r\n"
         assert (await client.put("m3", "heart_beat_0", 1, 300.0)).startswith(b"-ERR")
         await seen.settled(2)
-        assert seen.seen().delivered == ["m1"] and [one["ref"] for _, one in seen.discovery.notices] == ["m2"]
+        assert seen.seen().delivered == ["m1"] and [
+            notice["ref"] for _, notice in seen.discovery.notices
+        ] == ["m2"]
 
-    play(tmp_path, day, Endpoint("a", 1), Endpoint("b", 2, hang))
+    run_alone(tmp_path, scenario, Endpoint("a", 1), Endpoint("b", 2, hang))
 
 
-def test_a_file_that_cannot_be_served_changes_nothing_and_the_next_one_is_read(tmp_path: Path) -> None:
-    async def day(seen: world.World) -> None:
+def test_an_invalid_file_changes_nothing_and_the_next_one_is_loaded(tmp_path: Path) -> None:
+    async def scenario(seen: world.World) -> None:
         assert seen.process is not None
         file = seen.folder / "config.json"
         good = file.read_text()
@@ -85,16 +87,16 @@
         assert await client.put("m1", "note", 1) == b"+OK\r\n"
         await seen.settled(1)
 
-    play(tmp_path, day, Endpoint("a", 1))
+    run_alone(tmp_path, scenario, Endpoint("a", 1))
 
 
 @pytest.mark.parametrize(("effect", "again"), [("pure", True), ("token", False), ("side_effect", False)])
-def test_a_class_that_has_another_effect_after_a_restart(
+def test_a_class_whose_effect_changes_with_a_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, effect: str, again: bool
 ) -> None:
     """Its call is in flight as the process dies, without an idempotency key: only a pure one is repeated."""
 
-    async def day(seen: world.World) -> None:
+    async def scenario(seen: world.World) -> None:
         client = await seen.client()
         assert await client.put("m1", "note", 1, 6000.0) == b"+OK\r\n"
         while not seen.endpoints[0].calls:
@@ -109,4 +111,4 @@
             await asyncio.sleep(0.01)
         assert (len(seen.endpoints[0].calls), len(seen.discovery.notices)) == ((2, 0) if again else (1, 1))
 
-    play(tmp_path, day, Endpoint("a", 1, hang))
+    run_alone(tmp_path, scenario, Endpoint("a", 1, hang))
--- a/tests/relay/test_watch_descriptors.py
+++ b/tests/relay/test_watch_descriptors.py
@@ -7,80 +7,80 @@
 import resource
 from contextlib import suppress
 
-from brassweir.relay.discovery import MOST_UNCONFIRMED
+from brassweir.relay.discovery import MAX_UNCONFIRMED_WATCHES
 from tests.conftest import run
-from tests.relay.moved import Full, Heard, Peer, change, moved, now, says
+from tests.relay.virtual_time import BlackholeAddress, Peer, RecordingClient, change, now, run_virtual, says
 
 
 def descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
-def test_connections_that_never_come_up_are_let_go() -> None:
+def test_connections_never_established_leak_no_descriptors() -> None:
     """After timeouts, and after moves during connection setup."""
 
-    async def play() -> None:
-        with Full() as here, Full() as there:
-            heard = Heard(here)
-            heard.watch.start()
+    async def scenario() -> None:
+        with BlackholeAddress() as here, BlackholeAddress() as there:
+            client = RecordingClient(here)
+            client.discovery.start()
             await asyncio.sleep(0.01)
             before = descriptors() - 1
             await asyncio.sleep(10.0)
-            assert heard.watch.opened > 50 and heard.notes
+            assert client.discovery.request_count > 50 and client.failures
             for address in (there, here, there, there):
-                heard.watch.move(address)
+                client.discovery.move(address)
                 await asyncio.sleep(0.01)
-            assert descriptors() <= before + MOST_UNCONFIRMED
+            assert descriptors() <= before + MAX_UNCONFIRMED_WATCHES
             async with Peer(says(change(2))) as peer:
-                heard.watch.move(peer.address)
-                await heard.until(2)
-            heard.watch.stop()
+                client.discovery.move(peer.address)
+                await client.wait_for(2)
+            client.discovery.stop()
             await asyncio.sleep(0.01)
             assert descriptors() <= before
 
-    moved(play())
+    run_virtual(scenario())
 
 
-def test_connections_that_are_left_are_let_go_in_service() -> None:
+def test_moves_leak_no_descriptors() -> None:
     """The same after moves alone, on a real event loop."""
 
-    async def play() -> None:
-        with Full() as here:
-            heard = Heard(here)
-            heard.watch.start()
+    async def scenario() -> None:
+        with BlackholeAddress() as here:
+            client = RecordingClient(here)
+            client.discovery.start()
             await asyncio.sleep(0.01)
             before = descriptors()
             for _ in range(5):
-                heard.watch.move(here)
+                client.discovery.move(here)
                 await asyncio.sleep(0.01)
             assert descriptors() <= before
-            heard.watch.stop()
+            client.discovery.stop()
 
-    run(play())
+    run(scenario())
 
 
-def test_no_descriptor_left_puts_the_watch_off_and_no_more() -> None:
-    async def play() -> None:
+def test_a_shortage_of_descriptors_only_delays_the_watch() -> None:
+    async def scenario() -> None:
         async with Peer(says(change(2))) as peer:
-            heard = Heard(peer.address)
+            client = RecordingClient(peer.address)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-            taken: list[int] = []
+            fillers: list[int] = []
             try:
                 resource.setrlimit(
                     resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))) + 2, hard)
                 )
                 with suppress(OSError):
                     while True:
-                        taken.append(os.dup(0))
-                heard.watch.start()
-                while not heard.notes:
+                        fillers.append(os.dup(0))
+                client.discovery.start()
+                while not client.failures:
                     await asyncio.sleep(0.001)
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-                for one in taken:
-                    os.close(one)
+                for descriptor in fillers:
+                    os.close(descriptor)
             began = now()
-            assert await heard.until(2) - began < 0.25 and "open files" in str(heard.notes[0])
-            heard.watch.stop()
+            assert await client.wait_for(2) - began < 0.25 and "open files" in str(client.failures[0])
+            client.discovery.stop()
 
-    run(play())
+    run(scenario())
--- a/tests/relay/moved.py
+++ b/tests/relay/virtual_time.py
@@ -10,10 +10,10 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from brassweir.relay.discovery import Discovery, Hearers
+from brassweir.relay.discovery import DiscoveryClient, WatchListeners
 from brassweir.relay.endpoint_list import Change
 
-ALL_READ = 0.002  # real time without a byte, after which no data is in flight on loopback
+QUIET_SECONDS = 0.002  # real time without a byte, after which no data is in flight on loopback
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -24,13 +24,13 @@
 
     def select(self, timeout: float | None = None) -> Any:
         """Return the sockets that are ready, or advance the time."""
-        ready = super().select(timeout if timeout is None else min(timeout, ALL_READ))
+        ready = super().select(timeout if timeout is None else min(timeout, QUIET_SECONDS))
         if not ready and timeout:
             self.at += timeout
         return ready
 
 
-class MovedLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop whose time advances only from timer to timer. Tests may advance it, too."""
 
     def __init__(self) -> None:
@@ -42,14 +42,14 @@
         return self.clock.at
 
 
-def moved(work: Coroutine[Any, Any, None], seconds: float = 60.0) -> None:
+def run_virtual(work: Coroutine[Any, Any, None], seconds: float = 60.0) -> None:
     """Run a coroutine in virtual time; it fails after ``seconds`` of it."""
 
     async def bounded() -> None:
         async with asyncio.timeout(seconds):
             await work
 
-    with asyncio.Runner(loop_factory=MovedLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(bounded())
 
 
@@ -71,7 +71,7 @@
 
     def __init__(self, *manners: Manner) -> None:
         self.manners = list(manners)
-        self.seen: list[tuple[float, str]] = []
+        self.requests: list[tuple[float, str]] = []
         self.bodies: list[bytes] = []
         self.more = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -96,7 +96,7 @@
         assert self.writer is not None
         assert os.write(self.writer.get_extra_info("socket").fileno(), data) == len(data)
 
-    async def asked(self, count: int) -> None:
+    async def wait_for_requests(self, count: int) -> None:
         """Wait until ``count`` requests have arrived."""
         while len(self.bodies) < count:
             self.more.clear()
@@ -111,7 +111,7 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                self.seen.append((now(), head.partition("\r\n")[0]))
+                self.requests.append((now(), head.partition("\r\n")[0]))
                 length = head.lower().partition("content-length: ")[2].partition("\r\n")[0]
                 self.bodies.append(await reader.readexactly(int(length or 0)))
                 self.more.set()
@@ -123,7 +123,7 @@
             writer.transport.abort()
 
 
-class Full:
+class BlackholeAddress:
     """A listener with a full backlog: connections are neither established nor refused."""
 
     def __enter__(self) -> str:
@@ -137,8 +137,8 @@
         return f"127.0.0.1:{self.sockets[0].getsockname()[1]}"
 
     def __exit__(self, *_: object) -> None:
-        for one in self.sockets:
-            one.close()
+        for backlog in self.sockets:
+            backlog.close()
 
 
 Manner = Callable[[asyncio.StreamWriter], Awaitable[None]]
@@ -148,7 +148,7 @@
     """Send nothing."""
 
 
-async def only_head(writer: asyncio.StreamWriter) -> None:
+async def send_head_only(writer: asyncio.StreamWriter) -> None:
     """Send only the response head of a watch."""
     writer.write(HEAD)
 
@@ -174,12 +174,12 @@
     return manner
 
 
-async def answers_204(writer: asyncio.StreamWriter) -> None:
+async def answer_204(writer: asyncio.StreamWriter) -> None:
     """Answer 204, as the platform does to notices."""
     writer.write(b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n")
 
 
-async def says_200(writer: asyncio.StreamWriter) -> None:
+async def answer_200(writer: asyncio.StreamWriter) -> None:
     """Answer 200, as an endpoint does to a call."""
     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n")
 
@@ -189,27 +189,27 @@
     return json.dumps({"rev": rev, "all": False, "targets": []}, **more).encode() + b"\n"
 
 
-class Heard:
+class RecordingClient:
     """A discovery client that records the time and version of each change, and the failures of its watches."""
 
     def __init__(self, address: str) -> None:
-        self.told: list[tuple[float, int]] = []
-        self.notes: list[object] = []
+        self.changes: list[tuple[float, int]] = []
+        self.failures: list[object] = []
         self.more = asyncio.Event()
-        self.watch = Discovery(
+        self.discovery = DiscoveryClient(
             address,
-            lambda: self.told[-1][1] if self.told else 1,
-            Hearers(self._take),
-            lambda event, details: self.notes.append(details["why"]) if event == "watch_ended" else None,
+            lambda: self.changes[-1][1] if self.changes else 1,
+            WatchListeners(self._record),
+            lambda event, details: self.failures.append(details["why"]) if event == "watch_ended" else None,
         )
 
-    def _take(self, change: Change) -> None:
-        self.told.append((now(), change.rev))
+    def _record(self, change: Change) -> None:
+        self.changes.append((now(), change.rev))
         self.more.set()
 
-    async def until(self, rev: int) -> float:
+    async def wait_for(self, rev: int) -> float:
         """Wait for a version; return the time at which it arrived."""
-        while not self.told or self.told[-1][1] < rev:
+        while not self.changes or self.changes[-1][1] < rev:
             self.more.clear()
             await self.more.wait()
-        return self.told[-1][0]
+        return self.changes[-1][0]
--- a/tests/relay/world.py
+++ b/tests/relay/world.py
@@ -112,14 +112,14 @@
 
     def write(self, discovery: Discovery | None = None) -> None:
         """Write the configuration file, with the address of ``discovery`` or the default one."""
-        found = configuration(
+        config = configuration(
             f"127.0.0.1:{self.port}",
             f"127.0.0.1:{(discovery or self.discovery).port}",
             list(self.discovery.entries.values()),
         )
-        found["limits"]["disk_mb"] = self.disk_mb
-        found["settings"]["Balancers"] = self.senders
-        (self.folder / "config.json").write_text(json.dumps(found))
+        config["limits"]["disk_mb"] = self.disk_mb
+        config["settings"]["Balancers"] = self.senders
+        (self.folder / "config.json").write_text(json.dumps(config))
 
     async def start(self, dies_at: int = 0) -> None:
         """Start the sender; wait until it answers a PING, or has died at ``dies_at``."""
@@ -131,7 +131,7 @@
         self.started = wall()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *(["-m", "tests.relay.dying", str(dies_at)] if dies_at else self.program),
+            *(["-m", "tests.relay.killed_at", str(dies_at)] if dies_at else self.program),
             env=env,
             stderr=(self.folder / "log").open("ab"),
         )
@@ -175,7 +175,7 @@
         """Wait until ``count`` messages have been delivered or reported by a notice."""
         for _ in range(int(within / 0.02)):
             seen = self.seen()
-            if len({*seen.delivered, *(one["ref"] for _, one in seen.notices)}) >= count:
+            if len({*seen.delivered, *(notice["ref"] for _, notice in seen.notices)}) >= count:
                 return
             await asyncio.sleep(0.02)
         raise AssertionError(f"expected {count} messages to end: {self.seen()}\n{self.log()[-2000:]}")
--- a/tests/service/test_saved_list.py
+++ b/tests/service/test_saved_list.py
@@ -8,80 +8,80 @@
 
 import pytest
 
-from brassweir.relay.endpoint_list import Change, Listing, Target
-from brassweir.service.saved_list import NAME, SavedList
+from brassweir.relay.endpoint_list import Change, EndpointList, Target
+from brassweir.service.saved_list import FILE_NAME, SavedList
 
-FOLDER = 3 * 1024 * 1024
+DIRECTORY_BYTES = 3 * 1024 * 1024
 
 
 def target(uid: str, state: str = "active") -> Target:
     return Target(uid, "127.0.0.1:6379", 1, state, "a", "office", 50.0)
 
 
-def listing(count: int = 3) -> Listing:
-    made = Listing()
-    made.take(Change(4, True, [target(f"s{i}") for i in range(count)]))
-    return made
+def endpoint_list(count: int = 3) -> EndpointList:
+    endpoints = EndpointList()
+    endpoints.apply(Change(4, True, [target(f"s{i}") for i in range(count)]))
+    return endpoints
 
 
-def keep(saved: SavedList, known: Listing, change: Change) -> None:
-    known.take(change)
-    saved.append(change, known.whole)
+def keep(saved: SavedList, known: EndpointList, change: Change) -> None:
+    known.apply(change)
+    saved.append(change, known.snapshot)
 
 
-def read_back(folder: Path, room: int = FOLDER) -> dict[str, str]:
-    known = Listing()
-    for change in SavedList(folder, room).load():
-        known.take(change)
+def read_back(directory: Path, directory_bytes: int = DIRECTORY_BYTES) -> dict[str, str]:
+    known = EndpointList()
+    for change in SavedList(directory, directory_bytes).load():
+        known.apply(change)
     return {uid: info.state.value for uid, info in known.known.items()}
 
 
-def test_a_whole_list_and_what_changed_after_it(tmp_path: Path) -> None:
-    saved, known = SavedList(tmp_path, FOLDER), listing()
+def test_a_snapshot_and_its_deltas(tmp_path: Path) -> None:
+    saved, known = SavedList(tmp_path, DIRECTORY_BYTES), endpoint_list()
     assert saved.load() == []
-    saved.replace(known.whole())
+    saved.replace(known.snapshot())
     keep(saved, known, Change(5, False, [target("s0", "leaving")]))
     keep(saved, known, Change(6, False, [target("s1", "left"), target("s9")]))
     assert read_back(tmp_path) == {"s0": "draining", "s2": "ready", "s9": "ready"}
-    assert known.whole().rev == 6
+    assert known.snapshot().rev == 6
 
 
 def test_many_changes_keep_the_file_small_and_lose_none(tmp_path: Path) -> None:
-    saved, known = SavedList(tmp_path, FOLDER), listing(200)
-    saved.replace(known.whole())
+    saved, known = SavedList(tmp_path, DIRECTORY_BYTES), endpoint_list(200)
+    saved.replace(known.snapshot())
     for i in range(400):
         keep(saved, known, Change(5 + i, False, [target(f"s{i % 200}", ("leaving", "active")[i // 200])]))
-        assert (tmp_path / NAME).stat().st_size < 3 * 4096
+        assert (tmp_path / FILE_NAME).stat().st_size < 3 * 4096
     assert set(read_back(tmp_path).values()) == {"ready"}
 
 
 @pytest.mark.parametrize("cut", [1, 3, 9])
-def test_a_torn_end_is_not_read_and_the_next_process_writes_a_whole_list(tmp_path: Path, cut: int) -> None:
-    saved, known = SavedList(tmp_path, FOLDER), listing()
-    saved.replace(known.whole())
+def test_a_torn_end_is_not_read_and_the_next_process_writes_a_snapshot(tmp_path: Path, cut: int) -> None:
+    saved, known = SavedList(tmp_path, DIRECTORY_BYTES), endpoint_list()
+    saved.replace(known.snapshot())
     keep(saved, known, Change(5, False, [target("s0", "leaving")]))
     keep(saved, known, Change(6, False, [target("s1", "leaving")]))
-    path = tmp_path / NAME
+    path = tmp_path / FILE_NAME
     os.truncate(path, path.stat().st_size - cut)
     assert read_back(tmp_path) == {"s0": "draining", "s1": "ready", "s2": "ready"}
-    again = SavedList(tmp_path, FOLDER)
-    assert again.load() and again.due
+    again = SavedList(tmp_path, DIRECTORY_BYTES)
+    assert again.load() and again.snapshot_due
 
 
-def test_bytes_that_were_turned_are_not_read(tmp_path: Path) -> None:
-    SavedList(tmp_path, FOLDER).replace(listing().whole())
-    data = bytearray((tmp_path / NAME).read_bytes())
+def test_corrupted_bytes_are_not_read(tmp_path: Path) -> None:
+    SavedList(tmp_path, DIRECTORY_BYTES).replace(endpoint_list().snapshot())
+    data = bytearray((tmp_path / FILE_NAME).read_bytes())
     data[-2] ^= 0x40
-    (tmp_path / NAME).write_bytes(bytes(data))
-    assert SavedList(tmp_path, FOLDER).load() == []
+    (tmp_path / FILE_NAME).write_bytes(bytes(data))
+    assert SavedList(tmp_path, DIRECTORY_BYTES).load() == []
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_a_write_that_fails_is_made_up_for_by_a_whole_list(
+def test_a_failed_write_is_followed_by_a_snapshot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, code: int
 ) -> None:
-    saved, known = SavedList(tmp_path, FOLDER), listing()
-    saved.replace(known.whole())
+    saved, known = SavedList(tmp_path, DIRECTORY_BYTES), endpoint_list()
+    saved.replace(known.snapshot())
 
     def fails(*_: object, **__: object) -> object:
         raise OSError(code, os.strerror(code))
@@ -90,22 +90,22 @@
         patch.setattr(Path, "open", fails)
         patch.setattr(Path, "write_bytes", fails)
         keep(saved, known, Change(5, False, [target("s0", "leaving")]))
-        assert saved.failed and saved.due
+        assert saved.failure and saved.snapshot_due
         keep(saved, known, Change(6, False, [target("s1", "leaving")]))
     assert read_back(tmp_path) == dict.fromkeys(("s0", "s1", "s2"), "ready")
     keep(saved, known, Change(7, False, []))
-    assert not saved.failed and not saved.due
+    assert not saved.failure and not saved.snapshot_due
     assert read_back(tmp_path) == {"s0": "draining", "s1": "draining", "s2": "ready"}
 
 
-def test_a_list_too_large_for_its_share_is_said_and_not_written(tmp_path: Path) -> None:
+def test_a_list_too_large_for_its_share_is_reported_and_not_written(tmp_path: Path) -> None:
     saved = SavedList(tmp_path, 4096)
-    saved.replace(listing(500).whole())
-    assert "exceeds the limit" in saved.failed and not (tmp_path / NAME).exists()
+    saved.replace(endpoint_list(500).snapshot())
+    assert "exceeds the limit" in saved.failure and not (tmp_path / FILE_NAME).exists()
 
 
-def test_the_largest_list_of_the_platform_has_room(tmp_path: Path) -> None:
-    saved, known = SavedList(tmp_path, FOLDER), Listing()
+def test_the_largest_list_of_the_platform_fits(tmp_path: Path) -> None:
+    saved, known = SavedList(tmp_path, DIRECTORY_BYTES), EndpointList()
     targets = [
         Target(
             os.urandom(4).hex(),
@@ -118,6 +118,6 @@
         )
         for i in range(3200)
     ]
-    known.take(Change(4, True, targets))
-    saved.replace(known.whole())
-    assert not saved.failed and len(read_back(tmp_path)) == 3200
+    known.apply(Change(4, True, targets))
+    saved.replace(known.snapshot())
+    assert not saved.failure and len(read_back(tmp_path)) == 3200
