--- a/tests/relay/failing_appends.py
+++ b/tests/relay/failing_appends.py
@@ -16,10 +16,10 @@
 from brassweir.service import node
 
 if __name__ == "__main__":
-    sign, real = Path(sys.argv[1]), DirectoryStorage.append
+    flag, real = Path(sys.argv[1]), DirectoryStorage.append
 
     def append(self: DirectoryStorage, *args: Any) -> None:
-        if sign.exists():
+        if flag.exists():
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         real(self, *args)
 
--- a/tests/relay/failing_calls.c
+++ b/tests/relay/failing_calls.c
@@ -1,4 +1,4 @@
-/* Lets one kind of system call fail in a process, as Linux documents it, while the file FAIL_FLAG stands.
+/* Lets one kind of system call fail in a process, as Linux documents it, while the file FAIL_FLAG exists.
  *
  * FAIL_CALL is accept, connect, socket, interrupted (every second read, write and accept gives EINTR) or short
  * (reads and writes on sockets, and writes to files, take a few bytes at most). FAIL_ERRNO is the error's number.
--- a/tests/relay/failing_disk.py
+++ b/tests/relay/failing_disk.py
@@ -14,12 +14,12 @@
 FLAG = "disk-fails"  # its content names the error
 
 
-def failing(name: str) -> None:
+def fail_while_flagged(name: str) -> None:
     """Make one kind of operation fail while the flag exists."""
     real = getattr(DirectoryStorage, name)
     flag = Path(os.environ["RELAY_STATE"]).parent / FLAG
 
-    def step(self: DirectoryStorage, *args: Any) -> None:
+    def operation(self: DirectoryStorage, *args: Any) -> None:
         if not flag.exists():
             real(self, *args)
             return
@@ -28,10 +28,10 @@
         code = getattr(errno, flag.read_text())
         raise OSError(code, os.strerror(code))
 
-    setattr(DirectoryStorage, name, step)
+    setattr(DirectoryStorage, name, operation)
 
 
 if __name__ == "__main__":
-    for kind in sys.argv[1:]:
-        failing(kind)
+    for name in sys.argv[1:]:
+        fail_while_flagged(name)
     main(["node"])
--- a/tests/relay/killed_at.py
+++ b/tests/relay/killed_at.py
@@ -14,10 +14,10 @@
 from brassweir.cli.main import main
 from brassweir.journal.storage import DirectoryStorage
 
-STEPS = ("create", "append", "truncate", "rename", "remove")
+OPERATIONS = ("create", "append", "truncate", "rename", "remove")
 
 
-def after(at: int) -> None:
+def kill_after_append(at: int) -> None:
     """Kill the process right after its ``at``-th append."""
     real, done = DirectoryStorage.append, list[str]()
 
@@ -30,11 +30,11 @@
     DirectoryStorage.append = append  # type: ignore[method-assign]
 
 
-def dying(name: str, at: int, done: list[str]) -> None:
+def kill_at_operation(name: str, at: int, done: list[str]) -> None:
     """Count one kind of operation in ``done``, and kill the process at the ``at``-th of all kinds."""
     real = getattr(DirectoryStorage, name)
 
-    def step(self: DirectoryStorage, *args: Any) -> None:
+    def operation(self: DirectoryStorage, *args: Any) -> None:
         done.append(name)
         if len(done) == at:
             if name == "append":
@@ -42,13 +42,13 @@
             os.kill(os.getpid(), signal.SIGKILL)
         real(self, *args)
 
-    setattr(DirectoryStorage, name, step)
+    setattr(DirectoryStorage, name, operation)
 
 
 if __name__ == "__main__":
-    seen: list[str] = []
+    done: list[str] = []
     if int(sys.argv[1]) < 0:
-        after(-int(sys.argv[1]))
-    for kind in STEPS if int(sys.argv[1]) > 0 else ():
-        dying(kind, int(sys.argv[1]), seen)
+        kill_after_append(-int(sys.argv[1]))
+    for name in OPERATIONS if int(sys.argv[1]) > 0 else ():
+        kill_at_operation(name, int(sys.argv[1]), done)
     main(["node"])
--- a/tests/relay/scenarios.py
+++ b/tests/relay/scenarios.py
@@ -21,11 +21,11 @@
         await world.close(judged)
 
 
-def run_alone(folder: Path, scenario: Scenario, *endpoints: Endpoint, judged: bool = True) -> None:
+def run_alone(directory: Path, scenario: Scenario, *endpoints: Endpoint, judged: bool = True) -> None:
     """Run one scenario in a world and an event loop of its own."""
 
     async def run() -> None:
-        await run_scenario(World(folder), scenario, *endpoints, judged=judged)
+        await run_scenario(World(directory), scenario, *endpoints, judged=judged)
 
     asyncio.run(run())
 
@@ -45,13 +45,13 @@
     return asyncio.run(run())
 
 
-def first_then(spoilt: Manner, then: Manner) -> Manner:
-    """Handle the first call by ``spoilt`` and all others by ``then``."""
+def first_then(initial: Manner, then: Manner) -> Manner:
+    """Handle the first call by ``initial`` and all others by ``then``."""
     calls: list[str] = []
 
     async def manner(call: Call, writer: asyncio.StreamWriter) -> None:
         calls.append(call.id)
-        await (spoilt if len(calls) == 1 else then)(call, writer)
+        await (initial if len(calls) == 1 else then)(call, writer)
 
     return manner
 
--- a/tests/relay/test_list_crossings.py
+++ b/tests/relay/test_list_crossings.py
@@ -25,10 +25,12 @@
     return Target(uid, endpoint, 1, state, "a", "office", 50.0)
 
 
-def process(folder: Path, *targets: Target, rev: int = 5) -> NodeProcess:
+def process(directory: Path, *targets: Target, rev: int = 5) -> NodeProcess:
     """A sender that knows these endpoints and does not listen."""
     config: dict[str, Any] = configuration()
-    sender = NodeProcess(settings.parse_config(json.dumps(config).encode()), folder, structlog.get_logger())
+    sender = NodeProcess(
+        settings.parse_config(json.dumps(config).encode()), directory, structlog.get_logger()
+    )
     sender._recover()
     sender.list.apply(Change(rev, True, list(targets)))
     return sender
@@ -75,16 +77,16 @@
         ),
     ],
     ids=[
-        "a whole list that is behind",
-        "a change that is behind",
-        "an empty list that is behind",
+        "a snapshot that is behind",
+        "a delta that is behind",
+        "an empty snapshot that is behind",
         "the same version",
-        "nothing new",
+        "no change",
         "the same version with more",
-        "a whole list that lacks one",
-        "a whole list that turns all round",
-        "versions passed over",
-        "one that was lacked is back",
+        "a snapshot without an endpoint",
+        "a snapshot that swaps the states",
+        "skipped versions",
+        "a missing endpoint returns",
         "behind, then caught up",
     ],
 )
@@ -109,8 +111,8 @@
         usable = {
             name
             for dest in sender.engine.sender.destinations.values()
-            for name, one in dest.endpoints.items()
-            if one.usable
+            for name, endpoint in dest.endpoints.items()
+            if endpoint.usable
         }
         assert not usable - {name for name, state in states.items() if state is EntryState.READY}
         sender.journal.close()
--- a/tests/relay/test_node.py
+++ b/tests/relay/test_node.py
@@ -95,7 +95,7 @@
 ]
 
 
-async def check_outcome(folder: Path, manner: Manner, cls: str, calls: int, end: str) -> None:
+async def check_outcome(directory: Path, manner: Manner, cls: str, calls: int, end: str) -> None:
     """Check the number of calls and the notice of one case. Not judged: these endpoints don't record deliveries."""
 
     async def scenario(world: World) -> None:
@@ -114,7 +114,7 @@
         )
         assert len(world.endpoints[0].calls) == calls
 
-    world = World(folder)
+    world = World(directory)
     world.program = shortened(STATUS_INTERVAL)
     await run_scenario(world, scenario, Endpoint("a", 1, manner), judged=False)
 
--- a/tests/relay/test_node_calls.py
+++ b/tests/relay/test_node_calls.py
@@ -42,9 +42,9 @@
 class FailingWorld(World):
     """A world whose sender alone runs with the shim preloaded."""
 
-    def __init__(self, folder: Path, shim: Path, call: str, error: str) -> None:
-        super().__init__(folder)
-        self.flag = folder / "fails"
+    def __init__(self, directory: Path, shim: Path, call: str, error: str) -> None:
+        super().__init__(directory)
+        self.flag = directory / "fails"
         self.more = {
             "LD_PRELOAD": str(shim),
             "FAIL_CALL": call,
--- a/tests/relay/test_node_deaths.py
+++ b/tests/relay/test_node_deaths.py
@@ -26,7 +26,7 @@
 
     def write(self, discovery: object = None) -> None:
         super().write()
-        path = self.folder / "config.json"
+        path = self.directory / "config.json"
         config = json.loads(path.read_text())
         config["settings"]["Classes"] = [
             dict(cls, Window=WINDOW if cls["Name"] == "order" else 0.0)
@@ -51,8 +51,8 @@
     return manner
 
 
-async def check_kill(folder: Path, cls: str, step: str) -> None:
-    world = ShortWindowWorld(folder)
+async def check_kill(directory: Path, cls: str, step: str) -> None:
+    world = ShortWindowWorld(directory)
     try:
         await world.open(Endpoint("a", 1))
         world.endpoints[0].manner = kill_during(world, step)
--- a/tests/relay/test_node_disk.py
+++ b/tests/relay/test_node_disk.py
@@ -40,7 +40,7 @@
     async def scenario(world: World) -> None:
         assert world.process is not None
         accepted = [line for line in await submit(world, 0, 12) if line == b"+OK\r\n"]
-        flag = world.folder / FLAG
+        flag = world.directory / FLAG
         flag.write_text(error)
         refused: list[bytes] = []
         for i in range(15):
@@ -64,10 +64,10 @@
 def test_killed_while_writes_fail_it_ends_all_accepted_messages(tmp_path: Path) -> None:
     async def scenario(world: World) -> None:
         accepted = [line for line in await submit(world, 0, 12) if line == b"+OK\r\n"]
-        (world.folder / FLAG).write_text("ENOSPC")
+        (world.directory / FLAG).write_text("ENOSPC")
         await submit(world, 100, 6)
         await world.kill()
-        (world.folder / FLAG).unlink()
+        (world.directory / FLAG).unlink()
         await world.start()
         await world.settled(len(accepted))
         assert "journal_damage" not in world.log()
@@ -84,11 +84,11 @@
     async def scenario(world: World) -> None:
         assert await submit(world, 0, 12) == [b"+OK\r\n"] * 12
         await world.kill()
-        (world.folder / FLAG).write_text(error)
+        (world.directory / FLAG).write_text(error)
         await world.start()
         refused = await submit(world, 100, 6)
         assert all(line.startswith(b"-BUSY") for line in refused), refused
-        (world.folder / FLAG).unlink()
+        (world.directory / FLAG).unlink()
         await asyncio.sleep(0.3)
         assert await submit(world, 1000, 6) == [b"+OK\r\n"] * 6
         await world.settled(18)
--- a/tests/relay/test_node_list.py
+++ b/tests/relay/test_node_list.py
@@ -48,15 +48,15 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("trouble", ["cut", "garbled", "silent"])
-def test_a_failed_watch_is_reopened_from_the_last_version(tmp_path: Path, trouble: str) -> None:
+@pytest.mark.parametrize("failure", ["cut", "garbled", "silent"])
+def test_a_failed_watch_is_reopened_from_the_last_version(tmp_path: Path, failure: str) -> None:
     async def scenario(world: World) -> None:
         discovery = world.discovery
         await asyncio.sleep(0.2)
         assert discovery.asked == [1]
-        if trouble == "cut":
+        if failure == "cut":
             discovery.cut()
-        elif trouble == "garbled":
+        elif failure == "garbled":
             discovery.say(b'{"rev": 5, "all": true, "targets": [{"uid": "a"')
         for _ in range(300):  # the stand-in sends no empty lines, so that the watch times out
             if len(discovery.asked) > 1:
@@ -71,7 +71,7 @@
         assert world.endpoints[0].calls == []
 
     world = World(tmp_path)
-    if trouble == "silent":
+    if failure == "silent":
         world.program = shortened(SILENCE_TIMEOUT)
     asyncio.run(run_scenario(world, scenario, Endpoint("a", 1)))
 
@@ -82,7 +82,7 @@
         other = Discovery()
         await other.start()
         other.rev, other.entries = 1, dict(world.discovery.entries)
-        (world.folder / "config.json").write_text("{")
+        (world.directory / "config.json").write_text("{")
         world.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.3)
         assert "reload_refused" in world.log() and other.asked == []
--- a/tests/relay/test_node_restarts.py
+++ b/tests/relay/test_node_restarts.py
@@ -37,9 +37,9 @@
 STEPS = [*range(1, 12), *range(12, 90, 6), *range(90, 124, 2)]
 
 
-async def check_kill(folder: Path, step: int) -> None:
+async def check_kill(directory: Path, step: int) -> None:
     """Kill at a storage operation, with so little space that segments are closed and the journal is compacted."""
-    world = World(folder, disk_mb=0.25)
+    world = World(directory, disk_mb=0.25)
     try:
         await world.open(Endpoint("a", 1, after(0.01)), dies_at=step)
         assert world.process is not None
@@ -66,7 +66,7 @@
             if accepted <= {*seen.delivered, *(notice["ref"] for _, notice in seen.notices)}:
                 break
             await asyncio.sleep(0.02)
-        disk_bytes = sum(-(-path.stat().st_size // 512) * 512 for path in (folder / "state").iterdir())
+        disk_bytes = sum(-(-path.stat().st_size // 512) * 512 for path in (directory / "state").iterdir())
         assert disk_bytes <= 0.25 * 1024 * 1024 and "journal_damage" not in world.log()
     finally:
         await world.close()
@@ -131,7 +131,7 @@
         for i in range(10):
             await client.put(f"m{i}", "note", 1)
         await world.kill()
-        log = max((world.folder / "state").glob("*.log"), key=lambda path: path.stat().st_size)
+        log = max((world.directory / "state").glob("*.log"), key=lambda path: path.stat().st_size)
         data = bytearray(log.read_bytes())
         data[len(data) // 2] ^= 0xFF
         log.write_bytes(bytes(data[:-7]))
@@ -144,9 +144,9 @@
     run_alone(tmp_path, scenario, Endpoint("a", 1, hang), judged=False)
 
 
-def write_journal(folder: Path, name: str, taken: Taken) -> None:
+def write_journal(directory: Path, name: str, taken: Taken) -> None:
     """Write the journal of a sender that died with one open message."""
-    files = DirectoryStorage(World(folder).folder / "state", synced=False)
+    files = DirectoryStorage(World(directory).directory / "state", synced=False)
     writer = Writer(files, scan(files))
     writer.open()
     writer.add(Began(1.0, name), None)
--- a/tests/relay/test_node_signals.py
+++ b/tests/relay/test_node_signals.py
@@ -65,7 +65,7 @@
         world.process.send_signal(signal.SIGTERM)
         assert await client.put("m1", "note", 1) == b"+OK\r\n"
         world.process.send_signal(signal.SIGTERM)
-        (world.folder / "config.json").write_text("[" * 100_000)
+        (world.directory / "config.json").write_text("[" * 100_000)
         world.process.send_signal(signal.SIGHUP)
         assert await exit_code(world) == 0
         log = world.log()
@@ -93,7 +93,7 @@
         while '"leaving"' not in world.log():
             await asyncio.sleep(0.01)
         left_at = asyncio.get_running_loop().time()
-        (world.folder / "broken").touch()
+        (world.directory / "broken").touch()
         with pytest.raises(TimeoutError):  # waits for the first write that fails
             await asyncio.wait_for(client.put("m2", "note", 1), 0.4)
         await client.close()
@@ -105,7 +105,7 @@
             "the longest deadline and the shutdown"
         )
         assert world.log().count('"journal_stalled"') == 1 and '"journal_broken"' not in world.log()
-        (world.folder / "broken").unlink()
+        (world.directory / "broken").unlink()
         await world.start()
         await asyncio.sleep(0.5)
         assert world.endpoints[0].delivered == ["m1"], "only the accepted message is delivered"
--- a/tests/relay/test_notice_handovers.py
+++ b/tests/relay/test_notice_handovers.py
@@ -35,7 +35,7 @@
                 body = await reader.readexactly(
                     int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
                 )
-                self.posts.append([json.loads(sender)["ref"] for sender in body.splitlines()])
+                self.posts.append([json.loads(line)["ref"] for line in body.splitlines()])
                 step, self.step = self.step, None
                 if step is not None:
                     await step(self, writer)
@@ -85,15 +85,15 @@
             ),
         )
         new = PlatformAddress()
-        to = await new.start()
+        new_address = await new.start()
 
-        async def crossing(place: PlatformAddress, writer: asyncio.StreamWriter) -> None:
+        async def during_post(address: PlatformAddress, writer: asyncio.StreamWriter) -> None:
             sender.add(2, Notice("m2", "dead"))  # while the first is in flight
             if moves:
-                sender.move(to)
-            await step(place, writer)
+                sender.move(new_address)
+            await step(address, writer)
 
-        old = PlatformAddress(crossing)
+        old = PlatformAddress(during_post)
         sender.move(await old.start())
         sender.add(1, Notice("m1", "bounced", 500))
         for _ in range(100):
--- a/tests/relay/test_settings_in_service.py
+++ b/tests/relay/test_settings_in_service.py
@@ -64,7 +64,7 @@
 def test_an_invalid_file_changes_nothing_and_the_next_one_is_loaded(tmp_path: Path) -> None:
     async def scenario(seen: world.World) -> None:
         assert seen.process is not None
-        file = seen.folder / "config.json"
+        file = seen.directory / "config.json"
         good = file.read_text()
         bad = [
             ('{"a":' * 5000, "recursion"),
--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     "out",
     [[], [silent], [silent, silent], [send_head_only]],
-    ids=["a patient one", "the next", "the second", "a head"],
+    ids=["none", "one not answered", "two", "a head alone"],
 )
 def test_a_change_arrives_in_time_after_failed_requests(out: list[Manner], then: list[Manner]) -> None:
     """The change becomes available just after a request went out that is never answered."""
--- a/tests/relay/world.py
+++ b/tests/relay/world.py
@@ -86,8 +86,8 @@
 class World:
     """Stand-ins for endpoints and discovery, and one ``node`` as a subprocess."""
 
-    def __init__(self, folder: Path, disk_mb: float = 2.0) -> None:
-        self.folder, self.disk_mb = folder, disk_mb
+    def __init__(self, directory: Path, disk_mb: float = 2.0) -> None:
+        self.directory, self.disk_mb = directory, disk_mb
         self.discovery = Discovery()
         self.endpoints: list[Endpoint] = []
         self.clients: list[Client] = []
@@ -96,7 +96,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
         self.started = 0.0  # wall time in ms of the last start
-        (folder / "state").mkdir(exist_ok=True)
+        (directory / "state").mkdir(exist_ok=True)
 
     async def open(self, *endpoints: Endpoint, dies_at: int = 0) -> World:
         """Start everything; ``dies_at`` is a storage operation at which the sender is killed, or 0."""
@@ -119,21 +119,21 @@
         )
         config["limits"]["disk_mb"] = self.disk_mb
         config["settings"]["Balancers"] = self.senders
-        (self.folder / "config.json").write_text(json.dumps(config))
+        (self.directory / "config.json").write_text(json.dumps(config))
 
     async def start(self, dies_at: int = 0) -> None:
         """Start the sender; wait until it answers a PING, or has died at ``dies_at``."""
         env = {
             **os.environ,
-            "RELAY_CONFIG": str(self.folder / "config.json"),
-            "RELAY_STATE": str(self.folder / "state"),
+            "RELAY_CONFIG": str(self.directory / "config.json"),
+            "RELAY_STATE": str(self.directory / "state"),
         }
         self.started = wall()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *(["-m", "tests.relay.killed_at", str(dies_at)] if dies_at else self.program),
             env=env,
-            stderr=(self.folder / "log").open("ab"),
+            stderr=(self.directory / "log").open("ab"),
         )
         for _ in range(400):
             try:
@@ -160,7 +160,7 @@
 
     def log(self) -> str:
         """Return the sender's log."""
-        return (self.folder / "log").read_text()
+        return (self.directory / "log").read_text()
 
     def seen(self) -> Seen:
         """Return everything that the stand-ins recorded."""
