--- a/brassweir/service/node_stats.py
+++ b/brassweir/service/node_stats.py
@@ -70,7 +70,11 @@
     entries = []
     for dest in degraded[:MAX_LISTED]:
         gate = dest.gates()[0]
-        calls = [one.max_calls for one in dest.endpoints.values() if one.usable and one.max_calls < math.inf]
+        call_limits = [
+            endpoint.max_calls
+            for endpoint in dest.endpoints.values()
+            if endpoint.usable and endpoint.max_calls < math.inf
+        ]
         entries.append(
             {
                 "destination": dest.id,
@@ -81,7 +85,7 @@
                 "open": dest.load.open_messages,
                 "out": dest.load.used_slots,
                 "mean_ms": round(dest.call_times.mean),
-                "calls_at_once": [round(one, 1) for one in calls],
+                "calls_at_once": [round(limit, 1) for limit in call_limits],
                 "fails": [gate.failure_streak, round(gate.failure_share, 2)],
             }
         )
