--- a/brassweir/service/node_stats.py
+++ b/brassweir/service/node_stats.py
@@ -1,4 +1,4 @@
-"""What a sender on the platform believes, in a log line a second, beside what it counts."""
+"""Collects counts, decision state and process usage for the status line that a node logs every second."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from brassweir.core.observer import EngineObserver
 from brassweir.core.ports import Outcome
 
-MOST_SICK = 6  # destinations told of in one line
+MAX_LISTED = 6  # destinations, and reasons, in one line
 
 
-class Counting(EngineObserver):
-    """Counts what passes since it was last asked."""
+class CountingObserver(EngineObserver):
+    """Counts outcomes, final answers and decision time since the last :meth:`take`."""
 
     def __init__(self) -> None:
         self.results: Counter[str] = Counter()
@@ -26,28 +26,28 @@
         self.turns, self.spent = 0, 0.0
 
     def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
-        """An attempt ended."""
+        """Count the result of an attempt, and its reason."""
         self.results[outcome.result.value] += 1
         if outcome.reason:
             self.reasons[outcome.reason] += 1
 
     def final(self, record: MessageRecord) -> None:
-        """A message has its answer."""
+        """Count a final answer."""
         answer = record.answer
         assert answer is not None
         self.answers[answer.answer.value] += 1
 
     def turn(self, events: int, actions: int, spent: float) -> None:
-        """One call of the module."""
+        """Add the CPU time (seconds) of one decision call."""
         self.turns += 1
         self.spent += spent
 
     def take(self) -> dict[str, Any]:
-        """The counts, which begin anew."""
-        told = {
+        """Return the counts and reset them."""
+        counts = {
             "results": dict(self.results),
             "answers": dict(self.answers),
-            "reasons": dict(self.reasons.most_common(MOST_SICK)),
+            "reasons": dict(self.reasons.most_common(MAX_LISTED)),
             "turns": self.turns,
             "decisions_ms": round(self.spent * 1000.0, 1),
         }
@@ -55,23 +55,27 @@
         self.answers.clear()
         self.reasons.clear()
         self.turns, self.spent = 0, 0.0
-        return told
+        return counts
 
 
-def belief(sender: Sender, now: float) -> dict[str, Any]:
-    """What the decisions rest on now. Reads the module's state; pure."""
-    sick = [
+def sender_status(sender: Sender, now: float) -> dict[str, Any]:
+    """Return the decision module's state as log fields, with the most loaded degraded destinations. Pure."""
+    degraded = [
         dest
         for dest in sender.destinations.values()
         if dest.degraded
         or any(gate.circuit_open or gate.wait_until > now or gate.pace < math.inf for gate in dest.gates())
     ]
-    sick.sort(key=lambda dest: -dest.load.open_messages)
-    told = []
-    for dest in sick[:MOST_SICK]:
+    degraded.sort(key=lambda dest: -dest.load.open_messages)
+    entries = []
+    for dest in degraded[:MAX_LISTED]:
         gate = dest.gates()[0]
-        calls = [one.max_calls for one in dest.endpoints.values() if one.usable and one.max_calls < math.inf]
-        told.append(
+        call_limits = [
+            endpoint.max_calls
+            for endpoint in dest.endpoints.values()
+            if endpoint.usable and endpoint.max_calls < math.inf
+        ]
+        entries.append(
             {
                 "destination": dest.id,
                 "ill": dest.degraded,
@@ -81,7 +85,7 @@
                 "open": dest.load.open_messages,
                 "out": dest.load.used_slots,
                 "mean_ms": round(dest.call_times.mean),
-                "calls_at_once": [round(one, 1) for one in calls],
+                "calls_at_once": [round(limit, 1) for limit in call_limits],
                 "fails": [gate.failure_streak, round(gate.failure_share, 2)],
             }
         )
@@ -94,23 +98,23 @@
         "apart_out": sender.degraded_load.used_slots,
         "mean_ms": round(sender.call_times.mean),
         "lost": round(sender.lost_share, 3),
-        "sick": told,
+        "sick": entries,
         "awake": len(sender.destinations),
     }
 
 
-def usage() -> dict[str, Any]:
-    """Memory and CPU of this process."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
+def process_usage() -> dict[str, Any]:
+    """Return memory and CPU usage of this process as log fields."""
+    resources = resource.getrusage(resource.RUSAGE_SELF)
     return {
-        "rss_mb": round(resident() / 1e6, 1),
-        "cpu_s": round(used.ru_utime + used.ru_stime, 2),
+        "rss_mb": round(resident_bytes() / 1e6, 1),
+        "cpu_s": round(resources.ru_utime + resources.ru_stime, 2),
         "collections": gc.get_stats()[2]["collections"],
     }
 
 
-def resident() -> int:
-    """Bytes resident now, or the most so far where the system does not tell."""
+def resident_bytes() -> int:
+    """Return the resident memory in bytes, or its peak on systems without /proc."""
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
             return int(file.read().split()[1]) * resource.getpagesize()
--- a/brassweir/service/node_trace.py
+++ b/brassweir/service/node_trace.py
@@ -1,7 +1,7 @@
-"""The life of each message in log lines: handed in, each attempt's first byte and ending, its answer.
+"""Logs the life of each message: its submission, each attempt's first byte and outcome, and its final answer.
 
-With the lines of the endpoint list these say, for any request, on what knowledge it left and why it ended.
-Each event is bounded (see :mod:`brassweir.observe.json_log`): a flood costs no more than its bound.
+Together with the log lines of the endpoint list they show which list an attempt was based on. The JSON log
+limits how many lines of each event it writes, so that a flood of messages cannot flood the log.
 """
 
 from __future__ import annotations
@@ -11,45 +11,50 @@
 
 from brassweir.core.ledger import MessageRecord, SubmitStatus
 from brassweir.core.ports import Outcome
-from brassweir.service.node_stats import Counting
+from brassweir.service.node_stats import CountingObserver
 
-HANDED_IN, BEGAN, ENDED, ANSWERED = "handed_in", "attempt_began", "attempt_ended", "answered"
-FREQUENT = frozenset({HANDED_IN, BEGAN, ENDED, ANSWERED})  # events with the larger bound
+SUBMITTED, BEGAN, ENDED, ANSWERED = "handed_in", "attempt_began", "attempt_ended", "answered"
+FREQUENT_EVENTS = frozenset(
+    {SUBMITTED, BEGAN, ENDED, ANSWERED}
+)  # events with the higher limit in the JSON log
 
 
-class Tracing(Counting):
-    """Counts what passes, and writes a line for each step. ``knowledge`` tells what the list rests on now."""
+class TracingObserver(CountingObserver):
+    """Counts, and logs a line for each step of a message.
 
-    def __init__(self, log: Any, knowledge: Callable[[], dict[str, object]]) -> None:
+    ``describe_list`` returns the list's state as log fields.
+    """
+
+    def __init__(self, log: Any, describe_list: Callable[[], dict[str, object]]) -> None:
         super().__init__()
-        self.log, self.knowledge = log, knowledge
+        self.log, self.describe_list = log, describe_list
 
     def submitted(self, record: MessageRecord, how: SubmitStatus) -> None:
-        """A message was handed in, or goes on from before a restart."""
-        given = record.submission
+        """Log a message that was submitted or recovered from the journal."""
+        submission = record.submission
         self.log.info(
-            HANDED_IN,
+            SUBMITTED,
             message=record.id,
-            id=given.identity,
+            id=submission.identity,
             how="recovered" if record.resumed else how.name.lower(),
-            cls=given.class_name,
-            destination=given.destination,
-            left_ms=round(given.time_left),
+            cls=submission.class_name,
+            destination=submission.destination,
+            left_ms=round(submission.time_left),
         )
 
     def began(self, record: MessageRecord, number: int) -> None:
-        """The first byte of an attempt at a message leaves now."""
+        """Log the first byte of an attempt."""
         self.log.info(
             BEGAN,
             message=record.id,
             id=record.submission.identity,
             attempt=number,
             endpoint=record.attempts[number].endpoint,
-            **self.knowledge(),
+            **self.describe_list(),
         )
 
     def outcome(self, record: MessageRecord, number: int, outcome: Outcome, late: bool) -> None:
-        """An attempt ended."""
+        """Log the outcome of an attempt."""
         super().outcome(record, number, outcome, late)
         self.log.info(
             ENDED,
@@ -63,7 +68,7 @@
         )
 
     def final(self, record: MessageRecord) -> None:
-        """A message has its answer."""
+        """Log the final answer of a message."""
         super().final(record)
         answer = record.answer
         assert answer is not None
--- a/tests/relay/breaking.py
+++ b/tests/relay/failing_appends.py
@@ -1,6 +1,6 @@
-"""Runs ``node`` on a folder that cannot be written any more once a file of the given name is there.
+"""Runs ``node`` with a journal whose appends fail with EIO while a given file exists.
 
-Told to end, it would serve for as long as its longest deadline first.
+After SIGTERM the node serves for up to its longest deadline.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from brassweir.service import node
 
 if __name__ == "__main__":
-    sign, real = Path(sys.argv[1]), DirectoryStorage.append
+    flag, real = Path(sys.argv[1]), DirectoryStorage.append
 
     def append(self: DirectoryStorage, *args: Any) -> None:
-        if sign.exists():
+        if flag.exists():
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         real(self, *args)
 
     DirectoryStorage.append = append  # type: ignore[assignment, method-assign]
-    node.SERVES_ON = 60.0
+    node.SERVE_SECONDS = 60.0
     main(["node"])
--- a/tests/relay/dying.py
+++ b/tests/relay/killed_at.py
@@ -1,5 +1,8 @@
-"""Runs ``node`` and kills it at its n-th step of storage, in the middle of a write if the step is one; below
-zero right after the n-th write, when nothing that waited for it has gone on."""
+"""Runs ``node`` and kills it with SIGKILL at its n-th storage operation.
+
+An append is killed half-written. A negative n kills right after the n-th append, before anything that waits for it
+continues.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from brassweir.cli.main import main
 from brassweir.journal.storage import DirectoryStorage
 
-STEPS = ("create", "append", "truncate", "rename", "remove")
+OPERATIONS = ("create", "append", "truncate", "rename", "remove")
 
 
-def after(at: int) -> None:
-    """The process ends right after a write."""
+def kill_after_append(at: int) -> None:
+    """Kill the process right after its ``at``-th append."""
     real, done = DirectoryStorage.append, list[str]()
 
     def append(self: DirectoryStorage, name: str, data: bytes) -> None:
@@ -27,11 +30,11 @@
     DirectoryStorage.append = append  # type: ignore[method-assign]
 
 
-def dying(name: str, at: int, done: list[str]) -> None:
-    """Let one kind of step count, and the process end at the ``at``-th of all."""
+def kill_at_operation(name: str, at: int, done: list[str]) -> None:
+    """Count one kind of operation in ``done``, and kill the process at the ``at``-th of all kinds."""
     real = getattr(DirectoryStorage, name)
 
-    def step(self: DirectoryStorage, *args: Any) -> None:
+    def operation(self: DirectoryStorage, *args: Any) -> None:
         done.append(name)
         if len(done) == at:
             if name == "append":
@@ -39,13 +42,13 @@
             os.kill(os.getpid(), signal.SIGKILL)
         real(self, *args)
 
-    setattr(DirectoryStorage, name, step)
+    setattr(DirectoryStorage, name, operation)
 
 
 if __name__ == "__main__":
-    seen: list[str] = []
+    done: list[str] = []
     if int(sys.argv[1]) < 0:
-        after(-int(sys.argv[1]))
-    for kind in STEPS if int(sys.argv[1]) > 0 else ():
-        dying(kind, int(sys.argv[1]), seen)
+        kill_after_append(-int(sys.argv[1]))
+    for name in OPERATIONS if int(sys.argv[1]) > 0 else ():
+        kill_at_operation(name, int(sys.argv[1]), done)
     main(["node"])
--- a/tests/relay/settings_samples.py
+++ b/tests/relay/settings_samples.py
@@ -1,4 +1,4 @@
-"""The usual configuration with fields of its settings changed, or gone."""
+"""Variants of the default configuration."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from tests.relay import world
 
-GONE = object()
+ABSENT = object()
 
 
-def told(**changes: Any) -> bytes:
-    """The configuration with fields of its settings changed, or gone; a path's dots are written ``__``."""
-    found = copy.deepcopy(world.configuration())
+def changed_config(**changes: Any) -> bytes:
+    """Return the configuration with settings replaced, or removed if ABSENT. Dots in a path are written ``__``."""
+    config = copy.deepcopy(world.configuration())
     for path, value in changes.items():
-        *above, last = [int(one) if one.isdecimal() else one for one in path.split("__")]
-        at: Any = found["settings"]
-        for one in above:
-            at = at[one]
-        if value is GONE:
-            del at[last]
+        *path_parts, last = [int(part) if part.isdecimal() else part for part in path.split("__")]
+        parent: Any = config["settings"]
+        for part in path_parts:
+            parent = parent[part]
+        if value is ABSENT:
+            del parent[last]
         else:
-            at[last] = value
-    return json.dumps(found).encode()
+            parent[last] = value
+    return json.dumps(config).encode()
 
 
 def classes(*changes: dict[str, Any]) -> list[dict[str, Any]]:
-    """A class for each change of the first one."""
+    """Return a copy of the first class for each set of changes."""
     return [{**world.CLASSES[0], **change} for change in changes]
--- a/tests/relay/test_list_crossings.py
+++ b/tests/relay/test_list_crossings.py
@@ -1,4 +1,4 @@
-"""The list in one sender: versions that are behind or equal, and news at each turn between a hand-in and its call."""
+"""Versions of the list that are behind or equal, and changes at each loop turn between a submission and its call."""
 
 from __future__ import annotations
 
@@ -15,23 +15,25 @@
 from brassweir.relay import settings
 from brassweir.relay.endpoint_list import Change, Target
 from brassweir.service.node import NodeProcess
-from tests.relay.moved import Full, Peer, moved, says_200
+from tests.relay.virtual_time import BlackholeAddress, Peer, answer_200, run_virtual
 from tests.relay.world import configuration
 
-NEWS_TURNS = range(12)  # of the loop, from the hand-in on: the call is out long before the last
+CHANGE_TURNS = range(12)  # loop turns from the submission on: the call has begun long before the last
 
 
 def target(uid: str, state: str = "active", endpoint: str = "127.0.0.1:1") -> Target:
     return Target(uid, endpoint, 1, state, "a", "office", 50.0)
 
 
-def process(folder: Path, *targets: Target, rev: int = 5) -> NodeProcess:
-    """A sender that knows these, and listens nowhere."""
-    given: dict[str, Any] = configuration()
-    made = NodeProcess(settings.read(json.dumps(given).encode()), folder, structlog.get_logger())
-    made._recover()
-    made.list.take(Change(rev, True, list(targets)))
-    return made
+def process(directory: Path, *targets: Target, rev: int = 5) -> NodeProcess:
+    """A sender that knows these endpoints and does not listen."""
+    config: dict[str, Any] = configuration()
+    sender = NodeProcess(
+        settings.parse_config(json.dumps(config).encode()), directory, structlog.get_logger()
+    )
+    sender._recover()
+    sender.list.apply(Change(rev, True, list(targets)))
+    return sender
 
 
 @pytest.mark.parametrize(
@@ -75,58 +77,58 @@
         ),
     ],
     ids=[
-        "a whole list that is behind",
-        "a change that is behind",
-        "an empty list that is behind",
+        "a snapshot that is behind",
+        "a delta that is behind",
+        "an empty snapshot that is behind",
         "the same version",
-        "nothing new",
+        "no change",
         "the same version with more",
-        "a whole list that lacks one",
-        "a whole list that turns all round",
-        "versions passed over",
-        "one that was lacked is back",
+        "a snapshot without an endpoint",
+        "a snapshot that swaps the states",
+        "skipped versions",
+        "a missing endpoint returns",
         "behind, then caught up",
     ],
 )
 def test_what_a_version_may_change(
     tmp_path: Path, change: Change, more: list[Change], states: dict[str, EntryState], rev: int
 ) -> None:
-    """As after a move to an agent that knows less, as much or more."""
+    """As after a move to an agent that is behind, equal or ahead."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         sender = process(tmp_path, target("a"), target("b", "leaving"))
         await asyncio.sleep(0.0)
-        for told in (change, *more):
-            sender.list.take(told)
+        for update in (change, *more):
+            sender.list.apply(update)
             await asyncio.sleep(0.01)
-        known = sender.list.listing.known
+        known = sender.list.endpoints.known
         assert (
             {name: info.state for name, info in known.items()}
             == states
             == {name: info.state for name, info in sender.engine.endpoints.items()}
         )
-        assert sender.list.listing.rev == rev and set(sender.list.listing.places) == set(states)
+        assert sender.list.endpoints.rev == rev and set(sender.list.endpoints.urls) == set(states)
         usable = {
             name
             for dest in sender.engine.sender.destinations.values()
-            for name, one in dest.endpoints.items()
-            if one.usable
+            for name, endpoint in dest.endpoints.items()
+            if endpoint.usable
         }
         assert not usable - {name for name, state in states.items() if state is EntryState.READY}
         sender.journal.close()
 
-    moved(play())
+    run_virtual(scenario())
 
 
-@pytest.mark.parametrize("turns", NEWS_TURNS)
+@pytest.mark.parametrize("turns", CHANGE_TURNS)
 @pytest.mark.parametrize("state", ["leaving", "left"])
-def test_news_at_each_turn_from_a_hand_in_to_its_call(tmp_path: Path, turns: int, state: str) -> None:
-    """The one endpoint is told off while the message is journaled, decided on, its intent written, its connection
-    made: it goes to the other at once, and does not wait for the first, whose connection never comes up."""
+def test_changes_at_each_turn_from_a_submission_to_its_call(tmp_path: Path, turns: int, state: str) -> None:
+    """The only endpoint drains while the message is on its way from the journal to a connection that is never
+    established: the message goes to the new endpoint at once."""
 
-    async def play() -> None:
-        async with Peer(says_200) as other:
-            with Full() as full:
+    async def scenario() -> None:
+        async with Peer(answer_200) as other:
+            with BlackholeAddress() as full:
                 sender = process(tmp_path, target("a", "active", full))
                 answers: list[FinalAnswer] = []
                 sender.engine.submit(
@@ -134,14 +136,16 @@
                 )
                 for _ in range(turns):
                     await asyncio.sleep(0.0)
-                sender.list.take(
+                sender.list.apply(
                     Change(6, False, [target("a", state, full), target("b", "active", other.address)])
                 )
                 await asyncio.sleep(0.1)
-                assert [one.answer for one in answers] == [Answer.DELIVERED] and len(other.seen) == 1
+                assert [answer.answer for answer in answers] == [Answer.DELIVERED] and len(
+                    other.requests
+                ) == 1
                 assert not sender.engine.unstarted.by_destination
-                await asyncio.sleep(0.5)  # the set-up ends with its own time
+                await asyncio.sleep(0.5)  # the connection setup has timed out
                 assert f"http://{full}/receive a" not in sender.pools.budget.holders
             sender.journal.close()
 
-    moved(play())
+    run_virtual(scenario())
--- a/tests/relay/moved.py
+++ b/tests/relay/virtual_time.py
@@ -1,4 +1,4 @@
-"""Real sockets on loopback under a time that jumps from one timer to the next, and peers that play a script."""
+"""Runs tests with real sockets on loopback in virtual time, against servers with scripted behaviour."""
 
 from __future__ import annotations
 
@@ -10,66 +10,68 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from brassweir.relay.discovery import Discovery, Hearers
+from brassweir.relay.discovery import DiscoveryClient, WatchListeners
 from brassweir.relay.endpoint_list import Change
 
-ALL_READ = 0.002  # real seconds without a byte, after which nothing is under way on loopback
+QUIET_SECONDS = 0.002  # real time without a byte, after which no data is in flight on loopback
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class _Selector(selectors.DefaultSelector):
-    """Waits for sockets only as long as bytes may be under way; the rest of a wait is a step of the time."""
+    """Waits for sockets only as long as data may be in flight, then advances the virtual time by the timeout."""
 
     at = 1000.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """What is ready, or the time moved on."""
-        ready = super().select(timeout if timeout is None else min(timeout, ALL_READ))
+        """Return the sockets that are ready, or advance the time."""
+        ready = super().select(timeout if timeout is None else min(timeout, QUIET_SECONDS))
         if not ready and timeout:
             self.at += timeout
         return ready
 
 
-class MovedLoop(asyncio.SelectorEventLoop):
-    """A loop whose time is moved by its timers alone; a test may move it further."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop whose time advances only from timer to timer. Tests may advance it, too."""
 
     def __init__(self) -> None:
         self.clock = _Selector()
         super().__init__(self.clock)
 
     def time(self) -> float:
-        """The time as it was moved."""
+        """The virtual time in seconds."""
         return self.clock.at
 
 
-def moved(work: Coroutine[Any, Any, None], seconds: float = 60.0) -> None:
-    """Run a play; one that goes on for longer than ``seconds`` of the moved time fails."""
+def run_virtual(work: Coroutine[Any, Any, None], seconds: float = 60.0) -> None:
+    """Run a coroutine in virtual time; it fails after ``seconds`` of it."""
 
     async def bounded() -> None:
         async with asyncio.timeout(seconds):
             await work
 
-    with asyncio.Runner(loop_factory=MovedLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(bounded())
 
 
 def now() -> float:
-    """The time as it was moved."""
+    """The virtual time in seconds."""
     return asyncio.get_running_loop().time()
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of an answer."""
+    """Encode one chunk of a chunked response."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 class Peer:
-    """A server whose connections each meet the next of its manners, the last again and again. ``seen`` are the
-    requests' first lines with their times."""
+    """A server that handles each connection by the next of its manners, and the last one repeatedly.
+
+    ``requests`` has the time and the request line of each request, ``bodies`` their bodies.
+    """
 
     def __init__(self, *manners: Manner) -> None:
         self.manners = list(manners)
-        self.seen: list[tuple[float, str]] = []
+        self.requests: list[tuple[float, str]] = []
         self.bodies: list[bytes] = []
         self.more = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -90,12 +92,12 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def write(self, data: bytes) -> None:
-        """Write on the latest connection now, and not when the loop goes on."""
+        """Write to the latest connection synchronously."""
         assert self.writer is not None
         assert os.write(self.writer.get_extra_info("socket").fileno(), data) == len(data)
 
-    async def asked(self, count: int) -> None:
-        """Wait for so many requests."""
+    async def wait_for_requests(self, count: int) -> None:
+        """Wait until ``count`` requests have arrived."""
         while len(self.bodies) < count:
             self.more.clear()
             await self.more.wait()
@@ -109,7 +111,7 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                self.seen.append((now(), head.partition("\r\n")[0]))
+                self.requests.append((now(), head.partition("\r\n")[0]))
                 length = head.lower().partition("content-length: ")[2].partition("\r\n")[0]
                 self.bodies.append(await reader.readexactly(int(length or 0)))
                 self.more.set()
@@ -121,8 +123,8 @@
             writer.transport.abort()
 
 
-class Full:
-    """An address at which no connection comes up, and none is refused."""
+class BlackholeAddress:
+    """A listener with a full backlog: connections are neither established nor refused."""
 
     def __enter__(self) -> str:
         self.sockets = [socket.socket()]
@@ -135,24 +137,24 @@
         return f"127.0.0.1:{self.sockets[0].getsockname()[1]}"
 
     def __exit__(self, *_: object) -> None:
-        for one in self.sockets:
-            one.close()
+        for backlog in self.sockets:
+            backlog.close()
 
 
 Manner = Callable[[asyncio.StreamWriter], Awaitable[None]]
 
 
 async def silent(_: asyncio.StreamWriter) -> None:
-    """Not a byte."""
+    """Send nothing."""
 
 
-async def only_head(writer: asyncio.StreamWriter) -> None:
-    """The head of a watch, and no line."""
+async def send_head_only(writer: asyncio.StreamWriter) -> None:
+    """Send only the response head of a watch."""
     writer.write(HEAD)
 
 
 def says(*lines: bytes) -> Manner:
-    """A watch that tells this and falls silent."""
+    """Send a watch's response head and these chunks, then nothing."""
 
     async def manner(writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"".join(map(chunk, lines)))
@@ -161,7 +163,7 @@
 
 
 def trickles(begin: bytes, byte: bytes) -> Manner:
-    """So much, and then a byte twice a second."""
+    """Send ``begin``, then ``byte`` twice a second."""
 
     async def manner(writer: asyncio.StreamWriter) -> None:
         writer.write(begin)
@@ -172,42 +174,42 @@
     return manner
 
 
-async def answers_204(writer: asyncio.StreamWriter) -> None:
-    """As the platform takes notices."""
+async def answer_204(writer: asyncio.StreamWriter) -> None:
+    """Answer 204, as the platform does to notices."""
     writer.write(b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n")
 
 
-async def says_200(writer: asyncio.StreamWriter) -> None:
-    """As an endpoint that serves."""
+async def answer_200(writer: asyncio.StreamWriter) -> None:
+    """Answer 200, as an endpoint does to a call."""
     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n")
 
 
 def change(rev: int, **more: Any) -> bytes:
-    """One object of the list that changes its version alone."""
+    """Encode a change of the list's version alone."""
     return json.dumps({"rev": rev, "all": False, "targets": []}, **more).encode() + b"\n"
 
 
-class Heard:
-    """A watch at a peer, and when it told what."""
+class RecordingClient:
+    """A discovery client that records the time and version of each change, and the failures of its watches."""
 
     def __init__(self, address: str) -> None:
-        self.told: list[tuple[float, int]] = []
-        self.notes: list[object] = []
+        self.changes: list[tuple[float, int]] = []
+        self.failures: list[object] = []
         self.more = asyncio.Event()
-        self.watch = Discovery(
+        self.discovery = DiscoveryClient(
             address,
-            lambda: self.told[-1][1] if self.told else 1,
-            Hearers(self._take),
-            lambda event, details: self.notes.append(details["why"]) if event == "watch_ended" else None,
+            lambda: self.changes[-1][1] if self.changes else 1,
+            WatchListeners(self._record),
+            lambda event, details: self.failures.append(details["why"]) if event == "watch_ended" else None,
         )
 
-    def _take(self, change: Change) -> None:
-        self.told.append((now(), change.rev))
+    def _record(self, change: Change) -> None:
+        self.changes.append((now(), change.rev))
         self.more.set()
 
-    async def until(self, rev: int) -> float:
-        """When a version was told."""
-        while not self.told or self.told[-1][1] < rev:
+    async def wait_for(self, rev: int) -> float:
+        """Wait for a version; return the time at which it arrived."""
+        while not self.changes or self.changes[-1][1] < rev:
             self.more.clear()
             await self.more.wait()
-        return self.told[-1][0]
+        return self.changes[-1][0]
