--- a/brassweir/regions/epochs.py
+++ b/brassweir/regions/epochs.py
@@ -73,17 +73,17 @@
 def check(epoch: Epoch) -> None:
     """Raise EpochError unless every place has one owner now and never two at a time."""
     if not 0 <= epoch.turn <= MAX_NUMBER or not 0 <= epoch.number <= MAX_NUMBER:
-        raise EpochError("number or turn is out of range")
+        raise EpochError("number or turn is no count")
     if not math.isfinite(epoch.issued):
-        raise EpochError("issued is not a finite time")
+        raise EpochError("issued is no time")
     names = [address.region for address in epoch.regions]
     if len(set(names)) < len(names) or not names:
         raise EpochError("regions: none, or one stands more than once")
     for grant in (*epoch.grants, *epoch.past):
         if grant.region not in names:
-            raise EpochError(f"grant to {grant.region!r}, which is not among its regions")
+            raise EpochError(f"grant to {grant.region!r}, which is no region here")
         if not 0 <= grant.low < grant.high <= PLACES:
-            raise EpochError(f"grant from {grant.low} to {grant.high} is not a range of places")
+            raise EpochError(f"grant from {grant.low} to {grant.high} is no range of places")
         if not -math.inf < grant.begins < grant.ends < math.inf:
             raise EpochError(f"grant from {grant.low}: it ends before it begins")
     next_place = 0
--- a/brassweir/sites/facts.py
+++ b/brassweir/sites/facts.py
@@ -115,7 +115,7 @@
 class Facts:
     """Everything reported since the last step. ``late``: this copy's event loop or process stood still."""
 
-    endings: tuple[Outcomes, ...] = ()
+    outcomes: tuple[Outcomes, ...] = ()
     witnesses: tuple[Witness, ...] = ()
     peers: Mapping[str, PeerState] = field(default_factory=dict)
     late: bool = False
--- a/brassweir/sites/verdict.py
+++ b/brassweir/sites/verdict.py
@@ -77,7 +77,7 @@
     def step(self, now: float, facts: Facts, full: Mapping[str, bool]) -> list[str]:
         """Apply facts. ``full``: by site, whether this copy's ramp there is complete. Returns the sites
         whose state changed."""
-        self.evidence.step(now, facts.endings)
+        self.evidence.step(now, facts.outcomes)
         agreed = facts.agreed
         self.reached = agreed is not None and now - agreed.as_of < LEASE_MS
         shares = {site: self.evidence.share(site) for site in self.sites}
@@ -153,7 +153,7 @@
         """Update the state that rests on this copy's own calls."""
         record, share = self.sites[site], shares[site]
         failed_share = share or 0.0
-        for outcomes in facts.endings if record.own is State.LOST else ():
+        for outcomes in facts.outcomes if record.own is State.LOST else ():
             if self.evidence.site_of(outcomes.endpoint) == site:
                 failed = outcomes.failures + outcomes.timeouts > outcomes.passes
                 record.trial_passes = 0.0 if failed else record.trial_passes + outcomes.passes
