--- a/brassweir/agreed/__init__.py
+++ b/brassweir/agreed/__init__.py
@@ -1,1 +1,1 @@
-"""What copies agree on: a replicated log with a pure core, its durable state, and the member that runs it."""
+"""Replicated log of a group of copies: the pure consensus core, its durable state, and its runner."""
--- a/brassweir/agreed/commands.py
+++ b/brassweir/agreed/commands.py
@@ -1,10 +1,10 @@
-"""The commands that the log carries, their bytes, and the words of their results. Pure.
+"""Commands that the log carries, their encoding, and their results. Pure.
 
-Bytes: MessagePack of [level, command]. A command's level is that of the version that brought it in. While the
-agreed level is lower, a command is refused by all versions alike, whether they know it or not; the level
-rises by a ``Format`` command, once all copies can read it. Whatever is changed of what a command does, or of
-when one is refused, is a new level. So versions side by side never differ in what they apply.
-Times are the proposer's wall clock (ms), stated in the command: none is read where commands are applied.
+A command is the MessagePack of [level, command]; its level is that of the version that introduced it. While
+the agreed level is lower, all versions refuse the command alike, whether they know it or not; a ``Format``
+command raises the level once all copies can read it. Any change of what a command does, or of when one is
+refused, needs a new level, so that versions side by side never differ in what they apply. Times are the
+proposer's wall clock (ms), stated in the command: applying reads no clock.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from brassweir.regions.epochs import Epoch
 
 LEVEL = 1  # the newest that this version knows
-MAX_COMMAND_BYTES = 6_000
+MAX_COMMAND_BYTES = 6_000  # must fit one message between copies, with the log's own fields
 
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,60}\Z")]
 _Place = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,40}\Z")]
@@ -27,11 +27,11 @@
 
 
 class Command(msgspec.Struct, frozen=True, tag_field="do", forbid_unknown_fields=True):
-    """One change. ``after`` is the version that it was made from: another one has come first otherwise."""
+    """One change, made from the version ``after``; it is refused if another change came first."""
 
 
 class Publish(Command, frozen=True, tag="publish"):
-    """The next epoch. ``lost`` names a region that an operator has stated to be gone for good."""
+    """Publish the next epoch. ``lost`` names a region that an operator has stated to be lost for good."""
 
     epoch: Epoch
     after: _Version
@@ -39,14 +39,14 @@
 
 
 class Pin(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where a shard may be: strictly there, or preferably in this order."""
+    """Regions where a shard may be: only these (strict), or preferably, in this order."""
 
     mode: Literal["strict", "preferred"]
     regions: Annotated[tuple[_Place, ...], msgspec.Meta(min_length=1, max_length=16)]
 
 
 class Place(Command, frozen=True, tag="place"):
-    """Set a customer's pin of a shard; ``pin`` None drops it."""
+    """Set a customer's pin of a shard; ``pin`` None removes it."""
 
     customer: _Word
     shard: _Word
@@ -55,7 +55,7 @@
 
 
 class Judge(Command, frozen=True, tag="judge"):
-    """The verdict on a site, by which copy, and since when."""
+    """Set the standing of a site, as one copy judged it, and since when."""
 
     site: _Place
     standing: Standing
@@ -65,7 +65,7 @@
 
 
 class Join(Command, frozen=True, tag="join"):
-    """A copy is a member, here, and reads commands up to the level ``reads``."""
+    """Make a copy a member at this location, which reads commands up to the level ``reads``."""
 
     name: _Name
     site: _Place
@@ -74,13 +74,13 @@
 
 
 class Leave(Command, frozen=True, tag="leave"):
-    """A copy is a member no longer."""
+    """Remove a copy from the members."""
 
     name: _Name
 
 
 class Format(Command, frozen=True, tag="format"):
-    """Commands up to ``level`` may be used from here on."""
+    """Allow commands up to ``level`` from here on."""
 
     level: Annotated[int, msgspec.Meta(ge=1, le=1000)]
 
@@ -89,9 +89,9 @@
 
 
 class Result(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What came of a command: done, with the new version; or which field stands against it, and why.
+    """Result of a command: ``ok`` with the new version, or the ``field`` that is refused, and why.
 
-    ``version`` of a refusal is the one that is there, for another try.
+    The ``version`` of a refusal is the current one, for another attempt.
     """
 
     ok: bool
@@ -101,7 +101,7 @@
 
 
 class CommandError(ValueError):
-    """Bytes that are no command of their level."""
+    """Bytes that are no command of their level, or a command that is too large."""
 
 
 _decoder = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw])
@@ -109,7 +109,7 @@
 
 
 def encode(command: Command, level: int = LEVEL) -> bytes:
-    """A command as the log carries it. Raises CommandError if it, or a number in it, is too large."""
+    """Encode a command for the log. Raises CommandError if it, or a number in it, is too large."""
     try:
         data = msgspec.msgpack.encode((level, command))
     except OverflowError as error:
@@ -120,7 +120,7 @@
 
 
 def split(data: bytes) -> tuple[int, bytes]:
-    """Level and body. Raises CommandError."""
+    """Level and body of an encoded command. Raises CommandError."""
     if len(data) > MAX_COMMAND_BYTES:
         raise CommandError(f"{len(data)} bytes; {MAX_COMMAND_BYTES} are the most")
     try:
@@ -131,13 +131,15 @@
 
 
 def decode(body: bytes) -> AnyCommand:
-    """A body of a level that this version knows. Raises CommandError."""
+    """Decode a body of a level that this version knows. Raises CommandError."""
     try:
         return _known.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        raise CommandError("no command of its level") from None  # a library's words may change
+        raise CommandError(
+            "no command of its level"
+        ) from None  # a library's text may change between versions
 
 
 def decode_result(data: bytes) -> Result:
-    """Read a result."""
+    """Decode the result of a command."""
     return msgspec.json.decode(data, type=Result)
--- a/brassweir/agreed/core.py
+++ b/brassweir/agreed/core.py
@@ -36,7 +36,7 @@
 
 
 class Core(MembershipChanges):
-    """One member."""
+    """The core of one member."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         now: float,
         founders: tuple[str, ...] = (),
     ) -> None:
-        """``kept``: what is durable, this run counted in it; ``founders``: who founds a group that is new."""
+        """``kept`` is durable and counts this run already; ``founders`` found the group if it is new."""
         super().__init__(name, kept, machine, rng, now, founders)
         self.progress, self.unapplied = {}, {}
         self.votes_granted = set()
@@ -70,55 +70,55 @@
 
     @property
     def recovered(self) -> bool:
-        """Is all carried out that the folder held as agreed at this start? Until then states are old ones."""
+        """Whether all that was committed at this start is applied. Until then the state is an older one."""
         return self.applied_index >= self.startup_commit_index
 
-    def step(self, now: float, facts: Iterable[Event] = ()) -> list[Action]:
-        """Time and facts in, steps out. Raises nothing for whatever comes from the network."""
+    def step(self, now: float, events: Iterable[Event] = ()) -> list[Action]:
+        """Handle events at ``now``; returns actions. Raises only if the log contradicts itself."""
         if self.write_error:
             return []
-        gap, self.stepped_at, self.now = now - self.stepped_at, now, max(now, self.now)
-        if gap > timing.STALL_MS and self.is_voter:
+        elapsed, self.stepped_at, self.now = now - self.stepped_at, now, max(now, self.now)
+        if elapsed > timing.STALL_MS and self.is_voter:
             self.on_stall()
-        for fact in facts:
-            self.handle_event(fact)
+        for event in events:
+            self.handle_event(event)
             if self.write_error:
-                out, self.actions = self.actions, []
-                return out
+                actions, self.actions = self.actions, []
+                return actions
         self.tick()
         while self.pending_records or self.rewrite or self.held:
             self.flush()
-        out, self.actions = self.actions, []
-        out.append(WakeAt(self.next_deadline()))
-        return out
+        actions, self.actions = self.actions, []
+        actions.append(WakeAt(self.next_deadline()))
+        return actions
 
-    def handle_event(self, fact: Event) -> None:
-        """One fact."""
-        match fact:
+    def handle_event(self, event: Event) -> None:
+        """Handle one event."""
+        match event:
             case Received():
-                self.receive(fact.sender, fact.envelope)
+                self.receive(event.sender, event.envelope)
             case Written():
-                self.on_written(fact.token)
+                self.on_written(event.token)
                 if self.role == LEADER:
                     self.advance_commit_index()
             case WriteFailed():
-                self.on_write_failed(fact.why)
+                self.on_write_failed(event.why)
             case Propose():
-                self.on_propose(fact)
+                self.on_propose(event)
             case ReadCurrent():
-                self.on_read(fact)
+                self.on_read(event)
             case ChangeVoter():
-                self.on_change(fact)
+                self.on_change(event)
             case LoopStalled():
-                if fact.ms > timing.STALL_MS:
+                if event.ms > timing.STALL_MS:
                     self.on_stall()
             case CopiesChanged():
-                self.copy_names = fact.names
+                self.copy_names = event.names
             case TransferLeadership():
                 self.transfer_leadership()
 
     def tick(self) -> None:
-        """What time and news make due."""
+        """Do what is due: timers, replication, applying, feeding."""
         self.tick_founding()
         self.tick_identity_check()
         self.tick_election()
@@ -141,7 +141,7 @@
         self.send_chunks()
 
     def next_deadline(self) -> float:
-        """When time makes something due."""
+        """When the next timer is due."""
         times = [self.now + timing.PULL_INTERVAL_MS]
         if self.role == LEADER:
             times.append(self.heartbeat_at)
@@ -154,7 +154,7 @@
         if not self.identity.group and self.founders[:1] == (self.name,):
             times.append(self.founding_at)
         if self.log.base.index <= self.applied_index < self.durable_commit:
-            times.append(self.now)  # more is to be carried out
+            times.append(self.now)  # more entries to apply
         if self.fetch is not None:
             times.append(self.fetch.check_at)
         times += [self.pull_at, self.pacing.next_time()]
@@ -165,17 +165,17 @@
         return max(self.now + 1.0, min(times))
 
     def on_write_failed(self, why: str) -> None:
-        """A write failed: nothing more is told or promised until a new start from the folder."""
+        """End all requests and stop: the core takes part again only after a new start from the directory."""
         self.on_leadership_lost()
-        for waiting in self.requests.proposals.values():
-            how = OutcomeKind.UNKNOWN if waiting.sent else OutcomeKind.REFUSED
-            self.finish(waiting.proposal.ticket, how, why=f"the folder cannot be written: {why}")
+        for pending in self.requests.proposals.values():
+            kind = OutcomeKind.UNKNOWN if pending.sent else OutcomeKind.REFUSED
+            self.finish(pending.proposal.ticket, kind, why=f"the folder cannot be written: {why}")
         for reading in self.requests.reads:
             self.finish(reading.ticket, OutcomeKind.REFUSED, why=f"the folder cannot be written: {why}")
         self.write_error = why
 
     def on_own_message(self, message: m.Message) -> None:
-        """A message of this member to itself, held back until it was durable."""
+        """Handle a message of this member to itself, which is durable now."""
         match message:
             case m.VoteReply():
                 self.on_vote_reply(self.name, self.identity.member, message)
@@ -185,12 +185,12 @@
                 self.on_read_index_reply(message)
 
     def receive(self, sender: str, envelope: m.Envelope) -> None:
-        """One message: of this group, and of a member's latest run, or it is dropped."""
+        """Handle a message of this group and of a member's latest run; drop others."""
         message = envelope.body
         if sender == self.name or envelope.generation < 1:
             self.count_dropped("impossible sender")
             return
-        match message:  # these pass between members that have no group, or not the same
+        match message:  # accepted without a common group
             case m.FoundingRequest():
                 return self.on_founding_request(sender, envelope, message)
             case m.FoundingReply():
@@ -213,7 +213,7 @@
         self.receive_known(sender, envelope.member, message)
 
     def receive_known(self, sender: str, member: str, message: m.Message) -> None:
-        """A message of the group."""
+        """Handle a message of a member of this group."""
         match message:
             case m.VoteRequest():
                 self.on_vote_request(sender, member, message)
--- a/brassweir/agreed/core_state.py
+++ b/brassweir/agreed/core_state.py
@@ -1,4 +1,4 @@
-"""What a member knows while it runs, and how messages wait for what must be durable first. Pure."""
+"""State of a running member, and messages that wait until what they state is durable. Pure."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class InFlightWrite:
-    """What a write under way holds up: messages, and how far log and what is agreed are durable after it."""
+    """A write that is not durable yet: log and commit index after it, and messages that wait for it."""
 
     token: int
     last_index: int
@@ -28,7 +28,7 @@
 
 
 class CoreState:
-    """All that a member knows; parts of the core add what they do with it."""
+    """The state that the core's mixins share, and the primitives that they build on."""
 
     snapshot_every, entries_kept = timing.SNAPSHOT_ENTRIES, timing.KEPT_ENTRIES
     term_start: int = 0  # index of the first entry of this leader's term
@@ -42,33 +42,33 @@
         now: float,
         founders: tuple[str, ...] = (),
     ) -> None:
-        """``kept`` is durable with its run already counted; ``rng`` draws waits and ids."""
+        """``kept`` is durable and counts this run already; ``rng`` draws timeouts and ids."""
         self.name, self.rng, self.now, self.founders = name, rng, now, founders
         self.identity = kept.identity
         self.term, self.vote = kept.ballot.term, kept.ballot.vote
         self.log = Log(kept.base, kept.entries)
         self.member_records = dict(kept.member_records)
         self.snapshot = kept.snapshot
-        self.commit_index = self.durable_commit = kept.commit_index
+        self.commit_index = self.durable_commit = kept.commit_index  # the latter: known durably
         self.durable_index = self.log.last_index  # last entry that is durable here
         self.replica = Replica(machine)
         self.applied_index = 0
         if kept.snapshot is not None:
             self.replica.restore(kept.snapshot.state)
             self.applied_index = kept.snapshot.index
-        self.startup_term = self.term
+        self.startup_term = self.term  # as the directory held it at this start
         self.startup_last_index = self.log.last_index if self.log.last_term == self.term else 0
-        self.identity_confirmed = kept.identity.generation == 1  # nothing speaks against the folder
+        self.identity_confirmed = kept.identity.generation == 1  # no record contradicts it
         self.role = LEARNER
         self.leader = ""
         self.election_deadline = 0.0
-        self.leader_heard_at = -1e18  # when a leader was last heard
+        self.leader_heard_at = -1e18  # last contact with a leader
         self.copy_names: tuple[str, ...] = tuple(name for name in founders if name != self.name)
-        self.write_error = ""
+        self.write_error = ""  # why a write failed: the core has stopped
         self.actions: list[Action] = []
         self.pending_records: list[Record] = []
         self.rewrite = False
-        self.held: list[tuple[str, Message]] = []
+        self.held: list[tuple[str, Message]] = []  # to be sent once the pending records are durable
         self.restoring: Snapshot | None = None
         self.token = 0
         self.writes_in_flight: list[InFlightWrite] = []
@@ -77,11 +77,11 @@
 
     @property
     def is_voter(self) -> bool:
-        """Does the log, as it is here, count this very member among the voters?"""
+        """Whether the log, as it is here, has this member among the voters."""
         return self.log.membership.has(self.name, self.identity.member)
 
     def has_vote(self, name: str, member: str) -> bool:
-        """Is that a voter?"""
+        """Whether that member is a voter."""
         return self.log.membership.has(name, member)
 
     def other_voters(self) -> list[str]:
@@ -89,32 +89,32 @@
         return [name for name in self.log.membership.names() if name != self.name]
 
     def send(self, to: str, message: Message) -> None:
-        """Send at once: nothing in it rests on what is not durable."""
+        """Send at once: only for messages that state nothing that is not durable."""
         me = self.identity
         self.actions.append(
             Send(to, Envelope(VERSION, me.group, me.member, me.generation, me.nonce, message))
         )
 
     def send_when_durable(self, to: str, message: Message) -> None:
-        """Send, or if it is to this member take in, once all that was written up to now is durable."""
+        """Send, or handle if it is to this member itself, once all that was written so far is durable."""
         self.held.append((to, message))
 
     def reset_election_timer(self) -> None:
-        """Wait anew before asking for votes."""
+        """Draw a new election deadline."""
         lone = self.log.membership.names() == [self.name]
         self.election_deadline = self.now + timing.ELECTION_MS * (0.1 if lone else 1.0 + self.rng.random())
 
     def write(self, record: Record) -> None:
-        """Make it durable."""
+        """Make a record durable with the next write."""
         self.pending_records.append(record)
 
     def write_ballot(self, term: int, vote: str) -> None:
-        """Go to a term, or vote in it."""
+        """Enter a term, or vote in it."""
         self.term, self.vote = term, vote
         self.write(Ballot(term, vote))
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries that another leader's log does not have."""
+        """Drop entries that conflict with the leader's. Raises AssertionError if one is committed."""
         if index <= self.commit_index:
             raise AssertionError(f"entry {index} is agreed and another is to take its place")
         self.log.truncate_from(index)
@@ -124,16 +124,16 @@
             waiting.last_index = min(waiting.last_index, index - 1)
 
     def note_ack(self, ack: Ack) -> None:
-        """That member had so much; what it had in one run only grows."""
+        """Record what another member has durably; within one of its runs that only grows."""
         if ack[0] != self.identity.member:
             add_ack(self.member_records, ack)
 
-    def ack_of(self, member: str, life: int, nonce: int, index: int) -> Ack:
-        """What a member has of this leader's term; of older terms' entries a stale log may have as many."""
-        return member, life, nonce, self.term, index if index >= self.term_start else 0
+    def ack_of(self, member: str, generation: int, nonce: int, index: int) -> Ack:
+        """What a member has of this term. Entries of older terms do not count: a stale log may have them."""
+        return member, generation, nonce, self.term, index if index >= self.term_start else 0
 
     def flush(self) -> None:
-        """Turn what was collected into one write; give out what waits for none."""
+        """Turn the pending records into one write; send held messages that wait for no write."""
         if self.pending_records or self.rewrite:
             self.token += 1
             records = self.persisted_state().to_records() if self.rewrite else self.pending_records
@@ -163,37 +163,37 @@
         )
 
     def commit_up_to(self, index: int, acks: tuple[Ack, ...] = ()) -> None:
-        """All up to ``index`` is agreed. It takes effect here once that is durable, so it never goes back."""
+        """Advance the commit index. Entries are applied once it is durable: a restart never goes back."""
         if index > self.commit_index:
             self.commit_index = index
             self.write(Commit(index, acks))
 
     def apply_committed(self) -> None:
-        """Carry out what is durably agreed, much in several steps. Below the base a snapshot is written."""
-        room = timing.MAX_APPLIED_BYTES
-        while room > 0 and self.log.base.index <= self.applied_index < self.durable_commit:
+        """Apply durably committed entries, a bounded number of bytes per step. Takes snapshots."""
+        budget = timing.MAX_APPLIED_BYTES
+        while budget > 0 and self.log.base.index <= self.applied_index < self.durable_commit:
             self.applied_index += 1
             entry = self.log.get(self.applied_index)
-            room -= len(entry.data) + timing.ENTRY_HEAD_BYTES
+            budget -= len(entry.data) + timing.ENTRY_HEAD_BYTES
             self.applied_entries.append((self.applied_index, entry))
             if entry.kind == COMMAND:
                 self.apply_command(entry)
-            # looked at after each entry, so that all copies take their snapshots at the same places
+            # checked after each entry, so that all copies take snapshots at the same indexes
             if self.applied_index - (self.snapshot.index if self.snapshot else 0) >= self.snapshot_every:
                 self.take_snapshot()
 
     def apply_command(self, entry: Entry) -> None:
-        """A command takes effect, unless it did before."""
+        """Apply a command, unless it took effect before."""
         done = self.replica.apply(entry)
         if done is not None and done[2]:
             self.actions.append(Applied(entry.index, entry.data, done[1]))
         self.on_applied(entry, done)
 
     def on_applied(self, entry: Entry, done: tuple[int, bytes, bool] | None) -> None:
-        """An entry took effect: tell whoever waits for it."""
+        """Hook: an entry took effect; ``done`` is what Replica.apply returned."""
 
     def take_snapshot(self) -> None:
-        """Fold what was applied into one state, and forget old entries."""
+        """Snapshot the applied state and compact the log."""
         at, membership = self.log.membership_up_to(self.applied_index)
         term = self.log.term_of(self.applied_index)
         assert term is not None
@@ -203,21 +203,21 @@
         self.rewrite = True
 
     def install_snapshot(self, snap: Snapshot) -> None:
-        """Take a snapshot of what is agreed in place of the log up to it. An older one is passed over."""
+        """Replace the log up to a received snapshot's index by it. Ignores one that is not newer."""
         if snap.index <= self.commit_index:
             return
         if self.log.term_of(snap.index) == snap.term:
             self.log.compact_to(snap.index)
         else:
             self.log = Log(Base(snap.index, snap.term, snap.membership, snap.membership_at), [])
-            self.durable_index = min(self.durable_index, snap.index)  # what lay behind it here is gone
+            self.durable_index = min(self.durable_index, snap.index)  # later entries are gone
             for waiting in self.writes_in_flight:
                 waiting.last_index = min(waiting.last_index, snap.index)
         self.snapshot, self.restoring, self.rewrite = snap, snap, True
         self.commit_index = snap.index
 
     def on_written(self, token: int) -> None:
-        """Writes up to this one are durable."""
+        """All writes up to this token are durable: send what waited for them."""
         while self.writes_in_flight and self.writes_in_flight[0].token <= token:
             done = self.writes_in_flight.pop(0)
             self.durable_index = max(self.durable_index, done.last_index)
@@ -230,21 +230,21 @@
                 self.deliver(to, message)
 
     def deliver(self, to: str, message: Message) -> None:
-        """Send it, or take it in if it is to this member."""
+        """Send a message, or handle it if it is to this member."""
         if to == self.name:
             self.on_own_message(message)
         else:
             self.send(to, message)
 
     def on_own_message(self, message: Message) -> None:
-        """A message of this member to itself, held back until it was durable."""
+        """Hook: a message of this member to itself, which is durable now."""
 
     def finish(
-        self, ticket: int, how: OutcomeKind, index: int = 0, result: bytes = b"", why: str = ""
+        self, ticket: int, kind: OutcomeKind, index: int = 0, result: bytes = b"", why: str = ""
     ) -> None:
-        """End what was asked for."""
-        self.actions.append(Completed(ticket, Outcome(how, index, result, why)))
+        """Complete a request."""
+        self.actions.append(Completed(ticket, Outcome(kind, index, result, why)))
 
-    def count_dropped(self, what: str) -> None:
-        """Count what was dropped."""
-        self.dropped[what] = self.dropped.get(what, 0) + 1
+    def count_dropped(self, reason: str) -> None:
+        """Count a dropped message by reason."""
+        self.dropped[reason] = self.dropped.get(reason, 0) + 1
--- a/brassweir/agreed/elections.py
+++ b/brassweir/agreed/elections.py
@@ -1,4 +1,4 @@
-"""Raft's elections: pre-vote, votes, a leader that keeps in touch with a quorum or steps down. Pure."""
+"""Elections: pre-vote, votes, and a leader that steps down without contact to a quorum. Pure."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Elections(LeaderReplication):
-    """Who leads."""
+    """Elects the leader."""
 
     votes_granted: set[tuple[str, str]]
-    transfer_requested = False  # this candidacy was asked for by the leader itself
-    vote_retry_at = 0.0  # when those that did not answer are asked again
-    vote_requested = False  # someone wanted a vote of this member that it may not give yet
+    transfer_requested = False  # the leader itself asked for this election
+    vote_retry_at = 0.0  # when voters that did not answer are asked again
+    vote_requested = False  # a vote was requested that this member may not give yet
 
     def may_vote(self) -> bool:
-        """Nothing speaks against the folder: its votes and entries are all it ever gave."""
+        """Whether the directory is confirmed to hold all votes and entries that this member ever gave."""
         return self.identity_confirmed and not self.write_error
 
     def tick_election(self) -> None:
-        """Time passed."""
+        """Start or repeat an election when due; a leader without contact to a quorum steps down."""
         if self.role == LEADER:
             if len(self.responsive_voters()) < self.log.membership.quorum:
                 self.become_follower(self.term, "")
@@ -35,18 +35,18 @@
             self.request_votes()
 
     def on_stall(self) -> None:
-        """This member was away: what it believed of the others is old."""
+        """This process was paused: what it knew of the others is out of date."""
         if self.role != LEADER:
             self.leader_heard_at = min(self.leader_heard_at, self.now - timing.ELECTION_MS)
         self.become_follower(self.term, "")
         self.reset_election_timer()
 
-    def campaign(self, pre: bool, called: bool = False) -> None:
-        """Ask all voters, this one with them."""
+    def campaign(self, pre: bool, transfer: bool = False) -> None:
+        """Start a pre-vote or an election, and vote for itself."""
         self.reset_election_timer()
         self.votes_granted = set()
         self.leader = ""
-        self.transfer_requested = called
+        self.transfer_requested = transfer
         if pre:
             self.role = PRE_CANDIDATE
         else:
@@ -58,36 +58,36 @@
         )
 
     def request_votes(self) -> None:
-        """Ask those that have not granted it."""
+        """Ask the voters that have not granted their vote."""
         self.vote_retry_at = self.now + timing.VOTE_RETRY_MS
         pre, granted = self.role == PRE_CANDIDATE, {name for name, _ in self.votes_granted}
         term = self.term + 1 if pre else self.term
-        asked = VoteRequest(term, self.log.last_index, self.log.last_term, pre, self.transfer_requested)
+        request = VoteRequest(term, self.log.last_index, self.log.last_term, pre, self.transfer_requested)
         for name in self.other_voters():
             if name not in granted:
-                self.send_when_durable(name, asked)
+                self.send_when_durable(name, request)
 
     def on_vote_request(self, sender: str, member: str, message: VoteRequest) -> None:
-        """Someone asks. Silence while a leader is heard keeps a copy that comes back from disturbing it."""
-        heard = self.now - self.leader_heard_at < timing.ELECTION_MS or self.role == LEADER
-        if heard and not message.transfer:
+        """Answer a vote request; not while a leader is in contact: a returning copy must not disrupt it."""
+        leader_known = self.now - self.leader_heard_at < timing.ELECTION_MS or self.role == LEADER
+        if leader_known and not message.transfer:
             return
         self.vote_requested = self.vote_requested or not self.identity_confirmed
         if message.term < self.term or not self.may_vote():
             self.send_when_durable(sender, VoteReply(self.term, message.term, False, message.pre))
             return
-        newer = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
+        up_to_date = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
         if message.pre:
-            granted = newer and message.term > self.term
+            granted = up_to_date and message.term > self.term
             self.send_when_durable(sender, VoteReply(self.term, message.term, granted, True))
-            same = (message.last_term, message.last_index) == (self.log.last_term, self.log.last_index)
-            if granted and self.role == PRE_CANDIDATE and (not same or sender < self.name):
-                self.role = FOLLOWER  # two that ask at once would split the votes: one gives way
+            same_log = (message.last_term, message.last_index) == (self.log.last_term, self.log.last_index)
+            if granted and self.role == PRE_CANDIDATE and (not same_log or sender < self.name):
+                self.role = FOLLOWER  # two pre-candidates would split the votes
                 self.reset_election_timer()
             return
         if message.term > self.term:
             self.become_follower(message.term, "")
-        granted = newer and self.vote in ("", member)
+        granted = up_to_date and self.vote in ("", member)
         if granted:
             self.reset_election_timer()
             if not self.vote:
@@ -95,7 +95,7 @@
         self.send_when_durable(sender, VoteReply(self.term, message.term, granted))
 
     def on_vote_reply(self, sender: str, member: str, message: VoteReply) -> None:
-        """An answer."""
+        """Count a vote; a quorum turns a pre-vote into an election, and wins an election."""
         if message.term > self.term and not message.granted:
             self.become_follower(message.term, "")
             return
@@ -113,7 +113,7 @@
                 self.on_elected()
 
     def on_elected(self) -> None:
-        """Elected; leads once that, and who voted, is durable: so no vote that counted is ever forgotten."""
+        """Won. It leads once that, and who voted, is durable: no vote that counted is ever forgotten."""
         self.role = ELECTED
         for _, member in sorted(self.votes_granted):
             if member != self.identity.member and member in self.member_records:
@@ -125,17 +125,17 @@
         self.send_when_durable(self.name, TimeoutNow(self.term))
 
     def on_timeout_now(self, sender: str, message: TimeoutNow) -> None:
-        """From itself: what it won by is durable. From the leader: it stops, be next."""
+        """From itself: what it won by is durable. From the leader: it stops, start an election."""
         if message.term != self.term:
             return
         if sender == self.name:
             if self.role == ELECTED:
                 self.become_leader()
         elif sender == self.leader and self.role == FOLLOWER and self.is_voter and self.may_vote():
-            self.campaign(pre=False, called=True)
+            self.campaign(pre=False, transfer=True)
 
     def transfer_leadership(self) -> None:
-        """This process is about to stop: the one that has most is to go on."""
+        """Ask the responsive copy with the longest log to take over, if this member leads."""
         if self.role != LEADER:
             return
         ready = [
--- a/brassweir/agreed/entry.py
+++ b/brassweir/agreed/entry.py
@@ -1,4 +1,4 @@
-"""An entry of the log and the membership that it may carry, as messages and the folder hold them. Pure."""
+"""Log entries, and the membership that some of them carry, as encoded in messages and on disk. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of the log. ``session``, ``seq`` name the proposal, ``low`` its session's lowest open one."""
+    """One log entry; ``session`` and ``seq`` name its proposal, ``lowest_open`` the lowest open ``seq``."""
 
     index: Number
     term: Number
@@ -25,12 +25,12 @@
 
 
 class Membership(msgspec.Struct, frozen=True, array_like=True):
-    """Who votes: (name, member id), by name."""
+    """The voters as (name, member id), sorted by name."""
 
     voters: tuple[tuple[ShortText, ShortText], ...]
 
     def has(self, name: str, member: str) -> bool:
-        """Does this very member vote?"""
+        """Whether this member id is the voter of that name."""
         return (name, member) in self.voters
 
     def names(self) -> list[str]:
@@ -39,5 +39,5 @@
 
     @property
     def quorum(self) -> int:
-        """How many of them decide."""
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
--- a/brassweir/agreed/events.py
+++ b/brassweir/agreed/events.py
@@ -1,4 +1,4 @@
-"""What the core is told and what it asks for. Times are monotonic milliseconds."""
+"""Events that the core takes and actions that it returns. Times are monotonic milliseconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message; ``sender`` is the name its seal proves."""
+    """A message arrived; ``sender`` is the copy name that its seal authenticates."""
 
     sender: str
     envelope: Envelope
@@ -19,21 +19,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The write of this token, and all before it, are durable."""
+    """The write with this token, and all writes before it, are durable."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class WriteFailed:
-    """A write failed. What the disk holds is not known: only a new start from the folder goes on."""
+    """A write failed. What the disk holds is unknown: the core stops until it is started from it again."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Agree on a command by ``until``."""
+    """Propose a command. It ends as refused or unknown at ``deadline``."""
 
     ticket: int
     command: bytes
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadCurrent:
-    """Tell once what is applied here is at least as new as all that was told anywhere before now."""
+    """Linearizable read: completes once this copy has applied all that was committed before the request."""
 
     ticket: int
     deadline: float
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeVoter:
-    """Let ``name`` vote, or no longer. Taken by the leader only."""
+    """Make ``name`` a voter (``votes``), or no longer one. Only the leader accepts this."""
 
     ticket: int
     name: str
@@ -60,26 +60,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopStalled:
-    """The own loop ran so many ms late."""
+    """The event loop of this process ran ``ms`` late."""
 
     ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class CopiesChanged:
-    """Names of all copies there are."""
+    """Names of all copies of the group, voters and learners."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """This process is about to stop: hand leadership on."""
+    """Transfer leadership, if this member leads: its process is about to stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionInForce:
-    """The decision module of this copy has been told all of this version. A plain core passes it over."""
+    """The decision module of this copy has received all of this version. A plain core ignores the event."""
 
     version: int
 
@@ -99,7 +99,7 @@
 
 
 class OutcomeKind(StrEnum):
-    """How what was asked for ended. UNKNOWN: it may or may not come into the log, also later."""
+    """How a request ended. UNKNOWN: the proposal may or may not be committed, also later."""
 
     AGREED = "agreed"
     REFUSED = "refused"
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How, where in the log, what came of it, or why not."""
+    """How a request ended: log index and result of the command, or ``why`` there is none."""
 
     how: OutcomeKind
     index: int = 0
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send."""
+    """Send a message to a copy."""
 
     to: str
     envelope: Envelope
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Make durable, in order. ``whole``: these records stand in place of all before."""
+    """Make records durable, in order. ``replaces_all``: they replace all records written before."""
 
     token: int
     records: tuple[Record, ...]
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A command took effect here, once."""
+    """A command took effect on this copy's machine, for the first time."""
 
     index: int
     command: bytes
@@ -144,14 +144,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """The machine became what a snapshot of this index says."""
+    """The machine was restored from the snapshot at this index."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """How what was asked for under a ticket ended."""
+    """The request with this ticket ended."""
 
     ticket: int
     outcome: Outcome
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Step again at this time at the latest."""
+    """Step the core again at this time at the latest."""
 
     at: float
 
--- a/brassweir/agreed/follower_replication.py
+++ b/brassweir/agreed/follower_replication.py
@@ -1,4 +1,4 @@
-"""Raft's log replication, the follower's side: what it takes from a leader, and what it answers. Pure."""
+"""Log replication, the follower's side: accepts a leader's entries and answers them. Pure."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class FollowerReplication(CoreState):
-    """Entries of a leader."""
+    """Accepts the entries of a leader."""
 
-    accepted_at = -1e18  # when a leader's entries, or its beat, last fitted behind what is here
+    accepted_at = -1e18  # when a leader's entries or heartbeat last matched this log
     accepted_term = 0  # that leader's term
     early_appends: ReorderBuffer[AppendEntries]
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Be no leader; go to the term if it is later."""
+        """Stop leading or campaigning; enter ``term`` if it is later. ``leader`` is "" if unknown."""
         if term > self.term:
             self.write_ballot(term, "")
             self.leader = ""
@@ -27,10 +27,10 @@
         self.leader = leader or ("" if self.leader == self.name else self.leader)
 
     def on_leadership_lost(self) -> None:
-        """Leadership ended: nothing of it may be told any more."""
+        """Hook: leadership ended, and with it all requests that only a leader can complete."""
 
     def on_append(self, sender: str, message: AppendEntries) -> None:
-        """Entries of a leader."""
+        """Append a leader's entries if they match the log; buffer early ones, reject others."""
         if not in_order(message.prev_index + 1, message.entries):
             return
         if message.term < self.term:
@@ -48,10 +48,10 @@
         if message.prev_index > self.log.last_index and self.may_be_reordered(message):
             self.buffer_append(sender, message)
             return
-        here = self.log.term_of(message.prev_index)
-        if here != message.prev_term and message.prev_index > self.commit_index:
+        term_here = self.log.term_of(message.prev_index)
+        if term_here != message.prev_term and message.prev_index > self.commit_index:
             hint = min(message.prev_index - 1, self.log.last_index)
-            while hint > self.commit_index and self.log.term_of(hint) == here:
+            while hint > self.commit_index and self.log.term_of(hint) == term_here:  # skips a term
                 hint -= 1
             self.send_when_durable(
                 sender, AppendReply(self.term, False, max(hint, self.commit_index), message.round)
@@ -67,17 +67,17 @@
         self.take_buffered_append(sender)
 
     def may_be_reordered(self, message: AppendEntries) -> bool:
-        """May what lies before these entries still be under way? Not if nothing of this leader fitted yet."""
+        """Whether entries before these may still be in flight. Not if nothing of this leader matched yet."""
         return self.accepted_term == message.term and not self.early_appends.overdue(self.now)
 
     def buffer_append(self, sender: str, message: AppendEntries) -> None:
-        """Keep what came ahead of others, and answer a beat with what is here for certain."""
+        """Buffer entries that arrived early; answer an early heartbeat with the commit index."""
         self.early_appends.add(message.prev_index + 1, message if message.entries else None, self.now)
         if not message.entries:
             self.send_when_durable(sender, AppendReply(self.term, True, self.commit_index, message.round))
 
     def take_buffered_append(self, sender: str) -> None:
-        """Take what was kept and fits now, as if it came now."""
+        """Handle a buffered message that now matches, as if it arrived now."""
         message = self.early_appends.pop_following(self.log.last_index + 1, self.now)
         if message is None:
             return
@@ -88,22 +88,22 @@
             self.take_buffered_append(sender)
 
     def note_leader(self, term: int, leader: str) -> None:
-        """A leader of a term that is not past spoke."""
+        """A leader of a term that is not past made contact: follow it."""
         if term > self.term or self.role not in (FOLLOWER, LEARNER) or self.leader != leader:
             self.become_follower(term, leader)
         self.leader_heard_at = self.now
         self.reset_election_timer()
 
     def append_received(self, entries: tuple[Entry, ...]) -> None:
-        """Add what is not here; entries here that differ give way."""
-        fresh = [entry for entry in entries if entry.index > self.commit_index]
-        while fresh and self.log.term_of(fresh[0].index) == fresh[0].term:
-            del fresh[0]
-        if not fresh:
+        """Append the entries that are missing here; entries here that differ are truncated."""
+        missing = [entry for entry in entries if entry.index > self.commit_index]
+        while missing and self.log.term_of(missing[0].index) == missing[0].term:
+            del missing[0]
+        if not missing:
             return
-        if fresh[0].index <= self.log.last_index:
-            self.truncate_from(fresh[0].index)
-        self.log.add(fresh)
-        self.write(LogAppend(tuple(fresh)))
+        if missing[0].index <= self.log.last_index:
+            self.truncate_from(missing[0].index)
+        self.log.add(missing)
+        self.write(LogAppend(tuple(missing)))
         if self.role in (FOLLOWER, LEARNER):
             self.role = FOLLOWER if self.is_voter else LEARNER
--- a/brassweir/agreed/identity.py
+++ b/brassweir/agreed/identity.py
@@ -1,8 +1,10 @@
-"""Whose folder this is: what others remember of its member, giving an id up, founding a group. Pure.
+"""Identity of a member: checked with the voters after each start, given up if they contradict it. Pure.
 
-A member asks, after each start, what the others remember of it. Nothing speaks against a folder that is as
-it was left. One restored from an old copy lacks what a member remembers it had: it gives its id up and learns
-anew.
+After each start a member asks the voters what they recorded of it. They confirm a directory that is as the
+last run left it. One that was restored from an old copy lacks entries or votes that a voter recorded: its
+member gives up its id and joins as a new learner, as it could vote twice in one term.
+
+The first of the founders that the settings name founds the group.
 """
 
 from __future__ import annotations
@@ -26,28 +28,28 @@
 
 
 class Identities(Elections):
-    """Members, their runs, their group."""
+    """Checks this member's identity, records the runs of others, and founds the group."""
 
     identity_check_at: float
-    identity_check_until: float  # from then on a quorum's memory is enough
-    confirmed_by: dict[str, str]
-    new_founders: dict[str, str]  # founders that are new, and their member ids
+    identity_check_until: float  # from then on a quorum is enough
+    confirmed_by: dict[str, str]  # names and ids of the voters that confirmed this directory
+    new_founders: dict[str, str]  # names and ids of the founders that have no group
     founding_at: float
 
     def note_run(self, sender: str, envelope: Envelope) -> bool:
-        """Note which run of a member speaks. False: an earlier one, or a second of the same number."""
-        old = self.member_records.get(envelope.member)
-        known = add_ack(self.member_records, (envelope.member, envelope.generation, envelope.nonce, 0, 0))
-        if known and (old is None or old.generation < envelope.generation):
+        """Record a sender's run. Returns False for an earlier run, or a second run of the same generation."""
+        previous = self.member_records.get(envelope.member)
+        current = add_ack(self.member_records, (envelope.member, envelope.generation, envelope.nonce, 0, 0))
+        if current and (previous is None or previous.generation < envelope.generation):
             self.on_voter_restart(sender, envelope.member)
             voters = {member for _, member in self.log.membership.voters}
-            idle = [member for member in self.member_records if member not in voters]
-            for member in idle[: max(0, len(self.member_records) - timing.MAX_MEMBER_RECORDS)]:
+            non_voters = [member for member in self.member_records if member not in voters]
+            for member in non_voters[: max(0, len(self.member_records) - timing.MAX_MEMBER_RECORDS)]:
                 del self.member_records[member]
-        return known
+        return current
 
     def on_identity_check(self, sender: str, envelope: Envelope, message: IdentityCheck) -> None:
-        """Tell a member what is remembered of it, and keep durably that this run has asked."""
+        """Tell a member whether its directory lacks what is recorded of it; persist that this run asked."""
         agrees = self.note_run(sender, envelope)
         memory = self.member_records.get(envelope.member)
         if memory is not None:
@@ -56,13 +58,13 @@
         self.send_when_durable(sender, IdentityReply(envelope.nonce, agrees))
 
     def needs_identity_check(self) -> bool:
-        """Others must be asked, and a vote is wanted: by the log here, or by one that counts this member."""
+        """Whether the identity is unconfirmed and a vote is wanted, by this log or by a candidate."""
         return not self.identity_confirmed and (
             self.is_voter or self.vote_requested and bool(self.log.membership.voters)
         )
 
     def tick_identity_check(self) -> None:
-        """Ask, until enough answered."""
+        """Ask the voters, until enough have confirmed."""
         if not self.needs_identity_check():
             return
         if self.identity_check_until == 0.0:
@@ -75,7 +77,7 @@
         self.finish_identity_check()
 
     def on_identity_reply(self, sender: str, member: str, message: IdentityReply) -> None:
-        """An answer."""
+        """Handle a voter's answer."""
         if message.nonce != self.identity.nonce or not self.has_vote(sender, member):
             return
         if not message.agrees:
@@ -86,15 +88,21 @@
             self.finish_identity_check()
 
     def finish_identity_check(self) -> None:
-        """All others agree; or a quorum does, and the rest had their time."""
-        agree = self.is_voter + sum(self.has_vote(name, member) for name, member in self.confirmed_by.items())
-        voters = self.log.membership
-        if agree == len(voters.voters) or agree >= voters.quorum and self.now >= self.identity_check_until:
+        """Confirm the identity once all voters agree, or a quorum does and the others had their time."""
+        confirmed = self.is_voter + sum(
+            self.has_vote(name, member) for name, member in self.confirmed_by.items()
+        )
+        membership = self.log.membership
+        if (
+            confirmed == len(membership.voters)
+            or confirmed >= membership.quorum
+            and self.now >= self.identity_check_until
+        ):
             self.identity_confirmed = True
             self.reset_election_timer()
 
     def abandon_identity(self) -> None:
-        """This folder forgot: go on under a new id, as a learner, until the group admits it."""
+        """The directory lacks durable state: go on under a new id, as a learner, until readmitted."""
         self.become_follower(self.term, "")
         self.vote = ""
         self.write_ballot(self.term, "")
@@ -103,17 +111,17 @@
         self.count_dropped("identity given up")
 
     def take_identity(self, member: str, group: str) -> None:
-        """Be that member of that group, durably."""
-        life, nonce = self.identity.generation, self.identity.nonce
+        """Become this member of this group, durably."""
+        generation, nonce = self.identity.generation, self.identity.nonce
         if member != self.identity.member:
-            life, nonce = 1, self.rng.getrandbits(32)
-        self.identity = Identity(member, group, life, nonce)
+            generation, nonce = 1, self.rng.getrandbits(32)
+        self.identity = Identity(member, group, generation, nonce)
         self.write(self.identity)
 
     # Founding
 
     def tick_founding(self) -> None:
-        """The first founder asks the others; when all are new with the same list, it founds."""
+        """The first founder asks the others, and founds the group when all are new with the same list."""
         if self.identity.group or self.founders[:1] != (self.name,) or self.now < self.founding_at:
             return
         self.founding_at = self.now + timing.FOUNDING_INTERVAL_MS
@@ -124,9 +132,9 @@
             self.send(name, FoundingRequest(self.founders))
 
     def found_group(self) -> None:
-        """The log begins with its founders. They get it as learners do, by pulling.
+        """Start the log with the founders; the others get it as learners do, by pulling.
 
-        Any two groups of one list would need a quorum of that list each, and no member is of two.
+        Two groups cannot arise from one list: each would need a quorum of it, and no member joins two groups.
         """
         members = {**self.new_founders, self.name: self.identity.member}
         membership = Membership(tuple(sorted(members.items())))
@@ -140,11 +148,11 @@
         self.reset_election_timer()
 
     def on_founding_request(self, sender: str, envelope: Envelope, message: FoundingRequest) -> None:
-        """Say whether this copy is new, by the group of the answer, and what its list is."""
+        """Answer with this copy's list of founders; the envelope tells whether it has a group."""
         self.send_when_durable(sender, FoundingReply(self.founders, envelope.nonce))
 
     def on_founding_reply(self, sender: str, envelope: Envelope, message: FoundingReply) -> None:
-        """A founder's answer. One that knows a group ends the founding: this copy learns from it."""
+        """Handle a founder's answer. If it has a group, the founding ends: this copy learns from it."""
         if envelope.group or self.identity.group or message.nonce != self.identity.nonce:
             return
         if message.founders == self.founders:
--- a/brassweir/agreed/leader_replication.py
+++ b/brassweir/agreed/leader_replication.py
@@ -1,4 +1,4 @@
-"""Raft's log replication, the leader's side, and when an entry is agreed. Pure."""
+"""Log replication, the leader's side, and the commit rule. Pure."""
 
 from __future__ import annotations
 
@@ -17,39 +17,43 @@
 
 @dataclass
 class OutgoingSnapshot:
-    """A snapshot as it is sent."""
+    """An encoded snapshot that is sent in chunks."""
 
     data: bytes
-    used_at: float = 0.0  # when it was last offered, or a piece of it sent
+    used_at: float = 0.0  # when it was last offered, or a chunk of it sent
 
 
 class LeaderReplication(FollowerReplication):
-    """Entries go from the leader to voters and to learners that shall vote."""
+    """Replicates entries to voters, and to learners that are to become voters."""
 
     progress: dict[str, Progress]
-    unapplied: dict[tuple[str, int], int]  # proposals in the log without effect yet
-    outgoing_snapshots: dict[int, OutgoingSnapshot]  # snapshots as they are sent, by their places
+    unapplied: dict[tuple[str, int], int]  # proposals in the log that are not applied
+    outgoing_snapshots: dict[int, OutgoingSnapshot]  # by snapshot index
     heartbeat_round: int = 0
 
     def become_leader(self) -> None:
-        """Begin to act as leader of this term."""
+        """Act as the leader of this term."""
         self.role, self.leader, self.leader_heard_at = LEADER, self.name, self.now
         self.progress = {}
         self.update_progress()
         self.broadcast_heartbeat()
 
     def update_progress(self) -> None:
-        """One progress for each other voter."""
+        """Keep one progress for each other voter, and for learners that are to become voters."""
         voters = self.log.membership.voters
         for name, member in voters:
             if name != self.name and (name not in self.progress or self.progress[name].member != member):
                 self.progress[name] = Progress(member, self.log.last_index + 1, heard_at=self.now)
         names = [name for name, _ in voters]
-        for name in [name for name, p in self.progress.items() if name not in names and p.until <= self.now]:
+        for name in [
+            name
+            for name, p in self.progress.items()
+            if name not in names and p.admission_deadline <= self.now
+        ]:
             del self.progress[name]
 
     def add_entry(self, kind: int, data: bytes, session: str = "", seq: int = 0, low: int = 0) -> Entry:
-        """The leader's next entry."""
+        """Append an entry to the leader's log."""
         entry = Entry(self.log.last_index + 1, self.term, kind, data, session, seq, low)
         self.log.add([entry])
         self.write(LogAppend((entry,)))
@@ -58,7 +62,7 @@
         return entry
 
     def collect_unapplied(self) -> None:
-        """What of the log has not taken effect."""
+        """Collect the proposals in the log that have not taken effect."""
         first = max(self.applied_index, self.log.base.index)
         entries = self.log.entries[first - self.log.base.index :]
         self.unapplied = {
@@ -66,13 +70,13 @@
         }
 
     def broadcast_heartbeat(self) -> None:
-        """Something for everyone."""
+        """Start a new round: send every copy at least one message."""
         self.heartbeat_round += 1
         for name in self.progress:
             self.send_append(name, True)
 
     def replicate(self) -> None:
-        """Entries, and what is agreed, for whoever lacks them."""
+        """Send entries and the commit index to the copies that lack them."""
         for name, p in self.progress.items():
             if (
                 p.next_index <= self.log.last_index
@@ -82,11 +86,11 @@
                 self.send_append(name, False)
 
     def window(self, p: Progress) -> int:
-        """Messages with entries that may be out to a copy: one, as a probe, if it has long been silent."""
+        """Messages with entries that may be in flight to a copy; one, as a probe, if it is silent."""
         return timing.APPEND_WINDOW if self.now - p.heard_at < timing.ELECTION_MS else 1
 
     def send_append(self, name: str, always: bool) -> None:
-        """As many messages as the window allows, one at least if ``always``."""
+        """Send messages up to the window, at least one if ``always``; a snapshot if entries are compacted."""
         p = self.progress[name]
         if p.in_flight and self.now - p.sent_at >= timing.RESEND_MS:
             p.in_flight, p.next_index = 0, p.match_index + 1
@@ -123,7 +127,7 @@
             p.in_flight += 1
 
     def offer_snapshot(self, name: str, term: int, round: int) -> None:
-        """Tell that a snapshot is to be fetched."""
+        """Offer the latest snapshot."""
         assert self.snapshot is not None
         sending = self.outgoing_snapshots.get(self.snapshot.index)
         if sending is None:
@@ -136,26 +140,22 @@
 
     def acks(self) -> tuple[Ack, ...]:
         """What each voter has durably of this leader's log."""
-        mine = self.identity
-        found = (
-            [self.ack_of(mine.member, mine.generation, mine.nonce, self.durable_index)]
-            if self.is_voter
-            else []
-        )
+        me = self.identity
+        acks = [self.ack_of(me.member, me.generation, me.nonce, self.durable_index)] if self.is_voter else []
         for name, member in self.log.membership.voters:
             p, memory = self.progress.get(name), self.member_records.get(member)
             if p is not None and memory is not None and p.member == member and p.match_index:
-                found.append(self.ack_of(member, memory.generation, memory.nonce, p.match_index))
-        return tuple(found)
+                acks.append(self.ack_of(member, memory.generation, memory.nonce, p.match_index))
+        return tuple(acks)
 
     def on_voter_restart(self, name: str, member: str) -> None:
-        """A voter was started anew: it has what it shows, not what it once had."""
+        """A voter restarted: its earlier answers no longer count, as its directory may be an older one."""
         p = self.progress.get(name)
         if p is not None and p.member == member:
             p.match_index = p.in_flight = 0
 
     def on_append_reply(self, sender: str, member: str, message: AppendReply) -> None:
-        """A follower's answer."""
+        """Handle a follower's answer."""
         p = self.progress.get(sender)
         if p is None or self.role != LEADER or message.term < self.term:
             return
@@ -164,7 +164,7 @@
             return
         if p.member != member:
             if self.has_vote(sender, p.member):
-                return  # another member under a voter's name: no answer of that voter
+                return  # another member id under a voter's name does not answer for the voter
             p.member, p.match_index = member, 0
         p.heard_at = self.now
         p.answered_round = max(p.answered_round, message.round)
@@ -180,7 +180,7 @@
         self.advance_commit_index()
 
     def advance_commit_index(self) -> None:
-        """The highest entry of this term that a quorum of voters has durably is agreed, and all before it."""
+        """Commit the highest entry of this term that a quorum has durably, and all entries before it."""
         voters = self.log.membership.voters
         matches = sorted((self.match_index_of(name, member) for name, member in voters), reverse=True)
         if not matches:
@@ -193,24 +193,24 @@
             self.commit_up_to(index, acks)
 
     def step_back(self, p: Progress, index: int) -> None:
-        """Send again from there on; once, if several messages sent before say the same."""
+        """Resend from ``index``; only once if several messages in flight are rejected at the same index."""
         if index == p.rewound_to and self.now - p.rewound_at < timing.STEP_BACK_SPACING_MS:
             return
         p.next_index, p.in_flight = index, 0
         p.rewound_to, p.rewound_at = index, self.now
 
     def match_index_of(self, name: str, member: str) -> int:
-        """What a voter has durably."""
+        """Last index that a voter is known to have durably."""
         if (name, member) == (self.name, self.identity.member):
             return self.durable_index
         p = self.progress.get(name)
         return p.match_index if p is not None and p.member == member else 0
 
     def responsive_voters(self) -> set[str]:
-        """Names of voters that answered within the shortest election time, this one with them."""
-        found = {
+        """Names of the voters that answered within an election timeout, and of this one."""
+        names = {
             name
             for name, p in self.progress.items()
             if self.now - p.heard_at < timing.ELECTION_MS and self.has_vote(name, p.member)
         }
-        return found | ({self.name} if self.is_voter else set())
+        return names | ({self.name} if self.is_voter else set())
--- a/brassweir/agreed/learner_feed.py
+++ b/brassweir/agreed/learner_feed.py
@@ -1,11 +1,11 @@
-"""The feeder's side of the feed tree: places for learners, and what is agreed sent to them. Pure.
+"""The feeder's side of the feed tree: committed entries are sent to learners. Pure.
 
-A feeder takes a bounded number and names some of those for the rest: a tree grows whose width is bounded, and
-no copy speaks to all. A feed tells how long ago a leader was heard at its root. Only agreed entries are fed,
-so nothing of it is ever taken back.
+A feeder accepts a bounded number of learners and refers others to these, so that the group forms a tree of
+bounded width. Each feed tells how long ago the root of the tree was in contact with a leader. Only committed
+entries are fed, so a learner never truncates its log.
 
-A learner says with each pull from where on it lacks entries. One that also says where the lack ends has what
-lies behind that, or awaits it: to such a one a window of messages is sent without waiting for an answer.
+A learner states with each pull from where on it lacks entries. One that also states the last missing entry is
+sent a window of messages without waiting for an answer.
 """
 
 from __future__ import annotations
@@ -18,45 +18,45 @@
 from brassweir.agreed.messages import Entry, FeedEntries, FeederFull, PullEntries
 from brassweir.agreed.snapshot_pacing import SnapshotPacer
 
-MAX_SUGGESTED_FEEDERS = 4  # names of children told to a learner for which there is no room
+MAX_SUGGESTED_FEEDERS = 4  # names of children suggested to a learner that is not accepted
 
 
 @dataclass
 class ChildProgress:
-    """A learner that is fed."""
+    """What a feeder knows of a learner that it feeds. Times are monotonic ms."""
 
     next_index: int
     expires_at: float
-    windowed: bool = False  # it tells what it has, so that more than one message may be under way
-    pulled_from: int = 0  # the entry from which it pulled last, and when
+    windowed: bool = False  # it states what it lacks, so several messages may be in flight
+    pulled_from: int = 0  # first entry of its latest pull, and when that came
     pulled_at: float = -1e18
     in_flight: list[tuple[int, float]] = field(default_factory=list)
 
     def is_duplicate(self, first: int, now: float) -> bool:
-        """Is this a pull that says nothing new? A learner of an older version pulls at each message."""
+        """Whether a pull repeats the last one: a learner of an older version pulls after each message."""
         return first <= self.pulled_from and now - self.pulled_at < timing.DUPLICATE_PULL_MS
 
 
 class LearnerFeed(Identities):
-    """Feeding learners."""
+    """Feeds learners."""
 
     children: dict[str, ChildProgress]
     pacing: SnapshotPacer
-    pull_interval = timing.PULL_INTERVAL_MS  # ms between pulls of one that has all
-    leader_seen_at = -1e18  # when a leader surely led, by the feeders' word
+    pull_interval = timing.PULL_INTERVAL_MS  # between pulls of a learner that lacks nothing
+    leader_seen_at = -1e18  # latest time at which a leader surely led, as feeders state it
 
     def leader_age(self) -> float:
-        """Ms since a leader was heard, directly or by feeders."""
+        """Ms since a leader was in contact, directly or through feeders."""
         if self.role == LEADER:
             return 0.0
         return self.now - max(self.accepted_at, self.leader_seen_at)
 
     def nearest(self, name: str, names: list[str], count: int) -> list[str]:
-        """So many of these copies for that one to be fed by: drawn, or the nearest where places are known."""
+        """Pick ``count`` of ``names`` as feeders for a copy: at random, or by location in a subclass."""
         return self.rng.sample(names, min(count, len(names)))
 
     def on_pull(self, sender: str, message: PullEntries) -> None:
-        """A learner asks."""
+        """Feed a learner that asks, or refer it to other copies."""
         if not self.identity.group:
             return
         self.children = {name: child for name, child in self.children.items() if child.expires_at > self.now}
@@ -85,18 +85,18 @@
         self.feed(sender, True)
 
     def is_stale(self) -> bool:
-        """Is this a learner that has heard of no leader for a few pulls?"""
+        """Whether this is a learner that had no contact to a leader for several pulls."""
         return not self.is_voter and self.leader_age() > timing.MAX_STALE_PULLS * self.pull_interval
 
     def has_capacity(self, sender: str) -> bool:
-        """Is there a place for this learner?"""
+        """Whether this learner may be fed. Voters always may: they need the entries to vote."""
         if sender in self.children or sender in self.log.membership.names():
-            return True  # the latter votes, and lacks what it needs for it
+            return True
         busy = self.role == LEADER and len(self.other_voters()) > 0
         return len(self.children) < (timing.MAX_CHILDREN_OF_LEADER if busy else timing.MAX_CHILDREN)
 
     def confirm_feeds(self, child: ChildProgress, message: PullEntries) -> None:
-        """A pull that says what the learner has: the rest is under way, or lost if that is long ago."""
+        """Apply what a pull confirms; start again after that if all later messages are lost."""
         child.expires_at, child.windowed = self.now + timing.CHILD_EXPIRY_MS, True
         child.in_flight = [(last, at) for last, at in child.in_flight if last >= message.first]
         asks_nothing = message.last < message.first
@@ -104,7 +104,7 @@
             child.next_index, child.in_flight = min(child.next_index, message.first), []
 
     def feed_gap(self, name: str, child: ChildProgress, message: PullEntries) -> None:
-        """Send again what was lost between other messages."""
+        """Resend entries that were lost between others."""
         if message.first <= self.log.base.index:
             child.next_index = message.first
             self.feed(name, True)
@@ -119,7 +119,7 @@
         child.next_index = max(child.next_index, first)
 
     def feed(self, name: str, always: bool) -> bool:
-        """What is agreed and the learner lacks: one message. True if it carries entries."""
+        """Send a child a message; one without entries only if ``always``. Returns whether it had entries."""
         child = self.children[name]
         if child.next_index <= self.log.base.index:
             if self.snapshot is not None:
@@ -135,13 +135,13 @@
         return bool(entries)
 
     def send_feed(self, name: str, first: int, entries: tuple[Entry, ...]) -> None:
-        """One message."""
+        """Send one message, and charge it to the byte budget of snapshot chunks."""
         age = int(min(self.leader_age(), 1e9))
         self.send(name, FeedEntries(first, entries, self.durable_commit, age, self.leader))
         self.pacing.charge(self.now, sum(len(entry.data) + timing.ENTRY_HEAD_BYTES for entry in entries))
 
     def feed_children(self) -> None:
-        """Feed all that lack something: one message each, or as many as their window allows."""
+        """Feed all children that lack entries: one message each, or as many as their window allows."""
         for name, child in self.children.items():
             while child.next_index <= self.durable_commit and len(child.in_flight) < timing.FEED_WINDOW:
                 if not self.feed(name, False) or not child.windowed:
--- a/brassweir/agreed/learner_pull.py
+++ b/brassweir/agreed/learner_pull.py
@@ -1,7 +1,8 @@
-"""How 490 copies get what is agreed: learners pull from a feeder, which may be a learner itself. Pure.
+"""The learner's side of the feed tree: committed entries are pulled from a feeder. Pure.
 
-A feeder that is cut off, or feeds itself in a circle, tells of a leader that was heard long ago: it is left
-for another. Entries that come ahead of others are kept for a while, and only what lies between is asked for.
+A feeder may be a learner itself. One that is cut off, or fed in a cycle, reports a contact to the leader that
+is long past: the learner changes its feeder. Entries that arrive ahead of others are buffered, and only the
+gaps are requested again.
 """
 
 from __future__ import annotations
@@ -22,24 +23,24 @@
 from brassweir.agreed.snapshot_transfer import SnapshotTransfer
 
 NEVER = float("inf")
-NO_LEADER_SEEN_MS = 1e15  # ms: an age above it means that no leader was heard yet
+NO_LEADER_SEEN_MS = 1e15  # an age above it means that no leader was ever in contact
 
 
 class LearnerPull(SnapshotTransfer):
-    """Being fed."""
+    """Pulls committed entries from a feeder."""
 
     feeder = ""
-    feeder_since: float  # when it was chosen, or last brought a piece of a snapshot
+    feeder_since: float  # when it was chosen, or last sent a chunk of a snapshot
     pull_at: float
     pulled_at = -1e18
-    unanswered_since = NEVER  # when the first pull was sent that the feeder did not answer
-    unresponsive: dict[str, float]  # copies that did not answer, and until when others come first
-    gaps_requested_at = -1e18  # when gaps were last asked for
-    unconfirmed_feeds = 0  # messages with entries that came and that no pull has confirmed
-    early_feeds: ReorderBuffer[tuple[Entry, ...]]  # entries that came ahead of others
+    unanswered_since = NEVER  # when the first unanswered pull was sent
+    unresponsive: dict[str, float]  # copies that did not answer, and until when others are preferred
+    gaps_requested_at = -1e18  # when gaps were last requested
+    unconfirmed_feeds = 0  # messages with entries that no pull has confirmed yet
+    early_feeds: ReorderBuffer[tuple[Entry, ...]]  # arrived ahead of others
 
     def tick_pull(self) -> None:
-        """Pull, and look for another feeder if this one brings nothing or only old things."""
+        """Pull when due; change the feeder if it fails."""
         if self.now < self.pull_at:
             return
         if self.role == LEADER or self.now - self.accepted_at < (
@@ -57,17 +58,17 @@
             self.pull_at = min(self.pull_at, self.gaps_due())
 
     def feeder_failed(self) -> bool:
-        """Does the feeder bring nothing, or only old things?"""
+        """Whether the feeder does not answer, makes no progress, or lost contact to the leader."""
         if self.now - self.unanswered_since > timing.FEEDER_TIMEOUT_MS:
             return True
-        still = (
+        fetch_stalled = (
             self.fetch is not None
             and self.now - max(self.feeder_since, self.fetch.progressed_at) > timing.FETCH_STALLED_MS
         )
-        return still or self.now - max(self.feeder_since, self.leader_seen_at) > timing.FEED_STALE_MS
+        return fetch_stalled or self.now - max(self.feeder_since, self.leader_seen_at) > timing.FEED_STALE_MS
 
     def pull(self) -> None:
-        """Ask the feeder for what lies between what is here, and tell it what follows."""
+        """Request the gaps, or what follows the log; confirms what has arrived."""
         self.take_buffered_feeds()
         gaps = self.gaps() if self.now >= self.gaps_due() else []
         for first, last in gaps or [(self.commit_index + 1, self.commit_index)]:
@@ -78,43 +79,43 @@
         self.unanswered_since = min(self.unanswered_since, self.now)
 
     def gaps_due(self) -> float:
-        """When to ask for gaps: what fills them may only be late, or has been asked for."""
+        """When to request gaps: the entries may only be late, or have been requested already."""
         return max(self.early_feeds.gap_deadline(), self.gaps_requested_at + timing.GAP_RETRY_MS)
 
     def gaps(self) -> list[tuple[int, int]]:
-        """The first and last entry of what is missing before and between early messages."""
-        found = []
-        have = self.commit_index
+        """First and last index of each gap before and between buffered messages, at most ``MAX_GAPS``."""
+        gaps = []
+        last = self.commit_index
         for first, entries in sorted(self.early_feeds.messages.items()):
-            if first > have + 1:
-                found.append((have + 1, first - 1))
-            have = max(have, first + len(entries) - 1)
-        return found[: timing.MAX_GAPS]
+            if first > last + 1:
+                gaps.append((last + 1, first - 1))
+            last = max(last, first + len(entries) - 1)
+        return gaps[: timing.MAX_GAPS]
 
     def change_feeder(self) -> None:
-        """Another feeder: a voter, or any copy if there is none known; after silence more often any."""
-        silent = self.now - self.unanswered_since > timing.FEEDER_TIMEOUT_MS
-        if silent:
+        """Choose another feeder: a voter, at times any copy, and that more often after silence."""
+        unanswered = self.now - self.unanswered_since > timing.FEEDER_TIMEOUT_MS
+        if unanswered:
             self.unresponsive = {name: until for name, until in self.unresponsive.items() if until > self.now}
             self.unresponsive[self.feeder] = self.now + timing.UNRESPONSIVE_MS
         names = self.feeder_candidates(sorted({*self.log.membership.names(), *self.founders}))
-        if not names or self.rng.random() < (0.5 if silent else 0.2):
+        if not names or self.rng.random() < (0.5 if unanswered else 0.2):
             names = self.nearest(self.name, self.feeder_candidates(list(self.copy_names)), 1) or names
-        # one that has just started goes to the nearest; later that may be the very one that is gone
-        drawn = self.nearest(self.name, names, len(names) if self.leader_age() < NO_LEADER_SEEN_MS else 1)
-        self.set_feeder(self.rng.choice(drawn) if drawn else self.feeder)
+        # a copy that just started takes the nearest; later that may be the very one that failed
+        choices = self.nearest(self.name, names, len(names) if self.leader_age() < NO_LEADER_SEEN_MS else 1)
+        self.set_feeder(self.rng.choice(choices) if choices else self.feeder)
 
     def feeder_candidates(self, names: list[str]) -> list[str]:
-        """These copies without this one, its feeder, and if others are left those that did not answer."""
+        """These copies without this one and its feeder, and without unresponsive ones if others are left."""
         names = [name for name in names if name not in (self.name, self.feeder)]
         return [name for name in names if self.unresponsive.get(name, 0.0) <= self.now] or names
 
     def set_feeder(self, name: str) -> None:
-        """Be fed by that copy."""
+        """Pull from that copy from now on."""
         self.feeder, self.feeder_since, self.unanswered_since = name, self.now, NEVER
 
     def on_feeder_full(self, sender: str, message: FeederFull) -> None:
-        """Go down the tree, or begin at its top again."""
+        """Try one of the suggested feeders; without a suggestion the next pull starts at a voter."""
         if sender != self.feeder:
             return
         names = self.feeder_candidates(list(message.names))
@@ -122,9 +123,9 @@
         self.pull_at = self.now + timing.PULL_RETRY_MS * self.rng.random()
 
     def on_feed(self, sender: str, message: FeedEntries) -> None:
-        """Agreed entries, the next ones or such as are here."""
-        fed = self.now - self.accepted_at >= timing.FEED_STALE_MS if self.is_voter else True
-        if not fed or self.role not in (LEARNER, FOLLOWER, PRE_CANDIDATE):
+        """Append committed entries that follow the log; buffer those after a gap."""
+        accepts_feeds = self.now - self.accepted_at >= timing.FEED_STALE_MS if self.is_voter else True
+        if not accepts_feeds or self.role not in (LEARNER, FOLLOWER, PRE_CANDIDATE):
             return
         if not in_order(message.first, message.entries):
             return
@@ -133,7 +134,7 @@
             and message.commit_index < self.commit_index
             and message.leader_age_ms > timing.ELECTION_MS
         ):
-            self.change_feeder()  # it has started anew, with less than is here
+            self.change_feeder()  # it restarted with less than this log holds
             self.pull_at = self.now + timing.PULL_RETRY_MS * self.rng.random()
             return
         if sender == self.feeder:
@@ -152,26 +153,26 @@
             self.pull_at = min(self.pull_at, max(self.now, self.pulled_at + timing.MIN_PULL_SPACING_MS))
 
     def take_feed(self, first: int, entries: tuple[Entry, ...]) -> None:
-        """Take the next entries, and early ones that follow them."""
+        """Append entries, and buffered ones that follow them."""
         self.append_received(entries)
         self.commit_up_to(first + len(entries) - 1)
         self.take_buffered_feeds()
 
     def take_buffered_feeds(self) -> None:
-        """Take what came early and follows now."""
+        """Append buffered entries that follow the log now."""
         while (early := self.early_feeds.pop_following(self.commit_index + 1, self.now)) is not None:
             self.append_received(early)
             self.commit_up_to(early[-1].index)
 
     def buffer_feed(self, message: FeedEntries) -> None:
-        """Something before this is missing: it may be late, or lost."""
+        """Buffer entries after a gap: what is missing may be late or lost."""
         self.early_feeds.add(message.first, message.entries or None, self.now)
         self.pull_at = min(self.pull_at, self.gaps_due())
 
     # Snapshots
 
     def on_snapshot_offer(self, sender: str, message: SnapshotOffer) -> None:
-        """Fetch it, from a leader or the own feeder, unless all of it is here."""
+        """Fetch a snapshot from the leader or this copy's feeder, unless the log covers it."""
         if message.term:
             if message.term < self.term:
                 return
@@ -185,7 +186,7 @@
             self.fetch_from(sender, message.index, message.size)
 
     def on_chunk(self, sender: str, message: SnapshotChunk) -> None:
-        """A piece; the last one makes it whole."""
+        """Store a chunk; after the last one pull at once."""
         if not self.accept_chunk(sender, message):
             return
         self.feeder_since = self.now
--- a/brassweir/agreed/log.py
+++ b/brassweir/agreed/log.py
@@ -1,4 +1,4 @@
-"""The log in memory, and the membership that its entries say. Pure."""
+"""The log in memory, and the memberships that its entries carry. Pure."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def decode_membership(entry: Entry) -> Membership:
-    """The membership an entry says. Raises msgspec.MsgspecError."""
+    """The membership that an entry carries. Raises msgspec.MsgspecError."""
     return msgspec.msgpack.decode(entry.data, type=Membership)
 
 
 class Log:
-    """Entries behind a base."""
+    """Entries after a base, which is the last entry that was compacted."""
 
     def __init__(self, base: Base, entries: list[Entry]) -> None:
         self.base = base
@@ -30,25 +30,25 @@
 
     @property
     def last_term(self) -> int:
-        """Its term."""
+        """Term of the last entry."""
         return self.entries[-1].term if self.entries else self.base.term
 
     @property
     def membership(self) -> Membership:
-        """The latest one, agreed or not."""
+        """The latest membership, committed or not."""
         return self.memberships[-1][1]
 
     @property
     def membership_index(self) -> int:
-        """Its index."""
+        """Index of the entry that carries the latest membership."""
         return self.memberships[-1][0]
 
     def membership_up_to(self, index: int) -> tuple[int, Membership]:
-        """The latest one up to ``index``."""
+        """The latest membership at or before ``index``, and its index."""
         return [pair for pair in self.memberships if pair[0] <= index][-1]
 
     def term_of(self, index: int) -> int | None:
-        """The term of an entry; None if it is not here."""
+        """Term of an entry; None if the log does not hold it."""
         if index == self.base.index:
             return self.base.term
         if self.base.index < index <= self.last_index:
@@ -56,40 +56,40 @@
         return None
 
     def agrees_with(self, agreed: int, prev: int, prev_term: int, entries: tuple[Entry, ...]) -> bool:
-        """Do a leader's entries, and the one before them, say of what is agreed what stands here?"""
-        told = [(prev, prev_term), *((entry.index, entry.term) for entry in entries)]
-        return all(index > agreed or self.term_of(index) in (None, term) for index, term in told)
+        """Whether a leader's entries, and the one before them, do not contradict what is committed here."""
+        terms = [(prev, prev_term), *((entry.index, entry.term) for entry in entries)]
+        return all(index > agreed or self.term_of(index) in (None, term) for index, term in terms)
 
     def get(self, index: int) -> Entry:
-        """One entry."""
+        """The entry at ``index``, which the log must hold."""
         return self.entries[index - self.base.index - 1]
 
     def batch(self, first: int, last: int) -> tuple[Entry, ...]:
-        """Entries from ``first`` to ``last``, as many as one message carries, one at least."""
-        found: list[Entry] = []
+        """Entries from ``first`` to ``last``, as many as fit one message, but at least one."""
+        entries: list[Entry] = []
         size = 0
         for index in range(first, min(last, self.last_index) + 1):
             entry = self.get(index)
             size += len(entry.data) + timing.ENTRY_HEAD_BYTES + len(entry.session)
-            if found and size > timing.MAX_ENTRIES_BYTES:
+            if entries and size > timing.MAX_ENTRIES_BYTES:
                 break
-            found.append(entry)
-        return tuple(found)
+            entries.append(entry)
+        return tuple(entries)
 
     def add(self, entries: list[Entry]) -> None:
-        """Add at the end."""
+        """Append entries."""
         for entry in entries:
             self.entries.append(entry)
             if entry.kind == MEMBERS:
                 self.memberships.append((entry.index, decode_membership(entry)))
 
     def truncate_from(self, index: int) -> None:
-        """Drop all from ``index`` on."""
+        """Remove all entries from ``index`` on."""
         del self.entries[max(0, index - self.base.index - 1) :]
         self.memberships = [pair for pair in self.memberships if pair[0] < index] or self.memberships[:1]
 
     def compact_to(self, index: int) -> None:
-        """Drop all up to ``index``, which is here."""
+        """Drop all entries up to ``index``, which the log must hold."""
         at, membership = self.membership_up_to(index)
         term = self.term_of(index)
         assert term is not None
--- a/brassweir/agreed/machine_state.py
+++ b/brassweir/agreed/machine_state.py
@@ -1,6 +1,6 @@
-"""What the copies agree on, as one value: the same state has the same bytes on every copy. Pure.
+"""The agreed state as one value: the same state has the same bytes on every copy. Pure.
 
-A version is the place in the log of the command that made it: it grows, and none is used twice.
+A version is the log index of the command that made it: it grows, and none is used twice.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True, array_like=True):
-    """What is agreed of a site, since when (ms, wall clock of who said so), and by which copy."""
+    """The agreed standing of a site, since when (ms, the proposer's wall clock), and which copy judged it."""
 
     standing: Standing
     since: float
@@ -31,7 +31,7 @@
 
 
 class MemberCopy(msgspec.Struct, frozen=True, array_like=True):
-    """A member."""
+    """A copy that has joined, its location, and the highest command level that it reads."""
 
     site: str
     region: str
@@ -40,9 +40,9 @@
 
 
 class MachineState(msgspec.Struct):
-    """All of it. ``index`` is the last place of the log that was applied."""
+    """The whole agreed state. ``index`` is the last log index that was applied."""
 
-    form: Literal[1] = 1  # of these bytes
+    form: Literal[1] = 1  # version of this encoding
     level: int = 1
     index: int = 0
     epoch: Epoch | None = None
@@ -53,7 +53,7 @@
 
 
 class StateError(msgspec.MsgspecError):
-    """Bytes that are no state which this version can go on from."""
+    """Bytes that are no state which this version can restore."""
 
 
 _encoder = msgspec.msgpack.Encoder(order="sorted")
@@ -61,13 +61,13 @@
 
 
 def pack(state: MachineState) -> bytes:
-    """The state's one form as bytes: a digest of it, and all of it."""
+    """Encode the state: a digest, then its only encoding."""
     body = _encoder.encode(state)
     return hashlib.sha256(body).digest() + body
 
 
 def unpack(data: bytes) -> MachineState:
-    """Raises StateError; nothing of damaged bytes is believed."""
+    """Decode a state. Raises StateError, also if the digest does not match."""
     digest, body = data[:32], data[32:]
     if hashlib.sha256(body).digest() != digest:
         raise StateError("a state whose digest does not fit")
@@ -78,14 +78,14 @@
 
 
 def digest(state: MachineState) -> str:
-    """What copies compare: equal at one index, or something is wrong."""
+    """Digest that copies compare at one index: if it differs, they have diverged."""
     return hashlib.sha256(_encoder.encode(state)).hexdigest()[:16]
 
 
 def lost_regions(state: MachineState) -> frozenset[str]:
-    """Regions of which every member's site is agreed to be lost."""
+    """Regions whose members all are at sites that are agreed to be lost."""
     sites: dict[str, set[str]] = {}
-    for one in state.copies.values():
-        sites.setdefault(one.region, set()).add(one.site)
-    lost = {name for name, one in state.sites.items() if one.standing == "lost"}
+    for value in state.copies.values():
+        sites.setdefault(value.region, set()).add(value.site)
+    lost = {name for name, value in state.sites.items() if value.standing == "lost"}
     return frozenset(region for region, names in sites.items() if names <= lost)
--- a/brassweir/agreed/membership_changes.py
+++ b/brassweir/agreed/membership_changes.py
@@ -1,4 +1,4 @@
-"""Who votes: one change at a time, learners caught up before they vote, lost folders readmitted. Pure."""
+"""Membership changes: one voter at a time, caught up before it votes; lost voters are readmitted. Pure."""
 
 from __future__ import annotations
 
@@ -16,55 +16,55 @@
 
 @dataclass
 class UnknownMember:
-    """Another member answers under a voter's name."""
+    """Another member id that answers under a voter's name. Times are monotonic ms."""
 
     member: str
-    since: float
-    last: float
+    first_seen: float
+    last_seen: float
 
 
 class MembershipChanges(Proposals):
-    """The leader changes one voter at a time, each after the one before is agreed."""
+    """The leader changes one voter at a time, each after the change before it is committed."""
 
     pending_changes: list[ChangeVoter]
-    changes_in_log: dict[int, int]  # tickets of changes in the log, by index
+    changes_in_log: dict[int, int]  # tickets by log index
     unknown_members: dict[str, UnknownMember]
-    readmissions: dict[str, float]  # names, and when they may be readmitted again
+    readmissions: dict[str, float]  # names, and when each may be readmitted again
 
     def become_leader(self) -> None:
-        """A voter that a leader before took out to readmit it is still to be readmitted."""
+        """Continue a readmission that an earlier leader began by removing the voter."""
         super().become_leader()
         at = self.log.membership_index
         name = self.log.get(at).session if at > self.log.base.index else ""
         if name and name not in self.log.membership.names():
             self.pending_changes.append(ChangeVoter(0, name, True, self.now + timing.CATCH_UP_MS))
 
-    def on_change(self, fact: ChangeVoter) -> None:
-        """Take a change on."""
+    def on_change(self, change: ChangeVoter) -> None:
+        """Queue a change, or refuse it."""
         if self.role != LEADER:
             where = f"ask {self.leader}, which leads" if self.leader else "no leader is known"
-            self.finish(fact.ticket, OutcomeKind.REFUSED, why=where)
-        elif fact.votes and len(self.log.membership.voters) >= timing.MAX_VOTERS:
-            self.finish(fact.ticket, OutcomeKind.REFUSED, why=f"{timing.MAX_VOTERS} vote: no more may")
-        elif not fact.votes and self.log.membership.names() == [fact.name]:
-            self.finish(fact.ticket, OutcomeKind.REFUSED, why=f"{fact.name} is the only one that votes")
+            self.finish(change.ticket, OutcomeKind.REFUSED, why=where)
+        elif change.votes and len(self.log.membership.voters) >= timing.MAX_VOTERS:
+            self.finish(change.ticket, OutcomeKind.REFUSED, why=f"{timing.MAX_VOTERS} vote: no more may")
+        elif not change.votes and self.log.membership.names() == [change.name]:
+            self.finish(change.ticket, OutcomeKind.REFUSED, why=f"{change.name} is the only one that votes")
         else:
-            self.pending_changes.append(fact)
+            self.pending_changes.append(change)
             self.tick_changes()
 
     def note_unknown_member(self, sender: str, member: str) -> None:
-        """A voter's name answers with an id that does not vote: its folder was lost, or gave its id up."""
+        """Readmit a voter that keeps answering under another id: its directory was lost or given up."""
         voters = dict(self.log.membership.voters)
         if self.role != LEADER or sender not in voters:
             return
         if voters[sender] == member:
             self.unknown_members.pop(sender, None)
             return
-        known = self.unknown_members.get(sender)
-        if known is None or known.member != member:
-            known = self.unknown_members[sender] = UnknownMember(member, self.now, self.now)
-        known.last = self.now
-        if self.now - known.since >= timing.READMISSION_DELAY_MS and self.now >= self.readmissions.get(
+        unknown = self.unknown_members.get(sender)
+        if unknown is None or unknown.member != member:
+            unknown = self.unknown_members[sender] = UnknownMember(member, self.now, self.now)
+        unknown.last_seen = self.now
+        if self.now - unknown.first_seen >= timing.READMISSION_DELAY_MS and self.now >= self.readmissions.get(
             sender, 0.0
         ):
             self.readmissions[sender] = self.now + timing.READMISSION_SPACING_MS
@@ -74,7 +74,7 @@
             ]
 
     def tick_changes(self) -> None:
-        """Carry the next change out, once the one before is agreed and this term has agreed on something."""
+        """Append the next change, once the one before it and an entry of this term are committed."""
         if self.role != LEADER:
             return
         for change in [change for change in self.pending_changes if self.now >= change.deadline]:
@@ -96,7 +96,9 @@
         if change.votes:
             p = self.progress.get(change.name)
             if p is None:
-                self.progress[change.name] = Progress("", self.log.last_index + 1, until=change.deadline)
+                self.progress[change.name] = Progress(
+                    "", self.log.last_index + 1, admission_deadline=change.deadline
+                )
                 self.send_append(change.name, True)
                 return
             if (
@@ -108,23 +110,23 @@
             voters[change.name] = p.member
         else:
             del voters[change.name]
-        after = Membership(tuple(sorted(voters.items())))
-        reached = self.responsive_voters() | ({change.name} if change.votes else set())
-        if len(reached & set(after.names())) < after.quorum:
-            return  # the group would stand still
+        changed = Membership(tuple(sorted(voters.items())))
+        reachable = self.responsive_voters() | ({change.name} if change.votes else set())
+        if len(reachable & set(changed.names())) < changed.quorum:
+            return  # the new quorum could not commit
         self.pending_changes.pop(0)
-        again = change.name if not change.ticket and not change.votes else ""  # to be readmitted
-        entry = self.add_entry(MEMBERS, msgspec.msgpack.encode(after), again)
+        readmitted = change.name if not change.ticket and not change.votes else ""  # to be readmitted
+        entry = self.add_entry(MEMBERS, msgspec.msgpack.encode(changed), readmitted)
         self.changes_in_log[entry.index] = change.ticket
         self.unknown_members.pop(change.name, None)
         self.update_progress()
 
     def may_change(self) -> bool:
-        """The change before is agreed, and so is an entry of this term."""
+        """Whether the change before and an entry of this term are committed."""
         return self.log.membership_index <= self.commit_index and self.commit_index >= self.term_start
 
     def finish_changes(self) -> None:
-        """Entries took effect: tell of changes; a leader that no longer votes ends."""
+        """Complete changes that took effect; a leader that no longer votes steps down."""
         ended, self.applied_entries = self.applied_entries, []
         for index, _ in ended:
             if index in self.changes_in_log:
@@ -139,7 +141,7 @@
             self.become_follower(self.term, "")
 
     def on_leadership_lost(self) -> None:
-        """Leadership ended: nothing of it may be told any more."""
+        """End all open changes, and drop what only a leader keeps."""
         for ticket in self.changes_in_log.values():
             self.finish(ticket, OutcomeKind.UNKNOWN, why="leadership ended; it may still come")
         for change in self.pending_changes:
--- a/brassweir/agreed/messages.py
+++ b/brassweir/agreed/messages.py
@@ -1,7 +1,8 @@
-"""What members say to each other: bytes in, messages out. Kinds are only added, fields only added at the end.
+"""Messages between members, and their encoding.
 
-So an older version reads a newer one: a field it does not know is passed over, a kind it does not know raises
-:class:`Unreadable` and is dropped. Times are milliseconds.
+Kinds are only added, and fields only added at the end, so that an older version reads a newer one: it ignores
+a field that it does not know, and drops a message of a kind that it does not know
+(:class:`UnreadableMessage`). Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 
 class UnreadableMessage(ValueError):
-    """Not a message of ours, or of a later kind."""
+    """Bytes that are no message, or a message of a kind that only later versions know."""
 
 
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Vote for me in ``term``; ``pre``: would you? ``called``: the leader itself asks me to take over."""
+    """Asks for a vote in ``term``. ``pre``: a pre-vote; ``transfer``: the leader asked for this election."""
 
     term: Number
     last_index: Number
@@ -34,7 +35,7 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """An answer to it: ``asked`` is the term asked for, ``term`` the voter's own."""
+    """Answers a vote request: ``requested_term`` is the term asked for, ``term`` the voter's own."""
 
     term: Number
     requested_term: Number
@@ -43,7 +44,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """From a leader: entries behind ``prev``, what is agreed, and what it remembers of the voters."""
+    """From the leader: entries after ``prev_index``, its commit index, and what each voter has durably."""
 
     term: Number
     prev_index: Number
@@ -55,7 +56,7 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """All up to ``match`` is durable here and as the leader has it; else try again behind ``match``."""
+    """All up to ``match_index`` is durable and as the leader has it; else it must go back to there."""
 
     term: Number
     ok: bool
@@ -64,7 +65,7 @@
 
 
 class ForwardProposal(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A proposal on its way to the leader."""
+    """A proposal on its way to the leader; ``hops`` counts the copies that passed it on."""
 
     session: ShortText
     seq: Number
@@ -74,10 +75,10 @@
 
 
 class PullEntries(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """A learner: feed me from ``first`` on.
+    """From a learner to its feeder: asks for committed entries from ``first`` on.
 
-    ``last``: 0, or the last entry that is missing here: what follows was here early, or is awaited. It is
-    ``first - 1`` if nothing is known to be missing.
+    ``last`` is the last entry that is missing; later ones have arrived early or are expected. It is ``first -
+    1`` if no entry is known to be missing, and 0 from versions that do not state it.
     """
 
     first: Number
@@ -85,7 +86,7 @@
 
 
 class FeedEntries(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Agreed entries from ``first`` on; ``age`` ms since a leader was heard, by the feeders' words."""
+    """Committed entries from ``first`` on; ``leader_age_ms``: ms since a leader was known to lead."""
 
     first: Number
     entries: tuple[Entry, ...]
@@ -95,13 +96,13 @@
 
 
 class FeederFull(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """No room for another learner; try these."""
+    """The feeder accepts no more learners; the learner should try these copies."""
 
     names: tuple[ShortText, ...]
 
 
 class SnapshotOffer(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """What was asked for is in a snapshot of ``size`` bytes. ``term`` is a leader's, or 0 from a feeder."""
+    """The entries are in a snapshot of ``size`` bytes. ``term`` is the leader's, or 0 from a feeder."""
 
     term: Number
     index: Number
@@ -110,14 +111,14 @@
 
 
 class ChunkRequest(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Send this piece of that snapshot."""
+    """Asks for one chunk of the snapshot at ``index``."""
 
     index: Number
     offset: Number
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """The piece."""
+    """One chunk of a snapshot; ``size`` is that of the whole snapshot."""
 
     index: Number
     offset: Number
@@ -126,46 +127,46 @@
 
 
 class IdentityCheck(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """A member started: does what you remember of it speak against its folder (its term, its last entry)?"""
+    """From a member that started: does your record of it contradict its directory (term and last index)?"""
 
     term: Number
     last_index: Number
 
 
 class IdentityReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """The answer for the run of that nonce."""
+    """Answers the identity check of the run with this nonce."""
 
     nonce: Number
     agrees: bool
 
 
 class FoundingRequest(msgspec.Struct, frozen=True, array_like=True, tag=14):
-    """The first founder: are you new as I am, with the same list?"""
+    """From the first founder: are you without a group too, and is your list of founders the same?"""
 
     founders: tuple[ShortText, ...]
 
 
 class FoundingReply(msgspec.Struct, frozen=True, array_like=True, tag=15):
-    """A founder without a group; ``nonce`` is that of the run that asked."""
+    """A founder's list; the envelope tells its group. ``nonce`` is that of the run that asked."""
 
     founders: tuple[ShortText, ...]
     nonce: Number
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """A leader that stops: ask for votes at once."""
+    """From a leader that stops: start an election at once."""
 
     term: Number
 
 
 class ReadIndexRequest(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """What index must I have applied to read what is current?"""
+    """Asks the leader which index must be applied before a read is current."""
 
     request_id: Number
 
 
 class ReadIndexReply(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """This one."""
+    """The index for the request with this id."""
 
     request_id: Number
     index: Number
@@ -174,9 +175,9 @@
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag=19):
     """Which versions are in force at the copies below the sender in the feed tree, merged.
 
-    ``roster`` identifies the sorted list of names that the bits of ``bitmaps`` stand for: the copies whose
-    newest version is the one at the same place of ``versions``, newest first; 0 stands for all older ones.
-    ``number`` grows within a run.
+    ``roster`` identifies the sorted list of names that the bits of ``bitmaps`` stand for: each bitmap marks
+    the copies whose newest version is the one at the same position of ``versions``, newest first; 0 stands
+    for all older ones. ``number`` grows within a run.
     """
 
     roster: Number
@@ -209,7 +210,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message, and which run of which member of which group sent it."""
+    """A message, with the group, member id and run (``generation`` and ``nonce``) of its sender."""
 
     version: Number
     group: ShortText
@@ -224,12 +225,12 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """The body of a message between copies."""
+    """Encode the body of a message between copies."""
     return _ENCODER.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope:
-    """Raises Unreadable."""
+    """Decode the body of a message. Raises UnreadableMessage."""
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/brassweir/agreed/progress.py
+++ b/brassweir/agreed/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of a copy that it replicates to; whether entries that came may be taken. Pure."""
+"""The leader's replication progress at a copy, and the check of received entries. Pure."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 @dataclass
 class Progress:
-    """What a leader knows of one copy that it replicates to."""
+    """What the leader knows of one copy that it replicates to. Times are monotonic ms."""
 
     member: str  # "" until a learner has answered
     next_index: int  # first entry not sent
     match_index: int = 0  # last entry known to be durable there
-    answered_round: int = 0  # latest round it answered
-    in_flight: int = 0  # messages with entries, unanswered
+    answered_round: int = 0  # latest heartbeat round it answered
+    in_flight: int = 0  # unanswered messages with entries
     sent_at: float = -1e18
     heard_at: float = -1e18
-    commit_sent: int = -1  # what was last told to be agreed
-    rewound_to: int = 0  # where it was last gone back to, and when
+    commit_sent: int = -1  # commit index that was sent last
+    rewound_to: int = 0  # index of the last step back, and when it was taken
     rewound_at: float = -1e18
-    until: float = 0.0  # a learner's: when its admission is given up
+    admission_deadline: float = 0.0  # a learner's: when its admission as a voter is abandoned
 
 
 def in_order(first: int, entries: tuple[Entry, ...]) -> bool:
-    """Are these the entries from ``first`` on, and can they be read?"""
+    """Whether these are the entries from ``first`` on, with memberships that can be decoded."""
     try:
         readable = all(decode_membership(entry).voters for entry in entries if entry.kind == MEMBERS)
     except msgspec.MsgspecError:
--- a/brassweir/agreed/proposals.py
+++ b/brassweir/agreed/proposals.py
@@ -1,7 +1,7 @@
-"""What this copy asks the group: proposals that take effect once however often sent, and current reads. Pure.
+"""Requests of this copy to the group: proposals, and reads at a read index. Pure.
 
-A proposal is named by session and number. Whoever leads puts it into the log; the copy that proposed learns
-of its end from the log itself. So an answer is never lost, only late, and a repeated one takes effect once.
+The leader appends a proposal, named by session and number, to the log; its copy learns the result by applying
+it. So a result may be late but is not lost, and a repeated proposal takes effect once.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
     proposal: Propose
     retry_at: float
-    sent: bool = False  # from here on it may come into a log somewhere
-    sent_to: str = ""  # the leader that it was brought to last
-    retry_ms: float = timing.RETRY_MS  # ms until it is brought to the same leader again
+    sent: bool = False  # it may be in a log somewhere
+    sent_to: str = ""  # the leader that it was sent to last
+    retry_ms: float = timing.RETRY_MS  # until it is sent to the same leader again
 
 
 @dataclass
 class PendingRead:
-    """A read that waits: for an index, then until that is applied."""
+    """A read that waits for its read index, then until that is applied."""
 
-    ticket: int  # the asker's
+    ticket: int
     deadline: float
     retry_at: float
     index: int = -1
@@ -40,9 +40,9 @@
 
 @dataclass
 class PendingReadIndex:
-    """A leader's promise to find out whether it still leads, for some asker's read."""
+    """A read index that the leader sends once a quorum has answered the heartbeat ``round``."""
 
-    asker: str
+    requester: str
     request_id: int
     index: int
     round: int
@@ -51,10 +51,9 @@
 
 @dataclass
 class DuplicateFilter:
-    """How long a leader keeps repeats of a proposal out of its log.
+    """How long a leader drops repeats of a proposal, as each one in the log goes to all copies.
 
-    A copy that is slow to learn what came of its proposal repeats it, and each repeat in the log goes to all
-    copies. It is let in now and then, as the copy may have passed over the entry by a snapshot.
+    A repeat is let in now and then: the proposer may have skipped the entry by a snapshot.
     """
 
     expires_at: float
@@ -63,11 +62,11 @@
 
 @dataclass
 class LocalRequests:
-    """What this copy has asked for."""
+    """Open requests of this copy."""
 
-    session: str  # of this run; another one once the group forgot it
+    session: str  # drawn in each run, and again once the group forgot it
     last_seq: int = 0
-    session_known: bool = False  # an entry of it took effect: until then it tells that it begins
+    session_known: bool = False  # an entry of it took effect; until then entries state that it begins
     proposals: dict[int, PendingProposal] = field(default_factory=dict)
     reads: list[PendingRead] = field(default_factory=list)
 
@@ -81,60 +80,61 @@
     duplicates: dict[tuple[str, int], DuplicateFilter]
 
     def become_leader(self) -> None:
-        """Nothing was put into the log in this term."""
+        """No proposal was appended in this term yet."""
         self.duplicates = {}
         super().become_leader()
 
-    # Proposals
-
-    def on_propose(self, fact: Propose) -> None:
-        """Take one on."""
-        if len(fact.command) > timing.MAX_COMMAND_BYTES:
-            why = f"a command of {len(fact.command)} bytes; at most {timing.MAX_COMMAND_BYTES} fit a message"
-            self.finish(fact.ticket, OutcomeKind.REFUSED, why=why)
+    def on_propose(self, event: Propose) -> None:
+        """Accept a proposal, or refuse it if it is too large or too many are open."""
+        if len(event.command) > timing.MAX_COMMAND_BYTES:
+            why = f"a command of {len(event.command)} bytes; at most {timing.MAX_COMMAND_BYTES} fit a message"
+            self.finish(event.ticket, OutcomeKind.REFUSED, why=why)
         elif len(self.requests.proposals) >= timing.MAX_PROPOSALS:
             self.finish(
-                fact.ticket, OutcomeKind.REFUSED, why=f"{timing.MAX_PROPOSALS} proposals of this copy wait"
+                event.ticket, OutcomeKind.REFUSED, why=f"{timing.MAX_PROPOSALS} proposals of this copy wait"
             )
         else:
             self.requests.last_seq += 1
-            self.requests.proposals[self.requests.last_seq] = PendingProposal(fact, self.now)
+            self.requests.proposals[self.requests.last_seq] = PendingProposal(event, self.now)
             self.send_proposal(self.requests.last_seq)
 
     def send_proposal(self, seq: int) -> None:
-        """Bring it to the leader, if one is known."""
-        waiting = self.requests.proposals[seq]
-        if self.leader != waiting.sent_to:
-            waiting.retry_ms = timing.RETRY_MS
-        waiting.retry_at, waiting.sent_to = self.now + waiting.retry_ms, self.leader
-        waiting.retry_ms = (
-            min(timing.MAX_RETRY_MS, 2.0 * waiting.retry_ms) if self.leader else timing.RETRY_MS
+        """Append a proposal as leader, or send it to the leader if one is known."""
+        pending = self.requests.proposals[seq]
+        if self.leader != pending.sent_to:
+            pending.retry_ms = timing.RETRY_MS
+        pending.retry_at, pending.sent_to = self.now + pending.retry_ms, self.leader
+        pending.retry_ms = (
+            min(timing.MAX_RETRY_MS, 2.0 * pending.retry_ms) if self.leader else timing.RETRY_MS
         )
         low = min(self.requests.proposals) if self.requests.session_known else 1
         if self.role == LEADER:
-            waiting.sent = True
-            self.append_proposal(self.requests.session, seq, low, waiting.proposal.command)
+            pending.sent = True
+            self.append_proposal(self.requests.session, seq, low, pending.proposal.command)
         elif self.leader and self.leader != self.name:
-            waiting.sent = True
-            self.send(self.leader, ForwardProposal(self.requests.session, seq, low, waiting.proposal.command))
+            pending.sent = True
+            self.send(
+                self.leader,
+                ForwardProposal(self.requests.session, seq, low, pending.proposal.command),
+            )
 
     def append_proposal(self, session: str, seq: int, low: int, command: bytes) -> None:
-        """A leader puts it into the log, unless it stands there without effect, or came there lately."""
+        """As leader append a proposal, unless it is in the log unapplied, or was appended lately."""
         key = (session, seq)
         if key in self.unapplied or self.log.last_index - self.commit_index >= timing.MAX_UNCOMMITTED:
             return
-        repeat = self.duplicates.pop(key, None)
-        if repeat is not None and self.now < repeat.expires_at:
-            self.duplicates[key] = repeat
+        duplicate = self.duplicates.pop(key, None)
+        if duplicate is not None and self.now < duplicate.expires_at:
+            self.duplicates[key] = duplicate
             return
-        span = timing.DUPLICATE_HOLD_MS if repeat is None else 2.0 * repeat.hold_ms
-        self.duplicates[key] = DuplicateFilter(self.now + span, span)
+        hold_ms = timing.DUPLICATE_HOLD_MS if duplicate is None else 2.0 * duplicate.hold_ms
+        self.duplicates[key] = DuplicateFilter(self.now + hold_ms, hold_ms)
         while len(self.duplicates) > timing.MAX_DUPLICATE_FILTERS:
             del self.duplicates[next(iter(self.duplicates))]
         self.add_entry(COMMAND, command, session, seq, low)
 
     def on_forward(self, sender: str, message: ForwardProposal) -> None:
-        """Take another copy's proposal, or pass it on."""
+        """Append another copy's proposal, or pass it on to the leader."""
         if len(message.command) > timing.MAX_COMMAND_BYTES:
             self.count_dropped("forward too large")
         elif self.role == LEADER:
@@ -143,56 +143,56 @@
             self.send(self.leader, msgspec.structs.replace(message, hops=message.hops + 1))
 
     def on_applied(self, entry: Entry, done: tuple[int, bytes, bool] | None) -> None:
-        """An entry took effect: tell whoever waits for it."""
+        """An entry took effect: complete the proposal that waits for it."""
         self.unapplied.pop((entry.session, entry.seq), None)
         if entry.session != self.requests.session:
             return
         self.requests.session_known = self.requests.session_known or done is not None
         if entry.seq not in self.requests.proposals:
             return
-        waiting = self.requests.proposals.pop(entry.seq)
+        pending = self.requests.proposals.pop(entry.seq)
         if done is None:
             self.finish(
-                waiting.proposal.ticket,
+                pending.proposal.ticket,
                 OutcomeKind.UNKNOWN,
                 why="the group no longer knows this copy's session",
             )
             self.new_session()
         else:
-            self.finish(waiting.proposal.ticket, OutcomeKind.AGREED, done[0], done[1])
+            self.finish(pending.proposal.ticket, OutcomeKind.AGREED, done[0], done[1])
 
     def new_session(self) -> None:
-        """All that waits under the old name ends unknown."""
-        for waiting in self.requests.proposals.values():
-            how = OutcomeKind.UNKNOWN if waiting.sent else OutcomeKind.REFUSED
-            self.finish(waiting.proposal.ticket, how, why="the group no longer knows this copy's session")
+        """The group forgot this session: its open proposals end, and another session begins."""
+        for pending in self.requests.proposals.values():
+            kind = OutcomeKind.UNKNOWN if pending.sent else OutcomeKind.REFUSED
+            self.finish(pending.proposal.ticket, kind, why="the group no longer knows this copy's session")
         self.requests = LocalRequests(f"{self.rng.getrandbits(64):016x}", reads=self.requests.reads)
 
     def tick_proposals(self) -> None:
-        """Try again, or give up at their time."""
-        for seq, waiting in list(self.requests.proposals.items()):
-            if self.now >= waiting.proposal.deadline:
+        """Retry proposals when due, and end those that are past their deadline."""
+        for seq, pending in list(self.requests.proposals.items()):
+            if self.now >= pending.proposal.deadline:
                 del self.requests.proposals[seq]
-                if waiting.sent:
+                if pending.sent:
                     self.finish(
-                        waiting.proposal.ticket,
+                        pending.proposal.ticket,
                         OutcomeKind.UNKNOWN,
                         why="not agreed in time; it may still come",
                     )
                 else:
-                    self.finish(waiting.proposal.ticket, OutcomeKind.REFUSED, why="no leader is known")
-            elif self.now >= waiting.retry_at or self.leader not in ("", waiting.sent_to):
+                    self.finish(pending.proposal.ticket, OutcomeKind.REFUSED, why="no leader is known")
+            elif self.now >= pending.retry_at or self.leader not in ("", pending.sent_to):
                 self.send_proposal(seq)
 
     # Reads
 
-    def on_read(self, fact: ReadCurrent) -> None:
-        """Find the index that a current read needs."""
-        self.requests.reads.append(PendingRead(fact.ticket, fact.deadline, self.now))
+    def on_read(self, event: ReadCurrent) -> None:
+        """Start a linearizable read."""
+        self.requests.reads.append(PendingRead(event.ticket, event.deadline, self.now))
         self.tick_reads()
 
     def tick_reads(self) -> None:
-        """Ask, give up, and tell those whose index is applied."""
+        """Request read indexes; complete reads whose index is applied or whose deadline has passed."""
         for reading in list(self.requests.reads):
             if 0 <= reading.index <= self.applied_index:
                 self.requests.reads.remove(reading)
@@ -208,11 +208,11 @@
                     self.send(self.leader, ReadIndexRequest(self.request_id_of(reading)))
 
     def request_id_of(self, reading: PendingRead) -> int:
-        """A number that no other run of this copy uses: an answer to an earlier run's question is too old."""
+        """An id that no other run of this copy uses: a reply to an earlier run would be too old."""
         return self.identity.nonce << 20 | reading.ticket & 0xFFFFF
 
     def on_read_index_request(self, sender: str, message: ReadIndexRequest) -> None:
-        """A leader that has agreed on an entry of its own term asks a quorum whether it still leads."""
+        """A leader that has committed in its term asks a quorum whether it still leads."""
         if self.role == LEADER and self.commit_index >= self.term_start:
             self.read_confirmations = [
                 confirm for confirm in self.read_confirmations if confirm.deadline > self.now
@@ -226,7 +226,7 @@
             self.heartbeat_at = self.now
 
     def confirm_reads(self) -> None:
-        """Answer reads whose round a quorum has answered."""
+        """Send the read indexes whose round a quorum has answered."""
         if not self.read_confirmations:
             return
         voters = self.log.membership.voters
@@ -234,17 +234,17 @@
         answered = rounds[self.log.membership.quorum - 1]
         for confirm in [confirm for confirm in self.read_confirmations if confirm.round <= answered]:
             self.read_confirmations.remove(confirm)
-            self.deliver(confirm.asker, ReadIndexReply(confirm.request_id, confirm.index))
+            self.deliver(confirm.requester, ReadIndexReply(confirm.request_id, confirm.index))
 
     def answered_round_of(self, name: str, member: str) -> int:
-        """The latest round a voter answered in this term."""
+        """The latest heartbeat round that a voter answered in this term."""
         if (name, member) == (self.name, self.identity.member):
             return self.heartbeat_round
         p = self.progress.get(name)
         return p.answered_round if p is not None and p.member == member else 0
 
     def on_read_index_reply(self, message: ReadIndexReply) -> None:
-        """The answer. Once that is applied, so is all that was told before the question."""
+        """Note the read index: the read completes once it is applied."""
         for reading in self.requests.reads:
             if self.request_id_of(reading) == message.request_id and reading.index < 0:
                 reading.index = message.index
--- a/brassweir/agreed/records.py
+++ b/brassweir/agreed/records.py
@@ -1,4 +1,4 @@
-"""What a member keeps on disk: records, and what they add up to. Pure."""
+"""Records that a member persists, and the state that they add up to. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """This member: its id, its group ("" before it has one), which of its runs this is."""
+    """This member: its id, its group ("" before it has one), and its run (``generation`` counts starts)."""
 
     member: str
     group: str
@@ -27,29 +27,29 @@
 
 
 class LogAppend(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Entries at the end of the log."""
+    """Entries appended to the log."""
 
     entries: tuple[Entry, ...]
 
 
 class Truncate(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """All entries from ``index`` on are gone."""
+    """All entries from ``index`` on are removed."""
 
     index: int
 
 
-Ack = tuple[str, int, int, int, int]  # member, its life, its nonce, leader's term, last durable index
+Ack = tuple[str, int, int, int, int]  # member, generation, nonce, leader's term, last durable index
 
 
 class Commit(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """All up to ``index`` is agreed; and what voters had durably by then."""
+    """All entries up to ``index`` are committed; ``acks``: what the voters had durably by then."""
 
     index: int
     acks: tuple[Ack, ...] = ()
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """What is remembered of a member: its last run, the (term, index) it had before that run, and in it."""
+    """A member's latest run, and the (term, index) that it had durably before and in that run."""
 
     member: str
     generation: int
@@ -59,7 +59,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """All up to ``index`` as one state: the members then, sessions and machine in ``state``."""
+    """Sessions and machine after all entries up to ``index``, and the membership at that index."""
 
     index: int
     term: int
@@ -69,7 +69,7 @@
 
 
 class Base(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The log begins behind this entry."""
+    """The log starts after this entry: it and earlier ones were compacted."""
 
     index: int
     term: int
@@ -82,23 +82,25 @@
 
 
 def add_ack(memory: dict[str, MemberRecord], ack: Ack) -> bool:
-    """Remember what a member had. False: it is of an earlier run, or of another one of the same number."""
-    member, life, nonce, *had = ack
-    old = memory.get(member, MemberRecord(member, 0, 0, (0, 0), (0, 0)))
-    if life < old.generation or life == old.generation and nonce != old.nonce:
+    """Record what a member had durably. False for an earlier run, or a second run of one generation."""
+    member, generation, nonce, *position = ack
+    previous = memory.get(member, MemberRecord(member, 0, 0, (0, 0), (0, 0)))
+    if generation < previous.generation or generation == previous.generation and nonce != previous.nonce:
         return False
-    now = (had[0], had[1])
-    if life > old.generation:
-        memory.pop(member, None)  # the latest runs stand last
-        memory[member] = MemberRecord(member, life, nonce, max(old.before_run, old.in_run), now)
-    elif now > old.in_run:
-        memory[member] = MemberRecord(member, life, nonce, old.before_run, now)
+    latest = (position[0], position[1])
+    if generation > previous.generation:
+        memory.pop(member, None)  # keeps the members in order of their latest start
+        memory[member] = MemberRecord(
+            member, generation, nonce, max(previous.before_run, previous.in_run), latest
+        )
+    elif latest > previous.in_run:
+        memory[member] = MemberRecord(member, generation, nonce, previous.before_run, latest)
     return True
 
 
 @dataclass
 class Persisted:
-    """What records add up to."""
+    """The state that a sequence of records adds up to."""
 
     identity: Identity = Identity("", "", 0, 0)
     ballot: Ballot = Ballot(0, "")
@@ -109,7 +111,7 @@
     member_records: dict[str, MemberRecord] = field(default_factory=dict)
 
     def replay(self, records: Iterable[Record]) -> None:
-        """Add records. Raises ValueError if they cannot follow these."""
+        """Apply records in order. Raises ValueError if one contradicts the state."""
         for record in records:
             match record:
                 case Identity():
@@ -145,7 +147,7 @@
         return self.base.index + len(self.entries)
 
     def to_records(self) -> list[Record]:
-        """Records that add up to this."""
-        found: list[Record] = [self.identity, self.ballot, *self.member_records.values(), self.base]
-        found += [] if self.snapshot is None else [self.snapshot]
-        return [*found, LogAppend(tuple(self.entries)), Commit(self.commit_index)]
+        """Records that add up to this state."""
+        records: list[Record] = [self.identity, self.ballot, *self.member_records.values(), self.base]
+        records += [] if self.snapshot is None else [self.snapshot]
+        return [*records, LogAppend(tuple(self.entries)), Commit(self.commit_index)]
--- a/brassweir/agreed/reorder_buffer.py
+++ b/brassweir/agreed/reorder_buffer.py
@@ -1,4 +1,4 @@
-"""Messages that came ahead of others: the others may only be late, so a few are kept for a while. Pure."""
+"""Buffer for messages that arrive ahead of others, which may be late or lost. Pure."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class ReorderBuffer(Generic[M]):
-    """Messages by the first entry they carry, and since when something is missing before one of them."""
+    """Messages by the first entry they carry, and since when entries before one of them are missing."""
 
-    def __init__(self, most: int) -> None:
-        self.max_messages = most
+    def __init__(self, max_messages: int) -> None:
+        self.max_messages = max_messages
         self.messages: dict[int, M] = {}
         self.gap_since: float | None = None
         self.missing = 0
 
     def add(self, first: int, message: M | None, now: float) -> None:
-        """Something is missing before this; None is not worth keeping. Of too many the nearest are kept."""
+        """Note a gap before ``first`` and buffer the message, if any. Too many: the furthest is dropped."""
         if self.gap_since is None:
             self.gap_since = now
         if message is not None:
@@ -28,25 +28,25 @@
                 del self.messages[max(self.messages)]
 
     def pop_following(self, index: int, now: float) -> M | None:
-        """A message that carries the entry ``index``, which is the next one, or an earlier one."""
+        """Take out a message that starts at or before ``index``, the next entry; None if there is none."""
         first = min(self.messages, default=index + 1)
         if first > index:
             if not self.messages:
                 self.gap_since = None
-            elif index != self.missing:  # something else than before
+            elif index != self.missing:  # another gap than before
                 self.gap_since = now
             self.missing = index
             return None
         return self.messages.pop(first)
 
     def clear(self) -> None:
-        """Nothing is missing."""
+        """Drop all messages."""
         self.messages, self.gap_since = {}, None
 
     def gap_deadline(self) -> float:
-        """When what is missing is taken for lost."""
+        """When missing entries count as lost."""
         return float("inf") if self.gap_since is None else self.gap_since + timing.GAP_WAIT_MS
 
     def overdue(self, now: float) -> bool:
-        """Is it?"""
+        """Whether missing entries count as lost."""
         return now >= self.gap_deadline()
--- a/brassweir/agreed/replica.py
+++ b/brassweir/agreed/replica.py
@@ -1,4 +1,4 @@
-"""What agreed entries make: the machine, and sessions so that no repeated proposal runs twice. Pure."""
+"""Applies committed entries: the machine, and sessions so that a repeated proposal runs once. Pure."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Machine(Protocol):
-    """The replicated state. Deterministic; a command that makes no sense yields an error result."""
+    """The replicated state machine. Deterministic; an invalid command yields an error result."""
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Carry one command out and say what came of it. Never raises."""
+        """Apply one command and return its result. Never raises."""
 
     def snapshot(self) -> bytes:
-        """All of it."""
+        """Encode the whole state."""
 
     def restore(self, data: bytes) -> None:
-        """Become what that snapshot says."""
+        """Replace the state by a snapshot's."""
 
 
 class Session(msgspec.Struct, array_like=True):
-    """What a session has had done: the lowest open number it told, and results from there on by number."""
+    """Results of a session's proposals by number, from its lowest open number on."""
 
     lowest_open: int
     results: dict[int, tuple[int, bytes]]
@@ -41,39 +41,41 @@
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
         self.sessions: dict[str, Session] = {}
-        self.blank = machine.snapshot()
+        self.initial_state = machine.snapshot()
 
     def apply(self, entry: Entry) -> tuple[int, bytes, bool] | None:
-        """Index and result of the proposal, and whether it ran just now. None: its session is not known."""
+        """Apply a proposal: its index, result, and whether it ran now. None if its session is unknown."""
         if not entry.session:
             return entry.index, self.machine.apply(entry.index, entry.data), True
-        done = self.sessions.pop(entry.session, None)
-        if done is None:
+        session = self.sessions.pop(entry.session, None)
+        if session is None:
             if entry.lowest_open > 1:
                 return None
-            done = Session(1, {})
-        self.sessions[entry.session] = done  # now the most recently used
+            session = Session(1, {})
+        self.sessions[entry.session] = session  # now the most recently used
         while len(self.sessions) > timing.MAX_SESSIONS:
             del self.sessions[next(iter(self.sessions))]
-        if entry.seq < done.lowest_open:
+        if entry.seq < session.lowest_open:
             return None
-        if entry.seq in done.results:
-            return *done.results[entry.seq], False
-        done.lowest_open = max(done.lowest_open, entry.lowest_open)
+        if entry.seq in session.results:
+            return *session.results[entry.seq], False
+        session.lowest_open = max(session.lowest_open, entry.lowest_open)
         result = self.machine.apply(entry.index, entry.data)
-        done.results = {seq: was for seq, was in done.results.items() if seq >= done.lowest_open}
-        done.results[entry.seq] = (entry.index, result)
+        session.results = {
+            seq: result for seq, result in session.results.items() if seq >= session.lowest_open
+        }
+        session.results[entry.seq] = (entry.index, result)
         return entry.index, result, True
 
     def snapshot(self) -> bytes:
-        """All of it."""
+        """Encode sessions and machine."""
         return msgspec.msgpack.encode(_Image(list(self.sessions.items()), self.machine.snapshot()))
 
     def restore(self, data: bytes) -> None:
-        """Become what that snapshot says; b"": the beginning. Raises msgspec.MsgspecError."""
+        """Replace the state by a snapshot's; b"" is the initial state. Raises msgspec.MsgspecError."""
         if not data:
             self.sessions = {}
-            self.machine.restore(self.blank)
+            self.machine.restore(self.initial_state)
             return
         image = msgspec.msgpack.decode(data, type=_Image)
         self.sessions = dict(image.sessions)
--- a/brassweir/agreed/snapshot_pacing.py
+++ b/brassweir/agreed/snapshot_pacing.py
@@ -1,7 +1,7 @@
-"""How fast a feeder sends pieces of snapshots: a budget of bytes an interval, over all that ask. Pure.
+"""Paces snapshot chunks by a byte budget per interval, over all receivers. Pure.
 
-Entries that are fed count against the same budget and are never held back by it: pieces get what is left, and
-one piece an interval in any case. Those that ask are served in turn.
+Entries that are fed are charged to the same budget but never delayed by it: chunks get what is left, and in
+any case one chunk per interval. Receivers are served in turn.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedChunk:
-    """A piece of a snapshot that a copy asked for."""
+    """A chunk of a snapshot that a copy requested."""
 
     name: str
     index: int
@@ -21,16 +21,16 @@
 
 
 class SnapshotPacer:
-    """Pieces asked for and not sent, and what was sent in this interval."""
+    """Chunks requested and not sent, and the bytes spent in this interval."""
 
     def __init__(self) -> None:
         self.queued: dict[str, list[QueuedChunk]] = {}
-        self._begun = -1e18
-        self._spent = 0  # bytes
-        self._sent = False  # a piece
+        self._interval_start = -1e18
+        self._spent_bytes = 0  # bytes
+        self._chunk_sent = False  # a piece
 
     def enqueue(self, piece: QueuedChunk) -> None:
-        """Take one on. One that waits already, or too many of one copy, are passed over."""
+        """Queue a chunk. Ignores duplicates, and chunks beyond the limits per copy and of copies."""
         if piece.name not in self.queued and len(self.queued) >= timing.MAX_FETCHING_COPIES:
             return
         waiting = self.queued.setdefault(piece.name, [])
@@ -38,29 +38,29 @@
             waiting.append(piece)
 
     def charge(self, now: float, size: int) -> None:
-        """Bytes were sent that are not held back."""
-        self._begin(now)
-        self._spent += size
+        """Charge bytes that were sent without delay."""
+        self._start_interval(now)
+        self._spent_bytes += size
 
     def next(self, now: float) -> QueuedChunk | None:
-        """The next piece that may be sent now."""
-        self._begin(now)
-        if not self.queued or self._sent and self._spent >= timing.CHUNK_BUDGET_BYTES:
+        """The next chunk that may be sent now, or None."""
+        self._start_interval(now)
+        if not self.queued or self._chunk_sent and self._spent_bytes >= timing.CHUNK_BUDGET_BYTES:
             return None
         name = next(iter(self.queued))
         waiting = self.queued.pop(name)
         piece = waiting.pop(0)
         if waiting:
-            self.queued[name] = waiting  # now the last one in turn
-        self._sent = True
-        self._spent += timing.CHUNK_BYTES
+            self.queued[name] = waiting  # to the end of the round
+        self._chunk_sent = True
+        self._spent_bytes += timing.CHUNK_BYTES
         return piece
 
     def next_time(self) -> float:
-        """When pieces that wait may go."""
-        return self._begun + timing.CHUNK_INTERVAL_MS if self.queued else float("inf")
+        """When queued chunks may be sent."""
+        return self._interval_start + timing.CHUNK_INTERVAL_MS if self.queued else float("inf")
 
-    def _begin(self, now: float) -> None:
-        """Begin an interval if the last one is over."""
-        if now - self._begun >= timing.CHUNK_INTERVAL_MS:
-            self._begun, self._spent, self._sent = now, 0, False
+    def _start_interval(self, now: float) -> None:
+        """Start an interval if the last one is over."""
+        if now - self._interval_start >= timing.CHUNK_INTERVAL_MS:
+            self._interval_start, self._spent_bytes, self._chunk_sent = now, 0, False
--- a/brassweir/agreed/snapshot_transfer.py
+++ b/brassweir/agreed/snapshot_transfer.py
@@ -1,7 +1,7 @@
-"""Snapshots in pieces: a receiver asks for them, a feeder sends them at its pace. Pure.
+"""Snapshots in chunks: a receiver requests them, a feeder sends them within a byte budget. Pure.
 
-Equal places of snapshots mean equal bytes on all copies, so a fetch that was begun at one feeder goes on at
-another one that offers the same.
+Snapshots at the same index have the same bytes on all copies, so a transfer can continue from another feeder
+that offers the same one.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 
 @dataclass
 class SnapshotFetch:
-    """A snapshot on its way here."""
+    """A snapshot that is being received. Times are monotonic ms."""
 
     sender: str
     index: int
     size: int
-    check_at: float  # when to look for pieces that did not come
-    progressed_at: float  # when the last piece came
+    check_at: float  # when to look for overdue chunks
+    progressed_at: float  # when the last chunk came
     chunks: dict[int, bytes] = field(default_factory=dict)
     requested: dict[int, float] = field(default_factory=dict)
-    next_offset: int = 0  # the first piece never asked for
-    response_ms: float = 0.0  # ms a piece takes to come, smoothed
+    next_offset: int = 0  # first offset never requested
+    response_ms: float = 0.0  # exponential moving average of a chunk's response time
 
     def switch_sender(self, sender: str) -> None:
-        """Go on at another feeder with the same snapshot."""
+        """Continue with the same snapshot from another feeder."""
         self.sender, self.next_offset, self.response_ms = sender, 0, 0.0
         self.requested.clear()
 
     def take_due(self, now: float) -> list[int]:
-        """Pieces to ask for now: those that did not come in time, then the next ones."""
-        patience = max(timing.CHUNK_RETRY_MS, 3.0 * self.response_ms)
-        due = [at for at, asked in self.requested.items() if now - asked >= patience]
+        """Offsets to request now: those that are overdue, then new ones up to the window."""
+        timeout_ms = max(timing.CHUNK_RETRY_MS, 3.0 * self.response_ms)
+        due = [at for at, asked in self.requested.items() if now - asked >= timeout_ms]
         while self.next_offset < self.size and len(self.requested) < timing.CHUNK_WINDOW:
             if self.next_offset not in self.chunks:
                 due.append(self.next_offset)
@@ -51,7 +51,7 @@
         return due
 
     def add_chunk(self, message: SnapshotChunk, now: float) -> bool:
-        """A piece. True if it was the last one."""
+        """Store a chunk. Returns whether it was the last one."""
         asked = self.requested.pop(message.offset, None)
         if asked is not None:
             gain = 0.25 if self.chunks else 1.0
@@ -62,19 +62,19 @@
 
 
 class SnapshotTransfer(LearnerFeed):
-    """Sending and receiving snapshots."""
+    """Sends and receives snapshots."""
 
     fetch: SnapshotFetch | None = None
 
     # The feeder's side
 
     def on_chunk_request(self, sender: str, message: ChunkRequest) -> None:
-        """Send a piece when its turn comes, or tell of a newer snapshot by silence."""
+        """Queue a chunk. No answer if the snapshot is gone: the next pull is offered a newer one."""
         if message.index in self.outgoing_snapshots:
             self.pacing.enqueue(QueuedChunk(sender, message.index, message.offset))
 
     def send_chunks(self) -> None:
-        """Send pieces as far as the budget goes, and forget snapshots that nobody asks for."""
+        """Send queued chunks as far as the budget goes, and drop snapshots that nobody requests."""
         while (piece := self.pacing.next(self.now)) is not None:
             sending = self.outgoing_snapshots.get(piece.index)
             if sending is not None:
@@ -94,46 +94,46 @@
     # The receiver's side
 
     def fetch_from(self, sender: str, index: int, size: int) -> None:
-        """Fetch what is offered, unless another fetch gets on."""
-        f = self.fetch
-        if f is not None and (f.index, f.size) == (index, size):
-            if f.sender != sender:
-                f.switch_sender(sender)
-        elif f is None or self.now - f.progressed_at > timing.FETCH_STALLED_MS:
+        """Fetch the offered snapshot, unless another fetch makes progress."""
+        fetch = self.fetch
+        if fetch is not None and (fetch.index, fetch.size) == (index, size):
+            if fetch.sender != sender:
+                fetch.switch_sender(sender)
+        elif fetch is None or self.now - fetch.progressed_at > timing.FETCH_STALLED_MS:
             self.fetch = SnapshotFetch(sender, index, size, self.now, self.now)
         self.tick_fetch()
 
     def tick_fetch(self) -> None:
-        """Ask for pieces that are missing."""
-        f = self.fetch
-        if f is None or self.now < f.check_at:
+        """Request chunks when due."""
+        fetch = self.fetch
+        if fetch is None or self.now < fetch.check_at:
             return
-        f.check_at = self.now + timing.CHUNK_CHECK_MS
-        self.request_chunks(f)
+        fetch.check_at = self.now + timing.CHUNK_CHECK_MS
+        self.request_chunks(fetch)
 
-    def request_chunks(self, f: SnapshotFetch) -> None:
-        """Ask for what is due."""
-        for at in f.take_due(self.now):
-            self.send(f.sender, ChunkRequest(f.index, at))
+    def request_chunks(self, fetch: SnapshotFetch) -> None:
+        """Request overdue and new chunks."""
+        for at in fetch.take_due(self.now):
+            self.send(fetch.sender, ChunkRequest(fetch.index, at))
 
     def accept_chunk(self, sender: str, message: SnapshotChunk) -> bool:
-        """A piece. True if it belongs to what is fetched."""
-        f = self.fetch
-        if f is None or (message.index, message.size) != (f.index, f.size):
+        """Store a received chunk. Returns whether it belongs to the snapshot that is being fetched."""
+        fetch = self.fetch
+        if fetch is None or (message.index, message.size) != (fetch.index, fetch.size):
             return False
         if message.offset % timing.CHUNK_BYTES or len(message.data) != min(
-            timing.CHUNK_BYTES, f.size - message.offset
+            timing.CHUNK_BYTES, fetch.size - message.offset
         ):
             return False
-        if not f.add_chunk(message, self.now):
-            self.request_chunks(f)
+        if not fetch.add_chunk(message, self.now):
+            self.request_chunks(fetch)
             return True
         self.fetch = None
-        self.unpack_snapshot(b"".join(f.chunks[at] for at in sorted(f.chunks)))
+        self.unpack_snapshot(b"".join(fetch.chunks[at] for at in sorted(fetch.chunks)))
         return True
 
     def unpack_snapshot(self, data: bytes) -> None:
-        """All pieces together: the snapshot and its checksum."""
+        """Verify the checksum of the received bytes and install the snapshot."""
         if google_crc32c.value(data[:-4]).to_bytes(4, "little") != data[-4:]:
             self.count_dropped("snapshot damaged")
             return
--- a/brassweir/agreed/status.py
+++ b/brassweir/agreed/status.py
@@ -1,4 +1,4 @@
-"""What a member shows to operators, and the port it asks for."""
+"""What a member shows to operators, and the network port that it needs."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Port(Protocol):
-    """What carries messages between copies; ``brassweir.peers`` has the real one."""
+    """Carries messages between copies; ``brassweir.peers`` implements it."""
 
     def send(self, to: str, kind: str, body: bytes) -> bool:
-        """Send, perhaps in vain."""
+        """Send a message. Delivery is not guaranteed."""
 
     def on(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
-        """Hear (sender's proven name, body)."""
+        """Register a handler of (authenticated sender name, body)."""
 
 
 @dataclass
 class Status:
-    """What operators see. ``trouble``: why this copy takes no part; "" if it does."""
+    """Status for operators. ``trouble``: why this copy takes no part; "" if it does."""
 
     name: str
     trouble: str = "not started"
@@ -35,7 +35,7 @@
     last: int = 0
     agreed: int = 0
     applied: int = 0
-    age_ms: float = -1.0  # since a leader surely led; -1: never heard
+    age_ms: float = -1.0  # since a leader surely led; -1: never
     voters: list[str] = field(default_factory=list)
     learners: list[str] = field(default_factory=list)  # fed by this copy
     feeder: str = ""
@@ -44,14 +44,14 @@
 
 
 def status_of(core: Core, trouble: str, dropped: dict[str, int]) -> Status:
-    """A running member as it stands."""
-    age, mine = core.leader_age(), core.identity
+    """Status of a running core."""
+    age, identity = core.leader_age(), core.identity
     return Status(
         core.name,
         trouble or core.write_error,
-        mine.group,
-        mine.member,
-        mine.generation,
+        identity.group,
+        identity.member,
+        identity.generation,
         core.identity_confirmed or not core.is_voter,
         core.role,
         core.leader,
--- a/brassweir/agreed/store.py
+++ b/brassweir/agreed/store.py
@@ -1,9 +1,9 @@
-"""The member's folder: a base and a log behind it, by the journal's storage port. Calls wait for the disk.
+"""The member's directory: a base and a log after it, by the journal's storage port. Calls block on the disk.
 
-``base-N`` holds all records up to its writing; ``log-N`` what came since, one frame a write. A frame is
-synced before the next is written, so damage with a good frame behind it is no torn write: the member does not
-start.
-``log-N`` is there before ``base-N`` gets its name, so one without the other is loss, not a crash.
+``base-N`` holds the whole state at its writing; ``log-N`` the records since then, one frame per write. A
+frame is synced before the next is written, so damage with an intact frame after it is no torn write: the
+member does not start. ``log-N`` is created before ``base-N`` gets its name, so one without the other is loss,
+not a crash.
 """
 
 from __future__ import annotations
@@ -27,56 +27,56 @@
 
 
 class StoreDamaged(Exception):
-    """The folder cannot be trusted. The text names file and place, and what to do."""
+    """The directory cannot be trusted. The text names file and position, and what to do."""
 
 
 def frame(number: int, records: tuple[Record, ...]) -> bytes:
-    """One write."""
+    """Encode one write."""
     payload = _ENCODER.encode(records)
     crc = google_crc32c.value(struct.pack("<QI", number, len(payload)) + payload)
     return _FRAME.pack(FRAME_MARK, number, len(payload), crc) + payload
 
 
 def unframe(data: bytes, at: int, number: int | None = None) -> tuple[int, bytes, int] | None:
-    """Number, payload and end of the frame at ``at``; None if there is no good one."""
+    """Number, payload and end of the frame at ``at``; None if there is no intact one."""
     if len(data) - at < _FRAME.size:
         return None
-    mark, found, length, crc = _FRAME.unpack_from(data, at)
+    mark, frame_number, length, crc = _FRAME.unpack_from(data, at)
     payload = data[at + _FRAME.size : at + _FRAME.size + length]
-    if mark != FRAME_MARK or len(payload) != length or number not in (None, found):
+    if mark != FRAME_MARK or len(payload) != length or number not in (None, frame_number):
         return None
-    if google_crc32c.value(struct.pack("<QI", found, length) + payload) != crc:
+    if google_crc32c.value(struct.pack("<QI", frame_number, length) + payload) != crc:
         return None
-    return found, payload, at + _FRAME.size + length
+    return frame_number, payload, at + _FRAME.size + length
 
 
 def read_frames(name: str, data: bytes) -> list[tuple[Record, ...]]:
-    """All writes of a file, without a torn last one. Raises Damaged."""
+    """All writes of a file, without a torn last one. Raises StoreDamaged."""
     if not data.startswith(MAGIC):
         raise StoreDamaged(f"{name}: not a log of this program: {RECOVERY_ADVICE}")
     at = len(MAGIC)
-    found: list[tuple[Record, ...]] = []
+    writes: list[tuple[Record, ...]] = []
     while at < len(data):
-        good = unframe(data, at, len(found))
-        if good is None:
+        intact = unframe(data, at, len(writes))
+        if intact is None:
             later = at
             while (later := data.find(FRAME_MARK, later + 1)) >= 0:
-                behind = unframe(data, later)
-                if behind is not None and behind[0] > len(found):
+                later_frame = unframe(data, later)
+                if later_frame is not None and later_frame[0] > len(writes):
                     raise StoreDamaged(
                         f"{name}: damage at byte {at} with good writes behind it: {RECOVERY_ADVICE}"
                     )
             break
         try:
-            found.append(_DECODER.decode(good[1]))
+            writes.append(_DECODER.decode(intact[1]))
         except msgspec.MsgspecError as error:
             raise StoreDamaged(f"{name}: byte {at}: {error}: written by a later version?") from None
-        at = good[2]
-    return found
+        at = intact[2]
+    return writes
 
 
 def recover(storage: Storage) -> tuple[Persisted, int]:
-    """What a folder holds, and its number; Kept() and 0 if it is new. Raises Damaged, OSError."""
+    """State and file number of a directory; ``Persisted()`` and 0 if new. Raises StoreDamaged, OSError."""
     names = set(storage.names()) - {LOCK_NAME}
     numbers = [int(name[5:]) for name in names if name.startswith("base-") and name[5:].isdigit()]
     if not numbers:
@@ -87,12 +87,12 @@
     if f"log-{number}" not in names:
         raise StoreDamaged(f"log-{number} is missing: {RECOVERY_ADVICE}")
     base = storage.read(f"base-{number}")
-    whole = unframe(base, len(MAGIC), 0)
-    if not base.startswith(MAGIC) or whole is None:
+    base_frame = unframe(base, len(MAGIC), 0)
+    if not base.startswith(MAGIC) or base_frame is None:
         raise StoreDamaged(f"base-{number} is damaged: {RECOVERY_ADVICE}")
     kept = Persisted()
     try:
-        kept.replay(_DECODER.decode(whole[1]))
+        kept.replay(_DECODER.decode(base_frame[1]))
         for records in read_frames(f"log-{number}", storage.read(f"log-{number}")):
             kept.replay(records)
     except (msgspec.MsgspecError, ValueError) as error:
@@ -101,10 +101,10 @@
 
 
 class Store:
-    """Writes the folder. After any error it is of no use: open another one."""
+    """Writes the directory. After any error it is unusable: open another one."""
 
     def __init__(self, storage: Storage, rng: Random) -> None:
-        """Read the folder and count this run in it, durably. Raises Damaged, OSError."""
+        """Read the directory and count this run in it, durably. Raises StoreDamaged, OSError."""
         self.storage = storage
         kept, self.number = recover(storage)
         member = kept.identity.member or f"{rng.getrandbits(64):016x}"
@@ -114,13 +114,13 @@
         self.write_whole(tuple(self.persisted.to_records()))
 
     def write(self, records: tuple[Record, ...]) -> None:
-        """Add one write; returns once it is durable. Raises OSError."""
+        """Append one write; durable on return. Raises OSError."""
         self.storage.append(f"log-{self.number}", frame(self.frame_count, records))
         self.storage.sync(f"log-{self.number}")
         self.frame_count += 1
 
     def write_whole(self, records: tuple[Record, ...]) -> None:
-        """Begin a new base with these in place of all; durable on return. Raises OSError."""
+        """Start a new base with these records in place of all others; durable on return. Raises OSError."""
         number, storage = self.number + 1, self.storage
         storage.create(f"log-{number}")
         storage.append(f"log-{number}", MAGIC)
--- a/tests/agreed/drawn.py
+++ b/tests/agreed/drawn.py
@@ -1,4 +1,4 @@
-"""A drawn world of grants: six copies in three regions, two sources of epochs, and every message asked for everywhere."""
+"""A random simulation of grants: six copies in three regions, two sources of epochs, all messages tried."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class World:
-    """One run, from a seed. ``tape`` is what the judge reads."""
+    """One run, from a seed. The judge reads ``tape``."""
 
     def __init__(self, seed: int) -> None:
         self.draw = random.Random(seed)
@@ -57,30 +57,32 @@
         except commands.CommandError:
             return  # too many ranges
         self.machine.apply(self.machine.state.index + 1, command)
-        held = self.machine.state.epoch
-        if held is not None and (not self.log or self.log[-1] != held):
-            self.log.append(held)
-            if publisher(held) is Source.FILE:
-                self.files.append(held)  # head office goes on from what it was handed
+        agreed = self.machine.state.epoch
+        if agreed is not None and (not self.log or self.log[-1] != agreed):
+            self.log.append(agreed)
+            if publisher(agreed) is Source.FILE:
+                self.files.append(agreed)  # head office goes on from what it was handed
 
     def known(self) -> Epoch:
-        """The newest of both sources."""
-        return max((self.files[-1], *self.log[-1:]), key=lambda one: (one.turn, one.number, one.issued))
+        """The newest epoch of both sources."""
+        return max(
+            (self.files[-1], *self.log[-1:]), key=lambda epoch: (epoch.turn, epoch.number, epoch.issued)
+        )
 
     def hand(self) -> None:
         """Hand over to the other source."""
         if publisher(self.known()) is Source.FILE:
-            made = planning.handed_over(self.known(), self.now + self.office)
-            self.publish(made, self.machine.state.granted)
-            if self.machine.state.epoch == made:
-                self.files.append(made)
+            epoch = planning.handed_over(self.known(), self.now + self.office)
+            self.publish(epoch, self.machine.state.granted)
+            if self.machine.state.epoch == epoch:
+                self.files.append(epoch)
         else:
             self.publish(
                 planning.handed_over(self.known(), self.now + self.office), self.machine.state.granted
             )
 
     def plan(self, base: Epoch, now: float) -> Epoch:
-        """A move of a large range, or a region drained."""
+        """Move a large range, or drain a region."""
         if self.draw.random() < 0.3:
             return planning.drained(base, self.draw.choice(NAMES), now, LEASE, ASSUMED).epoch
         low = self.draw.randrange(7) * (PLACES // 12)
@@ -88,75 +90,75 @@
             base, low, low + PLACES // 2, self.draw.choice(NAMES), now, LEASE, ASSUMED
         ).epoch
 
-    def change(self, what: str, copy: Site) -> None:
-        """What a publisher does: head office by its file, or a copy (any may think that it leads) by the log."""
-        draw, state, last = self.draw, self.machine.state, self.known()
-        if publisher(last) is Source.FILE or state.epoch is None:
+    def change(self, kind: str, copy: Site) -> None:
+        """Publish as head office does by its file, or as a copy that thinks it leads does by the log."""
+        draw, state, newest = self.draw, self.machine.state, self.known()
+        if publisher(newest) is Source.FILE or state.epoch is None:
             now = self.now + self.office
             self.files.append(
-                planning.renewed(last, now, LEASE, ASSUMED) if what == "renew" else self.plan(last, now)
+                planning.renewed(newest, now, LEASE, ASSUMED) if kind == "renew" else self.plan(newest, now)
             )
             return
         wall, trusted = copy.wall(self.now), copy.view.clock_trusted(copy.wall(self.now))
-        if what == "renew":
-            step = LeaseRenewal().step(
+        if kind == "renew":
+            decision = LeaseRenewal().step(
                 self.now,
                 RenewalInputs(
                     True, wall, trusted, state.epoch, state.granted, LEASE, ASSUMED, lost=frozenset(self.lost)
                 ),
             )
-            if isinstance(step, ProposeRenewal):
-                self.publish(step.epoch, step.after)
+            if isinstance(decision, ProposeRenewal):
+                self.publish(decision.epoch, decision.after)
             return
         base = draw.choice(
             [one for one in self.log[-12:] if one.issued < self.now - 9_000.0] or self.log[-3:]
         )  # a stale view
-        made = self.plan(base, self.now + draw.choice((0.0, 0.0, -60_000.0)))
-        if what == "desired" and trusted:  # planned anew by the copy
-            made = msgspec.structs.replace(
-                made, number=max(made.number, state.epoch.number + draw.randrange(2))
+        epoch = self.plan(base, self.now + draw.choice((0.0, 0.0, -60_000.0)))
+        if kind == "desired" and trusted:  # planned anew by the copy
+            epoch = msgspec.structs.replace(
+                epoch, number=max(epoch.number, state.epoch.number + draw.randrange(2))
             )
-            found = reconciled(made, state.epoch, wall, LEASE, ASSUMED)
-            if found is not None:
-                self.publish(found[0], state.granted, found[1] if found[1] in self.lost else "")
+            proposed = reconciled(epoch, state.epoch, wall, LEASE, ASSUMED)
+            if proposed is not None:
+                self.publish(proposed[0], state.granted, proposed[1] if proposed[1] in self.lost else "")
         elif (
-            what == "raw"
+            kind == "raw"
         ):  # as it was planned: a sender of another making, or one that works from a stale state
             turn = state.epoch.turn + (draw.random() < 0.3)
-            made = msgspec.structs.replace(
-                made,
+            epoch = msgspec.structs.replace(
+                epoch,
                 turn=turn,
                 number=state.epoch.number + draw.randrange(2),
-                issued=max(made.issued, state.epoch.issued),
+                issued=max(epoch.issued, state.epoch.issued),
             )
             self.hear(2)
-            self.publish(made, draw.choice((state.granted, state.granted, max(0, state.granted - 1))))
+            self.publish(epoch, draw.choice((state.granted, state.granted, max(0, state.granted - 1))))
             self.hear(3)
 
     def hear(self, many: int) -> None:
-        """Some copies are set to the right source, and hear of the newest."""
+        """Some copies are set to the right source, and learn the newest epoch."""
         for one in self.draw.sample(self.copies, many):
             one.source = publisher(self.known())
             one.learn(self.known())
 
     def lose(self) -> None:
-        """A region is gone for good: its senders are stopped, its places taken over."""
-        gone = self.draw.choice(NAMES)
-        if self.lost or gone not in {one.region for one in self.known().grants}:
+        """A region is lost for good: its senders stop, its places are taken over."""
+        region = self.draw.choice(NAMES)
+        if self.lost or region not in {one.region for one in self.known().grants}:
             return
-        self.lost.add(gone)
-        self.copies = [one for one in self.copies if one.region != gone]
+        self.lost.add(region)
+        self.copies = [one for one in self.copies if one.region != region]
         last = self.known()
-        made = planning.taken_over(
-            last, gone, self.now + self.office, LEASE, ASSUMED, LossStatement(True, True)
+        epoch = planning.taken_over(
+            last, region, self.now + self.office, LEASE, ASSUMED, LossStatement(True, True)
         ).epoch
         if publisher(last) is Source.FILE:
-            self.files.append(made)
+            self.files.append(epoch)
         else:
-            self.publish(made, self.machine.state.granted, gone)
+            self.publish(epoch, self.machine.state.granted, region)
 
     def fork(self) -> None:
-        """All have taken a hand-over to the log, and a head office of before goes on: renewals and moves from its state."""
+        """All copies have taken a handover to the log, and head office goes on from an older state."""
         if publisher(self.known()) is Source.FILE:
             return
         for one in self.copies:
@@ -175,35 +177,35 @@
             one.learn(wild)
 
     def event(self) -> None:
-        draw, what = self.draw, self.draw.choice(EVENTS)
+        draw, kind = self.draw, self.draw.choice(EVENTS)
         copy = draw.choice(self.copies)
-        if what in ("renew", "desired", "raw"):
-            self.change(what, copy)
-        elif what == "read":
+        if kind in ("renew", "desired", "raw"):
+            self.change(kind, copy)
+        elif kind == "read":
             for one in draw.sample(self.copies, 2):
-                heard = self.files if one.source is Source.FILE else self.log
-                if heard:
-                    one.learn(heard[-1] if draw.random() < 0.7 else draw.choice(heard[-4:]))
-        elif what == "step":
+                epochs = self.files if one.source is Source.FILE else self.log
+                if epochs:
+                    one.learn(epochs[-1] if draw.random() < 0.7 else draw.choice(epochs[-4:]))
+        elif kind == "step":
             copy.offset += draw.choice((-100_000.0, -40_000.0, -10_000.0, 10_000.0, 40_000.0, 100_000.0))
-        elif what in ("back", "restart", "older"):  # its operator has looked at the clock
+        elif kind in ("back", "restart", "older"):  # its operator has looked at the clock
             copy.offset = draw.uniform(-ERROR, ERROR)
             copy.restart(
-                copy.view.epoch if what != "older" or not copy.durable else draw.choice(copy.durable[-3:]),
+                copy.view.epoch if kind != "older" or not copy.durable else draw.choice(copy.durable[-3:]),
                 self.now,
             )
-        elif what == "switch":
+        elif kind == "switch":
             right = publisher(self.known())
             for one in self.copies:
                 if draw.random() < 0.7:
                     one.source = right
-        elif what == "hand" and draw.random() < 0.3:
+        elif kind == "hand" and draw.random() < 0.3:
             self.hand()
-        elif what == "fork":
+        elif kind == "fork":
             self.fork() if draw.random() < 0.7 else self.lose()
 
     def pass_on(self) -> None:
-        """Time: often to just before or after where a grant begins or ends, on some clock."""
+        """Advance the time, often to just before or after a grant begins or ends, on some clock."""
         edges = [
             edge + by
             for one in self.known().grants
@@ -218,7 +220,7 @@
         )
 
     def ask(self) -> None:
-        """Each message that may be asked for, at each copy."""
+        """Try every message that may be tried, at every copy."""
         for _ in range(2):
             stamp = self.now + self.draw.uniform(-ERROR, ERROR) if self.draw.random() < 0.6 else None
             self.messages[f"m{len(self.messages)}"] = (self.now, stamp)
--- a/tests/agreed/drawn_copies.py
+++ b/tests/agreed/drawn_copies.py
@@ -1,4 +1,4 @@
-"""The copies of the drawn world of grants, and the judge of its tape."""
+"""Copies of the random simulation of grants, and its judge."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def twice(tape: list[Taken]) -> set[str]:
-    """The judge, from the tape alone: messages that two regions took."""
-    by: dict[str, set[str]] = {}
+    """The judge: messages on the tape that two regions took."""
+    regions_of: dict[str, set[str]] = {}
     for message, region, begins, ends in tape:
         if begins < ends:
-            by.setdefault(message, set()).add(region)
-    return {message for message, regions in by.items() if len(regions) > 1}
+            regions_of.setdefault(message, set()).add(region)
+    return {message for message, regions in regions_of.items() if len(regions) > 1}
 
 
 @dataclass
 class Site:
-    """One copy: its view, what its disk has held, its clock's error and the source it is set to."""
+    """One copy: its view, its durable epochs, its clock's error and the source it is set to."""
 
     region: str
     view: Ownership
@@ -45,6 +45,6 @@
             pass
 
     def restart(self, epoch: Epoch | None, now: float) -> None:
-        """Its operator has looked at the clock: it is right when it is first read."""
+        """Restart after an operator has set the clock."""
         self.view = Ownership(self.region, ASSUMED, epoch)
         self.wall(now)
--- a/tests/agreed/faults.py
+++ b/tests/agreed/faults.py
@@ -1,4 +1,4 @@
-"""Cores with one guard taken out each: what must be seen broken by whoever judges from outside."""
+"""Cores without one safeguard each, whose faults the judges must detect."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 class NoPreVote(Core):
-    def campaign(self, pre: bool, called: bool = False) -> None:
-        super().campaign(False, called)
+    def campaign(self, pre: bool, transfer: bool = False) -> None:
+        super().campaign(False, transfer)
 
 
 class CountsOlderTerms(Core):
@@ -56,7 +56,7 @@
 
 
 class LostVotesAsBefore(Core):
-    """Its id is its name: one that lost its folder goes on as the one it was."""
+    """Its id is its name: after a lost directory it goes on as the same member."""
 
     runs = 0
 
--- a/tests/agreed/feedworld.py
+++ b/tests/agreed/feedworld.py
@@ -1,4 +1,4 @@
-"""A simulated floor whose links carry so many bytes a second, with large commands and copies left behind."""
+"""A simulated group whose links have a bandwidth; sends large commands and counts messages."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FeedWorld(World):
-    """What a copy sends waits for what it sent before."""
+    """Messages of a copy wait on its link for those sent before."""
 
     def __init__(
         self,
@@ -60,26 +60,26 @@
         return body
 
     def longest_silence(self) -> float:
-        """The most ms between two messages of a leader to voters, as they left its link."""
+        """The longest time in ms between two messages of a leader to voters, as they left its link."""
         spans = [b - a for times in self.beats.values() for a, b in pairwise(times)]
         return max(spans)
 
     def sent(self, kind: str, to: str = "") -> int:
-        """Messages of a kind, to one copy or to all."""
+        """Number of messages of a kind, to one copy or to all."""
         return sum(count for (name, what), count in self.kinds.items() if what == kind and to in ("", name))
 
     def version(self, parts: int = 125, size: int = 5_600) -> None:
-        """Many commands at once."""
+        """Propose many commands at once, as a new configuration version does."""
         for _ in range(parts):
             self.command(size)
 
-    def until(self, done: Callable[[], bool], most: float, every: float = 20.0) -> float:
-        """Let time pass until ``done()``; how long that took, or ``most``."""
-        begin = self.now
-        while self.now < begin + most and not done():
-            self.run(self.now + every)
-        return self.now - begin
+    def until(self, done: Callable[[], bool], max_ms: float, step_ms: float = 20.0) -> float:
+        """Run until ``done()``; returns how long that took, at most ``max_ms``."""
+        started = self.now
+        while self.now < started + max_ms and not done():
+            self.run(self.now + step_ms)
+        return self.now - started
 
     def have(self, count: int, names: tuple[str, ...] = ()) -> bool:
-        """Do these copies have so many commands?"""
+        """Whether these copies have applied so many commands."""
         return all(len(self.nodes[name].machine.taken) >= count for name in names or self.names)
--- a/tests/agreed/grants_samples.py
+++ b/tests/agreed/grants_samples.py
@@ -1,4 +1,4 @@
-"""The first epoch that the agreed log publishes."""
+"""The first epoch that the log publishes."""
 
 from __future__ import annotations
 
--- a/tests/agreed/machines.py
+++ b/tests/agreed/machines.py
@@ -1,4 +1,4 @@
-"""A first epoch of the agreed log, and a command carried out by a machine."""
+"""Samples for tests of the replicated machine."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 FIRST = msgspec.structs.replace(sample_epoch(), turn=1)
 
 
-def do(one: Machine, command: Command | bytes, level: int = 1) -> Result:
+def do(machine: Machine, command: Command | bytes, level: int = 1) -> Result:
     data = command if isinstance(command, bytes) else encode(command, level)
-    return commands.decode_result(one.apply(one.state.index + 1, data))
+    return commands.decode_result(machine.apply(machine.state.index + 1, data))
--- a/tests/agreed/test_acknowledge.py
+++ b/tests/agreed/test_acknowledge.py
@@ -1,4 +1,4 @@
-"""A message kind that older versions do not know does no harm to them, nor the fact to a plain core."""
+"""Older versions drop a message of an unknown kind; a plain core ignores it, and its event."""
 
 from __future__ import annotations
 
@@ -39,11 +39,13 @@
     for name in world.names:
         core = world.nodes[name].core
         assert core is not None
-        mine = core.identity
-        envelope = m.Envelope(1, mine.group, "m", 1, 7, ENVELOPE.body)
-        steps = core.step(world.now, [VersionInForce(3), Received("x", envelope)])
+        identity = core.identity
+        envelope = m.Envelope(1, identity.group, "m", 1, 7, ENVELOPE.body)
+        actions = core.step(world.now, [VersionInForce(3), Received("x", envelope)])
         assert not [
-            step for step in steps if isinstance(step, Send) and isinstance(step.envelope.body, m.Acknowledge)
+            action
+            for action in actions
+            if isinstance(action, Send) and isinstance(action.envelope.body, m.Acknowledge)
         ]
     world.propose("l1")
     world.run(world.now + 2_000.0)
--- a/tests/agreed/test_drawn.py
+++ b/tests/agreed/test_drawn.py
@@ -1,4 +1,4 @@
-"""What the drawn world of grants sees: nothing of the rules as they are, and each of these taken out, in a few runs."""
+"""The random simulation of grants: no fault with all rules, and one with each rule removed, in a few runs."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 Patch = pytest.MonkeyPatch
 
 
-def _nothing(*_: object) -> None:
-    """In the place of a check."""
+def _no_check(*_: object) -> None:
+    """Replaces a check."""
 
 
-def _deaf_to(why: Reason) -> Callable[[Patch], None]:
-    """A copy that takes a message all the same."""
-    right = Ownership.refusal
+def _ignoring(reason: Reason) -> Callable[[Patch], None]:
+    """A copy that ignores this reason for a refusal."""
+    original = Ownership.refusal
 
-    def may(self: Ownership, *given: object) -> OwnershipRefusal | None:
-        found = right(self, *given)  # type: ignore[arg-type]
-        return None if found is not None and found.reason is why else found
+    def refusal_but(self: Ownership, *args: object) -> OwnershipRefusal | None:
+        refusal = original(self, *args)  # type: ignore[arg-type]
+        return None if refusal is not None and refusal.reason is reason else refusal
 
-    return lambda patch: patch.setattr(Ownership, "refusal", may)
+    return lambda patch: patch.setattr(Ownership, "refusal", refusal_but)
 
 
-def _turns(patch: Patch) -> None:
-    """Both that hold the turn: each alone refuses what the other would."""
-    patch.setattr(sources, "check_source", _nothing)
-    patch.setattr(ownership, "check_follows", _nothing)
+def _without_turns(patch: Patch) -> None:
+    """Removes both checks of the turn: each alone refuses what the other would."""
+    patch.setattr(sources, "check_source", _no_check)
+    patch.setattr(ownership, "check_follows", _no_check)
 
 
 BROKEN: dict[str, Callable[[Patch], None]] = {
-    "the log cuts leases short": lambda patch: patch.setattr(machine, "check_succeeds", _nothing),
-    "the log hands over and moves in one": lambda patch: patch.setattr(machine, "check_source", _nothing),
-    "a copy follows both sources": _turns,
-    "a copy asks not who was before": lambda patch: patch.setattr(Ownership, "_previous_grant", _nothing),
-    "a copy goes on after its lease": _deaf_to(Reason.LAPSED),
-    "a copy begins before its grant": _deaf_to(Reason.MOVING),
+    "the log cuts leases short": lambda patch: patch.setattr(machine, "check_succeeds", _no_check),
+    "the log hands over and moves in one": lambda patch: patch.setattr(machine, "check_source", _no_check),
+    "a copy follows both sources": _without_turns,
+    "a copy asks not who was before": lambda patch: patch.setattr(Ownership, "_previous_grant", _no_check),
+    "a copy goes on after its lease": _ignoring(Reason.LAPSED),
+    "a copy begins before its grant": _ignoring(Reason.MOVING),
     "a copy believes any clock": lambda patch: patch.setattr(Ownership, "clock_trusted", lambda *_: True),
     "a plan forgets who was before": lambda patch: patch.setattr(planning, "_retained_past", lambda *_: ()),
     "a move waits for nobody": lambda patch: patch.setattr(planning, "moved", without_wait(planning.moved)),
--- a/tests/agreed/test_feed_window.py
+++ b/tests/agreed/test_feed_window.py
@@ -1,4 +1,4 @@
-"""A window that reordered messages filled is confirmed: what comes next is not held back until the next pull."""
+"""A window that reordered messages filled is confirmed at once, not at the next regular pull."""
 
 from __future__ import annotations
 
--- a/tests/agreed/test_feeding.py
+++ b/tests/agreed/test_feeding.py
@@ -1,4 +1,4 @@
-"""A version of many commands reaches learners in windows; what is late, lost or doubled costs little."""
+"""Feeding many commands to learners: windows, reordering, loss, duplicates, older versions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OlderLearner(Core):
-    """Says with a pull only from where on it lacks entries, and keeps nothing that came early."""
+    """States with a pull only the first missing entry, and buffers nothing."""
 
     def pull(self) -> None:
         self.send(self.feeder, m.PullEntries(self.commit_index + 1))
@@ -39,7 +39,7 @@
 
 
 class OlderFeeder(Core):
-    """Knows nothing of the end of what is missing."""
+    """Ignores the last missing entry of a pull."""
 
     def on_pull(self, sender: str, message: m.PullEntries) -> None:
         super().on_pull(sender, m.PullEntries(message.first))
--- a/tests/agreed/test_fetching.py
+++ b/tests/agreed/test_fetching.py
@@ -1,4 +1,4 @@
-"""Snapshots come in paced pieces: many that fetch hold up neither entries nor beats, and a fetch goes on."""
+"""Snapshot transfer: paced chunks delay neither entries nor heartbeats; it continues elsewhere."""
 
 from __future__ import annotations
 
@@ -13,53 +13,56 @@
 
 
 def test_pieces_go_in_turn_within_a_budget() -> None:
-    pacing = SnapshotPacer()
-    for at in range(100):
+    pacer = SnapshotPacer()
+    for offset in range(100):
         for name in ("a", "b"):
-            pacing.enqueue(QueuedChunk(name, 1, at))
-            pacing.enqueue(QueuedChunk(name, 1, at))
+            pacer.enqueue(QueuedChunk(name, 1, offset))
+            pacer.enqueue(QueuedChunk(name, 1, offset))
     sent = []
-    while (piece := pacing.next(0.0)) is not None:
-        sent.append(piece)
+    while (chunk := pacer.next(0.0)) is not None:
+        sent.append(chunk)
     assert (
         len(sent) * timing.CHUNK_BYTES <= timing.CHUNK_BUDGET_BYTES
-        and pacing.next_time() == timing.CHUNK_INTERVAL_MS
+        and pacer.next_time() == timing.CHUNK_INTERVAL_MS
     )
-    assert [piece.name for piece in sent[:4]] == ["a", "b", "a", "b"]
-    assert [piece.offset for piece in sent[:4]] == [0, 0, 1, 1]
-    pacing.charge(
+    assert [chunk.name for chunk in sent[:4]] == ["a", "b", "a", "b"]
+    assert [chunk.offset for chunk in sent[:4]] == [0, 0, 1, 1]
+    pacer.charge(
         timing.CHUNK_INTERVAL_MS, timing.CHUNK_BUDGET_BYTES
     )  # entries: they are not held back, pieces are
-    assert pacing.next(timing.CHUNK_INTERVAL_MS) is not None and pacing.next(timing.CHUNK_INTERVAL_MS) is None
+    assert pacer.next(timing.CHUNK_INTERVAL_MS) is not None and pacer.next(timing.CHUNK_INTERVAL_MS) is None
     left = 0
-    while pacing.queued:
-        left += pacing.next(1e6 + left * timing.CHUNK_INTERVAL_MS) is not None
+    while pacer.queued:
+        left += pacer.next(1e6 + left * timing.CHUNK_INTERVAL_MS) is not None
     assert left + len(sent) + 1 == 2 * timing.CHUNK_WINDOW
     for i in range(2 * timing.MAX_FETCHING_COPIES):
-        pacing.enqueue(QueuedChunk(f"copy {i}", 1, 0))
-    assert len(pacing.queued) == timing.MAX_FETCHING_COPIES
+        pacer.enqueue(QueuedChunk(f"copy {i}", 1, 0))
+    assert len(pacer.queued) == timing.MAX_FETCHING_COPIES
 
 
 def test_a_fetch_asks_again_for_what_did_not_come_and_goes_on_elsewhere() -> None:
     size = 40 * timing.CHUNK_BYTES - 10
     fetch = SnapshotFetch("a", 9, size, 0.0, 0.0)
     first = fetch.take_due(0.0)
-    assert first == [at * timing.CHUNK_BYTES for at in range(timing.CHUNK_WINDOW)] and not fetch.take_due(
-        10.0
-    )
-    for at in first[1:]:
-        assert not fetch.add_chunk(SnapshotChunk(9, at, size, b""), 20.0)
+    assert first == [
+        offset * timing.CHUNK_BYTES for offset in range(timing.CHUNK_WINDOW)
+    ] and not fetch.take_due(10.0)
+    for offset in first[1:]:
+        assert not fetch.add_chunk(SnapshotChunk(9, offset, size, b""), 20.0)
     following = fetch.take_due(20.0)
     assert len(following) == timing.CHUNK_WINDOW - 1 and first[0] not in following
     assert first[0] in fetch.take_due(timing.CHUNK_RETRY_MS)
     fetch.switch_sender("b")
     assert fetch.sender == "b" and not set(fetch.take_due(600.0)) & set(first[1:])
-    missing = [at for at in range(0, size, timing.CHUNK_BYTES) if at not in fetch.chunks]
-    assert [fetch.add_chunk(SnapshotChunk(9, at, size, b""), 700.0) for at in missing][-2:] == [False, True]
+    missing = [offset for offset in range(0, size, timing.CHUNK_BYTES) if offset not in fetch.chunks]
+    assert [fetch.add_chunk(SnapshotChunk(9, offset, size, b""), 700.0) for offset in missing][-2:] == [
+        False,
+        True,
+    ]
 
 
 def filled(seed: int, learners: int, commands: int = 180) -> FeedWorld:
-    """All have a snapshot of 0.7 MB and some entries after it."""
+    """All copies have a snapshot of 0.7 MB and some entries after it."""
     world = FeedWorld(seed, learners, Weather(snap=128))
     for _ in range(commands // 60):
         world.version(60, 5_600)
@@ -69,10 +72,10 @@
     return world
 
 
-def leaves(world: FeedWorld, most: int) -> tuple[str, ...]:
-    """Learners that feed nobody."""
+def leaves(world: FeedWorld, count: int) -> tuple[str, ...]:
+    """Learners that feed no other copy."""
     cores = [world.nodes[name].core for name in world.names]
-    return tuple(core.name for core in cores if core and core.role == "learner" and not core.children)[:most]
+    return tuple(core.name for core in cores if core and core.role == "learner" and not core.children)[:count]
 
 
 @pytest.mark.parametrize(
--- a/tests/agreed/test_grants_clocks.py
+++ b/tests/agreed/test_grants_clocks.py
@@ -1,4 +1,4 @@
-"""Grants through the log under drawn schedules: clocks that step by a minute or an hour, and each guard left out."""
+"""Grants through the log with clocks that step by a minute or an hour, and each safeguard removed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class World:
-    """One log; three regions of one copy each, with own clocks; clients that ask anywhere while they may."""
+    """One log; three regions of one copy each, with clocks of their own; clients that ask anywhere."""
 
     machine: Machine = field(default_factory=Machine)
     log: list[Epoch] = field(default_factory=list)
@@ -152,7 +152,7 @@
 
 
 def asked_at_all_times(world: World, low: int, high: int, until: float) -> bool:
-    """Is a message of these places taken by two, asked for everywhere as long as it may be?"""
+    """Whether two regions take a message of these places that is tried everywhere while it may be."""
     for born in range(int(world.now), int(until), 5_000):
         name = f"{identity_in(low, high)}"
         world.took.clear()
--- a/tests/agreed/test_machine_versions.py
+++ b/tests/agreed/test_machine_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the replicated machine side by side: they never differ, and one log makes one form of bytes."""
+"""Versions of the machine side by side: results never differ, and one log yields the same bytes."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 class Drop(Command, frozen=True, tag="drop"):
-    """What only the next version knows."""
+    """A command that only the next version knows."""
 
     site: str
 
 
 class Newer(Machine):
-    """The next version: level 2 brings a command."""
+    """The next version: level 2 adds a command."""
 
     level = 2
 
@@ -58,13 +58,13 @@
 
 
 def side_by_side(versions: list[Machine], log: list[bytes]) -> list[bytes]:
-    """Digests at each index that differ, over those that can go on."""
-    apart = []
+    """Commands after which results or digests differ between versions that can go on."""
+    differing = []
     for index, data in enumerate(log, 1):
-        results = {one.apply(index, data) for one in versions if not one.unsupported}
-        if len({one.digest() for one in versions if not one.unsupported}) > 1 or len(results) > 1:
-            apart.append(data)
-    return apart
+        results = {version.apply(index, data) for version in versions if not version.unsupported}
+        if len({version.digest() for version in versions if not version.unsupported}) > 1 or len(results) > 1:
+            differing.append(data)
+    return differing
 
 
 ROLLING = [
@@ -93,9 +93,9 @@
         old.snapshot()
     with pytest.raises(StateError, match="level 2 is agreed"):
         Machine().restore(new.snapshot())
-    again = Newer()
-    again.restore(new.snapshot())
-    assert again.digest() == new.digest() and again.snapshot() == new.snapshot()
+    restored = Newer()
+    restored.restore(new.snapshot())
+    assert restored.digest() == new.digest() and restored.snapshot() == new.snapshot()
 
 
 def test_without_the_level_s_rule_versions_differ(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -111,13 +111,13 @@
 
 
 def test_a_format_needs_every_member() -> None:
-    one = Newer()
-    assert do(one, Format(2)).why.endswith("none is known")
-    do(one, Join("a", "s", "r", 2))
-    do(one, Join("b", "s", "r", 1))
-    assert do(one, Format(2)).why == "not all members read level 2: b"
-    do(one, Leave("b"))
-    assert do(one, Format(2)).ok and do(one, Join("b", "s", "r", 1)).field == "reads"
+    newer = Newer()
+    assert do(newer, Format(2)).why.endswith("none is known")
+    do(newer, Join("a", "s", "r", 2))
+    do(newer, Join("b", "s", "r", 1))
+    assert do(newer, Format(2)).why == "not all members read level 2: b"
+    do(newer, Leave("b"))
+    assert do(newer, Format(2)).ok and do(newer, Join("b", "s", "r", 1)).field == "reads"
 
 
 names = st.sampled_from(["a", "b", "c"])
@@ -150,15 +150,15 @@
 @given(logs, st.integers(0, 30))
 @settings(max_examples=200, deadline=None)
 def test_the_same_log_makes_the_same_bytes_whenever_a_copy_began(log: list[bytes], cut: int) -> None:
-    whole, later = Newer(), Newer()
+    whole, restored = Newer(), Newer()
     for index, data in enumerate(log, 1):
         whole.apply(index, data)
         if index == min(cut, len(log)):
-            later.restore(whole.snapshot())
+            restored.restore(whole.snapshot())
         elif index > cut:
-            later.apply(index, data)
+            restored.apply(index, data)
     if log and cut:
-        assert later.snapshot() == whole.snapshot() and later.pins == whole.pins == sum(
+        assert restored.snapshot() == whole.snapshot() and restored.pins == whole.pins == sum(
             map(len, whole.state.placements.values())
         )
     assert not side_by_side([Machine(), Newer()], log)
--- a/tests/agreed/test_member.py
+++ b/tests/agreed/test_member.py
@@ -1,4 +1,4 @@
-"""Members over real files and an in-memory network: proposing anywhere, stopping, full disks, damaged folders."""
+"""Members over real files and an in-memory network: proposals, restarts, full disks, damage."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Net:
-    """Carries messages within the process, each in a turn of its own."""
+    """Carries messages within the process, each in a later turn of the loop."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, Callable[[str, bytes], None]] = {}
@@ -44,7 +44,7 @@
 
 
 class Tight(DirectoryStorage):
-    """A folder on a disk that may be full."""
+    """A directory on a disk that may be full."""
 
     full = False
 
@@ -57,24 +57,24 @@
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    for what, ms in (
+    for name, ms in (
         ("ELECTION_MS", 250.0),
         ("HEARTBEAT_MS", 50.0),
         ("FOUNDING_INTERVAL_MS", 50.0),
         ("PULL_RETRY_MS", 50.0),
     ):
-        monkeypatch.setattr(timing, what, ms)
+        monkeypatch.setattr(timing, name, ms)
 
 
-def group(net: Net, folder: Path, names: tuple[str, ...] = ("a", "b", "c", "d")) -> list[Member]:
-    return [Member(name, folder / name, Pile(), net.port(name), ("a", "b", "c"), names) for name in names]
+def group(net: Net, directory: Path, names: tuple[str, ...] = ("a", "b", "c", "d")) -> list[Member]:
+    return [Member(name, directory / name, Pile(), net.port(name), ("a", "b", "c"), names) for name in names]
 
 
-async def led(members: list[Member]) -> Member:
+async def wait_for_leader(members: list[Member]) -> Member:
     while True:
-        found = [member for member in members if member.status().role == "leader"]
-        if found:
-            return found[0]
+        leaders = [member for member in members if member.status().role == "leader"]
+        if leaders:
+            return leaders[0]
         await asyncio.sleep(0.01)
 
 
@@ -82,34 +82,34 @@
     async def work() -> None:
         net = Net()
         members = group(net, tmp_path)
-        seen: list[tuple[int, bytes, bytes]] = []
-        members[3].on_apply.append(lambda *args: seen.append(args))
+        applied: list[tuple[int, bytes, bytes]] = []
+        members[3].on_apply.append(lambda *args: applied.append(args))
         for member in members:
             await member.start()
-        leader = await led(members)
+        leader = await wait_for_leader(members)
         for i, member in enumerate(members):
             outcome = await member.propose(f"{i}".encode(), 8_000.0)
             assert outcome.how is OutcomeKind.AGREED and member.status().applied >= outcome.index, outcome
         assert (await members[3].read(5_000.0)).how is OutcomeKind.AGREED
-        assert [command for _, command, _ in seen] == [b"0", b"1", b"2", b"3"]
+        assert [command for _, command, _ in applied] == [b"0", b"1", b"2", b"3"]
         too_large = await leader.propose(b"x" * 6_001, 1_000.0)
         assert too_large.how is OutcomeKind.REFUSED and "6001 bytes" in too_large.why
         net.handlers["b"]("a", b"\x93junk")
         assert members[1].status().dropped["unreadable"] == 1
         await leader.stop()
-        rest = [member for member in members if member is not leader]
-        assert (await led(rest)).name != leader.name
-        for member in rest:
+        others = [member for member in members if member is not leader]
+        assert (await wait_for_leader(others)).name != leader.name
+        for member in others:
             await member.stop()
         assert (await leader.propose(b"late", 100.0)).how is OutcomeKind.REFUSED
-        again = group(net, tmp_path)
-        for member in again:
+        restarted = group(net, tmp_path)
+        for member in restarted:
             await member.start()
             assert member.status().agreed >= 5 and member.status().life == 2
-        await led(again)
-        assert (await again[3].propose(b"4", 8_000.0)).how is OutcomeKind.AGREED
-        assert again[3].machine.taken == [b"0", b"1", b"2", b"3", b"4"]  # type: ignore[attr-defined]
-        for member in again:
+        await wait_for_leader(restarted)
+        assert (await restarted[3].propose(b"4", 8_000.0)).how is OutcomeKind.AGREED
+        assert restarted[3].machine.taken == [b"0", b"1", b"2", b"3", b"4"]  # type: ignore[attr-defined]
+        for member in restarted:
             await member.stop()
 
     run(work())
@@ -120,40 +120,43 @@
 ) -> None:
     async def work() -> None:
         monkeypatch.setattr(module, "REOPEN_SECONDS", 0.05)
-        one = Member("a", lambda: Tight(tmp_path), Pile(), Net().port("a"), ("a",))
-        await one.start()
-        await led([one])
-        assert (await one.propose(b"1", 5_000.0)).how is OutcomeKind.AGREED
+        member = Member("a", lambda: Tight(tmp_path), Pile(), Net().port("a"), ("a",))
+        await member.start()
+        await wait_for_leader([member])
+        assert (await member.propose(b"1", 5_000.0)).how is OutcomeKind.AGREED
         Tight.full = True
-        lost = await one.propose(b"2", 5_000.0)
-        assert lost.how is OutcomeKind.UNKNOWN and "No space left" in lost.why
-        assert "No space left" in one.status().trouble
-        assert (await one.propose(b"3", 5_000.0)).how is OutcomeKind.REFUSED
+        unknown = await member.propose(b"2", 5_000.0)
+        assert unknown.how is OutcomeKind.UNKNOWN and "No space left" in unknown.why
+        assert "No space left" in member.status().trouble
+        assert (await member.propose(b"3", 5_000.0)).how is OutcomeKind.REFUSED
         Tight.full = False
-        await led([one])
-        assert (await one.propose(b"4", 5_000.0)).how is OutcomeKind.AGREED
-        assert one.machine.taken in ([b"1", b"4"], [b"1", b"2", b"4"])  # type: ignore[attr-defined]
-        await one.stop()
+        await wait_for_leader([member])
+        assert (await member.propose(b"4", 5_000.0)).how is OutcomeKind.AGREED
+        assert member.machine.taken in ([b"1", b"4"], [b"1", b"2", b"4"])  # type: ignore[attr-defined]
+        await member.stop()
 
     run(work())
 
 
 def test_a_damaged_folder_is_refused_with_one_clear_error(tmp_path: Path) -> None:
     async def work() -> None:
-        one = Member("a", tmp_path, Pile(), Net().port("a"), ("a",))
-        await one.start()
-        await led([one])
+        member = Member("a", tmp_path, Pile(), Net().port("a"), ("a",))
+        await member.start()
+        await wait_for_leader([member])
         for i in range(5):
-            await one.propose(b"%d" % i, 5_000.0)
-        await one.stop()
+            await member.propose(b"%d" % i, 5_000.0)
+        await member.stop()
         log = next(tmp_path.glob("log-*"))
         data = bytearray(log.read_bytes())
         data[len(data) // 2] ^= 1
         log.write_bytes(data)
-        two = Member("a", tmp_path, Pile(), Net().port("a"), ("a",))
-        await two.start()
-        assert "damage at byte" in two.status().trouble and "set the folder aside" in two.status().trouble
-        assert (await two.propose(b"x", 100.0)).how is OutcomeKind.REFUSED
-        await two.stop()
+        restarted = Member("a", tmp_path, Pile(), Net().port("a"), ("a",))
+        await restarted.start()
+        assert (
+            "damage at byte" in restarted.status().trouble
+            and "set the folder aside" in restarted.status().trouble
+        )
+        assert (await restarted.propose(b"x", 100.0)).how is OutcomeKind.REFUSED
+        await restarted.stop()
 
     run(work())
--- a/tests/agreed/test_model.py
+++ b/tests/agreed/test_model.py
@@ -1,4 +1,4 @@
-"""The exhaustive model: a short walk holds; guards taken out are found by walking, or by moves made by hand."""
+"""The exhaustive model: a short walk holds; missing safeguards are found by walking or by scripted moves."""
 
 from __future__ import annotations
 
--- a/tests/agreed/test_noise.py
+++ b/tests/agreed/test_noise.py
@@ -1,4 +1,4 @@
-"""Whatever an authenticated copy sends, a core drops or bears; it never raises."""
+"""No message of an authenticated copy makes a core raise."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def drawn(kind: Any, rng: Random) -> Any:
-    """A value of a field's type."""
+    """A random value of a field's type."""
     small = rng.choice((0, 1, 2, 3, 4, 7, 1 << 40))
     if kind is m.Entry:
         data = msgspec.msgpack.encode(m.Membership((("a", "aa"), ("b", "bb"))))
