--- a/tests/agreed/test_review_disk.py
+++ b/tests/agreed/test_review_disk.py
@@ -1,4 +1,4 @@
-"""A write that did not happen is never taken for durable, whatever stopped it; and what may come is not refused."""
+"""A failed write never counts as durable; a stopped member ends its calls as unknown, not refused."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Short(DirectoryStorage):
-    """Memory is short for one write."""
+    """One write fails for lack of memory."""
 
     short = False
 
@@ -32,9 +32,9 @@
 
 def test_no_later_write_covers_one_that_ended_otherwise(tmp_path: Path) -> None:
     async def go() -> list[Event]:
-        facts: list[Event] = []
+        events: list[Event] = []
         storage = Short(tmp_path)
-        disk = Disk(lambda: storage, facts.append)
+        disk = Disk(lambda: storage, events.append)
         await disk.open(Random(1))
         storage.short = True
         for token in (1, 2):
@@ -43,7 +43,7 @@
                 await asyncio.sleep(0.001)
         await disk.close()
         disk.shutdown()
-        return facts
+        return events
 
     first = run(go())[0]
     assert isinstance(first, WriteFailed), "the first write is lost, and a later one must not stand for it"
@@ -51,33 +51,33 @@
 
 def test_what_was_sent_before_a_contradiction_is_unknown_at_the_stop(tmp_path: Path) -> None:
     async def go() -> Outcome:
-        one = Member("a", tmp_path / "a", Pile(), Net().port("a"), ("a",), ("a",))
-        await one.start()
+        member = Member("a", tmp_path / "a", Pile(), Net().port("a"), ("a",), ("a",))
+        await member.start()
         for _ in range(400):
             await asyncio.sleep(0.005)
-            if one.status().role == "leader":
+            if member.status().role == "leader":
                 break
-        asked = asyncio.create_task(one.propose(b"x", 5_000.0))
+        call = asyncio.create_task(member.propose(b"x", 5_000.0))
         await asyncio.sleep(0)
-        core = one.core
+        core = member.core
         assert core is not None
         step = core.step
 
-        def contradicts(now: float, facts: list[Event]) -> list[object]:
-            step(now, facts)
+        def contradicts(now: float, events: list[Event]) -> list[object]:
+            step(now, events)
             raise AssertionError("it cannot be")
 
         core.step = contradicts  # type: ignore[assignment,method-assign]
-        while one.core is not None:
+        while member.core is not None:
             await asyncio.sleep(0.001)
-        await one.stop()
-        return await asked
+        await member.stop()
+        return await call
 
     assert run(go()).how is OutcomeKind.UNKNOWN
 
 
 class Later(Pile):
-    """What it is to become is of a later version."""
+    """Its snapshots are of a later version."""
 
     def restore(self, data: bytes) -> None:
         if data != b"\x90":
@@ -86,18 +86,18 @@
 
 def test_a_version_that_cannot_read_the_state_stands_still_and_the_process_lives(tmp_path: Path) -> None:
     async def go() -> tuple[str, str]:
-        net, folder = Net(), tmp_path / "a"
-        one = Member("a", folder, Pile(), net.port("a"), ("a",), ("a",))
-        await one.start()
-        while one.status().role != "leader":
+        net, directory = Net(), tmp_path / "a"
+        member = Member("a", directory, Pile(), net.port("a"), ("a",), ("a",))
+        await member.start()
+        while member.status().role != "leader":
             await asyncio.sleep(0.005)
-        assert one.core is not None
-        assert (await one.propose(b"x", 5_000.0)).how is OutcomeKind.AGREED
-        one.core.snapshot_every = 1
-        assert (await one.propose(b"y", 5_000.0)).how is OutcomeKind.AGREED
-        snap = one.core.snapshot
-        await one.stop()
-        old = Member("a", folder, Later(), net.port("a"), ("a",), ("a",))
+        assert member.core is not None
+        assert (await member.propose(b"x", 5_000.0)).how is OutcomeKind.AGREED
+        member.core.snapshot_every = 1
+        assert (await member.propose(b"y", 5_000.0)).how is OutcomeKind.AGREED
+        snap = member.core.snapshot
+        await member.stop()
+        old = Member("a", directory, Later(), net.port("a"), ("a",), ("a",))
         await old.start()
         new = Member("b", tmp_path / "b", Later(), net.port("b"), ("a",), ("a", "b"))
         await new.start()
@@ -106,9 +106,9 @@
         for _ in range(100):
             new.submit(CopiesChanged(("a", "b")))
             await asyncio.sleep(0.005)
-        found = old.status().trouble, new.status().trouble
+        troubles = old.status().trouble, new.status().trouble
         await new.stop()
         await old.stop()
-        return found
+        return troubles
 
     assert all("later version" in trouble for trouble in run(go()))
--- a/tests/agreed/test_review_memory.py
+++ b/tests/agreed/test_review_memory.py
@@ -1,4 +1,4 @@
-"""Who may vote after a restart: nobody waits for ever, and nobody is forgotten too early."""
+"""Identity checks after a restart: a voter is not kept waiting, and records are kept long enough."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class NotWooed(Core):
-    """Asks what others remember only where its own log says that it votes."""
+    """Checks its identity only if its own log says that it votes."""
 
     def needs_identity_check(self) -> bool:
         return not self.identity_confirmed and self.is_voter
@@ -39,13 +39,13 @@
     world.run(world.now + 6_000.0)
     leader = str(world.leader())
     world.change("l1", True)
-    one = world.nodes[leader].core
-    assert one is not None
-    while "l1" not in one.log.membership.names():
+    leader_core = world.nodes[leader].core
+    assert leader_core is not None
+    while "l1" not in leader_core.log.membership.names():
         world.run(world.now + 0.1)
     world.crash("l1", "lost", 50.0)  # the entry that admits it is still on its way
     world.run(world.now + 20.0)
-    assert one.durable_index >= one.log.membership_index
+    assert leader_core.durable_index >= leader_core.log.membership_index
     world.crash(leader, "kept", 60.0)
     world.run(world.now + 20_000.0)
     assert (world.leader() is not None) is (core is Core)
@@ -64,7 +64,7 @@
     "entries, agrees", [((4,) * 20, False), ((4,) * 10 + (5, 5), True), ((4,) * 10 + (5,), False)]
 )
 def test_a_long_log_of_an_older_term_hides_no_forgotten_entry(entries: tuple[int, ...], agrees: bool) -> None:
-    """The leader of 5 has had 11 and 12 from a; the folder of a is one of term 5 from before or after that."""
+    """The leader of 5 had 11 and 12 from a; the directory of a is of term 5, from before or after that."""
     voters = Membership((("a", "ma"), ("b", "mb"), ("c", "mc")))
     base, log = Base(0, 0, voters, 0), [Entry(i + 1, term, 0) for i, term in enumerate(entries)]
     b = Core("b", Persisted(Identity("mb", "g", 1, 7), Ballot(5, ""), base), Pile(), Random(1), 0.0)
@@ -85,11 +85,11 @@
         0.0,
         ("a", "b", "c"),
     )
-    asked = [
+    checks = [
         step.envelope
         for step in a.step(2.0, [])
         if isinstance(step, Send) and isinstance(step.envelope.body, IdentityCheck)
     ]
-    write = next(step for step in b.step(3.0, [Received("a", asked[0])]) if isinstance(step, Write))
-    told = [step.envelope.body for step in b.step(4.0, [Written(write.token)]) if isinstance(step, Send)]
-    assert [body.agrees for body in told if isinstance(body, IdentityReply)] == [agrees]
+    write = next(step for step in b.step(3.0, [Received("a", checks[0])]) if isinstance(step, Write))
+    replies = [step.envelope.body for step in b.step(4.0, [Written(write.token)]) if isinstance(step, Send)]
+    assert [body.agrees for body in replies if isinstance(body, IdentityReply)] == [agrees]
--- a/tests/agreed/test_review_readmit.py
+++ b/tests/agreed/test_review_readmit.py
@@ -1,4 +1,4 @@
-"""A readmission that a crash of the leader cuts in two is ended by the next leader."""
+"""A readmission that is interrupted by a crash of the leader is completed by the next leader."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
     for name in world.names:  # the two that vote, and the one that is to
         world.crash(name, "torn", 100.0)
     world.run(world.now + 20_000.0)
-    found: list[Core] = [node.core for node in world.nodes.values() if node.core is not None]
-    assert all(core.log.membership.names() == ["v1", "v2", "v3"] for core in found) and world.leader()
+    cores: list[Core] = [node.core for node in world.nodes.values() if node.core is not None]
+    assert all(core.log.membership.names() == ["v1", "v2", "v3"] for core in cores) and world.leader()
 
 
 def test_one_that_an_operator_took_out_stays_out() -> None:
     world = World(4)
     world.run(5_000.0)
-    out = next(name for name in world.names if name != world.leader())
-    world.change(out, False)
+    removed = next(name for name in world.names if name != world.leader())
+    world.change(removed, False)
     world.run(world.now + 1_000.0)
     for name in world.names:
         world.crash(name, "torn", 100.0)
     world.run(world.now + 20_000.0)
     core = world.nodes[str(world.leader())].core
-    assert core is not None and out not in core.log.membership.names()
+    assert core is not None and removed not in core.log.membership.names()
--- a/tests/agreed/test_silent_voter.py
+++ b/tests/agreed/test_silent_voter.py
@@ -1,4 +1,4 @@
-"""A voter that is cut off is probed with one message at a time, and has all soon after it is back."""
+"""A voter that is cut off is sent one message at a time, and catches up soon after it is back."""
 
 from __future__ import annotations
 
--- a/tests/agreed/test_store.py
+++ b/tests/agreed/test_store.py
@@ -1,4 +1,4 @@
-"""The folder: crashes at every step, torn and flipped bytes, messages of later versions."""
+"""The directory: crashes at every step, torn and damaged bytes; messages of later versions."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 
 
 def use(disk: SimStorage) -> list[tuple[int, int, int, int]]:
-    """Fill a folder; what held after each durable call: life, term, last entry, agreed."""
-    held = [(0, 0, 0, 0)]
+    """Fill a directory; returns generation, term, last index and commit index after each durable call."""
+    states = [(0, 0, 0, 0)]
     try:
         store = Store(disk, Random(1))
-        held.append((1, 0, 0, 0))
+        states.append((1, 0, 0, 0))
         store.write((Ballot(1, "a"), LogAppend((entry(1), entry(2), entry(3)))))
-        held.append((1, 1, 3, 0))
+        states.append((1, 1, 3, 0))
         store.write((Commit(2), Truncate(3), LogAppend((entry(3, 2),))))
-        held.append((1, 1, 3, 2))
+        states.append((1, 1, 3, 2))
         store.write_whole(tuple(recover(disk)[0].to_records()))
         store.write((Ballot(2, ""),))
-        held.append((1, 2, 3, 2))
+        states.append((1, 2, 3, 2))
         Store(disk, Random(2))
-        held.append((2, 2, 3, 2))
+        states.append((2, 2, 3, 2))
     except Crash:
         pass
-    return held
+    return states
 
 
 @pytest.mark.parametrize("mode", MODES)
 def test_a_crash_at_any_step_loses_nothing_that_was_durable(mode: str) -> None:
     whole = SimStorage()
-    held = use(whole)
+    states = use(whole)
     for step in range(1, whole.step + 1):
         disk = SimStorage()
         disk.crash_at = step
         durable = use(disk)
         kept, _ = recover(disk.after(mode, Random(step)))
-        found = (kept.identity.generation, kept.ballot.term, kept.last_index, kept.commit_index)
-        assert found in (durable[-1], held[min(len(durable), len(held) - 1)]), (step, found)
+        recovered = (kept.identity.generation, kept.ballot.term, kept.last_index, kept.commit_index)
+        assert recovered in (durable[-1], states[min(len(durable), len(states) - 1)]), (step, recovered)
 
 
 def test_damage_with_good_writes_behind_it_is_refused_and_a_torn_end_is_not() -> None:
--- a/tests/agreed/test_world.py
+++ b/tests/agreed/test_world.py
@@ -1,4 +1,4 @@
-"""Drawn schedules hold; each guard taken out is seen by the judge; what breaks shrinks to a small file."""
+"""Simulated schedules of faults hold; each missing safeguard is detected; failing schedules shrink."""
 
 from __future__ import annotations
 
