--- a/brassweir/agreed/core.py
+++ b/brassweir/agreed/core.py
@@ -32,7 +32,7 @@
 from brassweir.agreed.replica import Machine
 from brassweir.agreed.snapshot_pacing import SnapshotPacer
 
-JOINING_MESSAGES = (m.AppendEntries, m.SnapshotOffer, m.FeedEntries, m.FeederFull)
+JOINING_MESSAGES = (m.AppendEntries, m.SnapshotOffer, m.FeedEntries, m.FeederFull)  # tell a group
 
 
 class Core(MembershipChanges):
@@ -222,7 +222,7 @@
             case m.AppendEntries() if message.term >= self.term and not self.log.agrees_with(
                 self.commit_index, message.prev_index, message.prev_term, message.entries
             ):
-                self.count_dropped("a leader of the past")
+                self.count_dropped("a leader of the past")  # entries of a later term were fed here
             case m.AppendEntries():
                 self.on_append(sender, message)
             case m.AppendReply():
--- a/brassweir/agreed/core_state.py
+++ b/brassweir/agreed/core_state.py
@@ -67,9 +67,9 @@
         self.write_error = ""  # why a write failed: the core has stopped
         self.actions: list[Action] = []
         self.pending_records: list[Record] = []
-        self.rewrite = False
+        self.rewrite = False  # the next write replaces all records
         self.held: list[tuple[str, Message]] = []  # to be sent once the pending records are durable
-        self.restoring: Snapshot | None = None
+        self.restoring: Snapshot | None = None  # to be restored once the next write is durable
         self.token = 0
         self.writes_in_flight: list[InFlightWrite] = []
         self.applied_entries: list[tuple[int, Entry]] = []
--- a/brassweir/agreed/elections.py
+++ b/brassweir/agreed/elections.py
@@ -27,7 +27,7 @@
                 self.become_follower(self.term, "")
                 self.reset_election_timer()
         elif self.now >= self.election_deadline:
-            if self.is_voter and self.may_vote() and not self.writes_in_flight:
+            if self.is_voter and self.may_vote() and not self.writes_in_flight:  # else the disk is slow
                 self.campaign(pre=True)
             else:
                 self.reset_election_timer()
--- a/brassweir/agreed/leader_replication.py
+++ b/brassweir/agreed/leader_replication.py
@@ -52,9 +52,11 @@
         ]:
             del self.progress[name]
 
-    def add_entry(self, kind: int, data: bytes, session: str = "", seq: int = 0, low: int = 0) -> Entry:
+    def add_entry(
+        self, kind: int, data: bytes, session: str = "", seq: int = 0, lowest_open: int = 0
+    ) -> Entry:
         """Append an entry to the leader's log."""
-        entry = Entry(self.log.last_index + 1, self.term, kind, data, session, seq, low)
+        entry = Entry(self.log.last_index + 1, self.term, kind, data, session, seq, lowest_open)
         self.log.add([entry])
         self.write(LogAppend((entry,)))
         if session:
@@ -129,23 +131,23 @@
     def offer_snapshot(self, name: str, term: int, round: int) -> None:
         """Offer the latest snapshot."""
         assert self.snapshot is not None
-        sending = self.outgoing_snapshots.get(self.snapshot.index)
-        if sending is None:
+        outgoing = self.outgoing_snapshots.get(self.snapshot.index)
+        if outgoing is None:
             data = msgspec.msgpack.encode(self.snapshot)
-            sending = OutgoingSnapshot(data + google_crc32c.value(data).to_bytes(4, "little"))
-            self.outgoing_snapshots = dict([*self.outgoing_snapshots.items()][-1:])
-            self.outgoing_snapshots[self.snapshot.index] = sending
-        sending.used_at = self.now
-        self.send(name, SnapshotOffer(term, self.snapshot.index, len(sending.data), round))
+            outgoing = OutgoingSnapshot(data + google_crc32c.value(data).to_bytes(4, "little"))
+            self.outgoing_snapshots = dict([*self.outgoing_snapshots.items()][-1:])  # may be in transfer
+            self.outgoing_snapshots[self.snapshot.index] = outgoing
+        outgoing.used_at = self.now
+        self.send(name, SnapshotOffer(term, self.snapshot.index, len(outgoing.data), round))
 
     def acks(self) -> tuple[Ack, ...]:
         """What each voter has durably of this leader's log."""
         me = self.identity
         acks = [self.ack_of(me.member, me.generation, me.nonce, self.durable_index)] if self.is_voter else []
         for name, member in self.log.membership.voters:
-            p, memory = self.progress.get(name), self.member_records.get(member)
-            if p is not None and memory is not None and p.member == member and p.match_index:
-                acks.append(self.ack_of(member, memory.generation, memory.nonce, p.match_index))
+            p, record = self.progress.get(name), self.member_records.get(member)
+            if p is not None and record is not None and p.member == member and p.match_index:
+                acks.append(self.ack_of(member, record.generation, record.nonce, p.match_index))
         return tuple(acks)
 
     def on_voter_restart(self, name: str, member: str) -> None:
@@ -171,9 +173,9 @@
         p.in_flight = max(0, p.in_flight - 1)
         if message.ok:
             p.match_index = max(p.match_index, min(message.match_index, self.log.last_index))
-            memory = self.member_records.get(member)
-            if memory is not None:
-                self.note_ack(self.ack_of(member, memory.generation, memory.nonce, p.match_index))
+            record = self.member_records.get(member)
+            if record is not None:
+                self.note_ack(self.ack_of(member, record.generation, record.nonce, p.match_index))
             p.next_index = max(p.next_index, p.match_index + 1)
         else:
             self.step_back(p, max(p.match_index, min(message.match_index, self.log.last_index)) + 1)
--- a/brassweir/agreed/learner_feed.py
+++ b/brassweir/agreed/learner_feed.py
@@ -30,7 +30,7 @@
     windowed: bool = False  # it states what it lacks, so several messages may be in flight
     pulled_from: int = 0  # first entry of its latest pull, and when that came
     pulled_at: float = -1e18
-    in_flight: list[tuple[int, float]] = field(default_factory=list)
+    in_flight: list[tuple[int, float]] = field(default_factory=list)  # last entry and send time
 
     def is_duplicate(self, first: int, now: float) -> bool:
         """Whether a pull repeats the last one: a learner of an older version pulls after each message."""
@@ -38,7 +38,7 @@
 
 
 class LearnerFeed(Identities):
-    """Feeds learners."""
+    """Feeds committed entries to learners, its children."""
 
     children: dict[str, ChildProgress]
     pacing: SnapshotPacer
@@ -61,7 +61,7 @@
             return
         self.children = {name: child for name, child in self.children.items() if child.expires_at > self.now}
         if sender not in self.children and self.is_stale() and message.first > self.commit_index:
-            self.send(sender, FeederFull(tuple(self.other_voters())))
+            self.send(sender, FeederFull(tuple(self.other_voters())))  # nothing to feed it with
             return
         if not self.has_capacity(sender):
             names = self.nearest(sender, sorted(self.children), MAX_SUGGESTED_FEEDERS)
@@ -73,9 +73,9 @@
         if child is None or not message.last:
             if child is not None and child.is_duplicate(message.first, self.now):
                 return
-            until = self.now + timing.CHILD_EXPIRY_MS
+            expires_at = self.now + timing.CHILD_EXPIRY_MS
             self.children[sender] = ChildProgress(
-                message.first, until, message.last > 0, message.first, self.now
+                message.first, expires_at, message.last > 0, message.first, self.now
             )
         else:
             self.confirm_feeds(child, message)
@@ -98,9 +98,9 @@
     def confirm_feeds(self, child: ChildProgress, message: PullEntries) -> None:
         """Apply what a pull confirms; start again after that if all later messages are lost."""
         child.expires_at, child.windowed = self.now + timing.CHILD_EXPIRY_MS, True
-        child.in_flight = [(last, at) for last, at in child.in_flight if last >= message.first]
+        child.in_flight = [(last, sent_at) for last, sent_at in child.in_flight if last >= message.first]
         asks_nothing = message.last < message.first
-        if asks_nothing and all(self.now - at >= timing.RESEND_MS for _, at in child.in_flight):
+        if asks_nothing and all(self.now - sent_at >= timing.RESEND_MS for _, sent_at in child.in_flight):
             child.next_index, child.in_flight = min(child.next_index, message.first), []
 
     def feed_gap(self, name: str, child: ChildProgress, message: PullEntries) -> None:
--- a/brassweir/agreed/learner_pull.py
+++ b/brassweir/agreed/learner_pull.py
@@ -93,7 +93,7 @@
         return gaps[: timing.MAX_GAPS]
 
     def change_feeder(self) -> None:
-        """Choose another feeder: a voter, at times any copy, and that more often after silence."""
+        """Choose another feeder: mostly a voter, at times any copy, and that more often after silence."""
         unanswered = self.now - self.unanswered_since > timing.FEEDER_TIMEOUT_MS
         if unanswered:
             self.unresponsive = {name: until for name, until in self.unresponsive.items() if until > self.now}
@@ -146,7 +146,7 @@
         if message.first > self.commit_index + 1:
             self.buffer_feed(message)
             return
-        if self.role == PRE_CANDIDATE and message.commit_index > self.commit_index:
+        if self.role == PRE_CANDIDATE and message.commit_index > self.commit_index:  # maybe a removed voter
             self.become_follower(self.term, "")
         self.take_feed(message.first, message.entries)
         if message.commit_index > self.commit_index or self.unconfirmed_feeds >= timing.FEED_WINDOW // 2:
--- a/brassweir/agreed/membership_changes.py
+++ b/brassweir/agreed/membership_changes.py
@@ -115,7 +115,7 @@
         if len(reachable & set(changed.names())) < changed.quorum:
             return  # the new quorum could not commit
         self.pending_changes.pop(0)
-        readmitted = change.name if not change.ticket and not change.votes else ""  # to be readmitted
+        readmitted = change.name if not change.ticket and not change.votes else ""
         entry = self.add_entry(MEMBERS, msgspec.msgpack.encode(changed), readmitted)
         self.changes_in_log[entry.index] = change.ticket
         self.unknown_members.pop(change.name, None)
--- a/brassweir/agreed/messages.py
+++ b/brassweir/agreed/messages.py
@@ -56,7 +56,7 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """All up to ``match_index`` is durable and as the leader has it; else it must go back to there."""
+    """``ok``: all up to ``match_index`` is durable and as the leader has it; else resend what follows it."""
 
     term: Number
     ok: bool
@@ -134,7 +134,7 @@
 
 
 class IdentityReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Answers the identity check of the run with this nonce."""
+    """Answers the identity check of the run with this nonce; ``agrees``: nothing contradicts it."""
 
     nonce: Number
     agrees: bool
--- a/brassweir/agreed/proposals.py
+++ b/brassweir/agreed/proposals.py
@@ -77,7 +77,7 @@
     requests: LocalRequests
     read_confirmations: list[PendingReadIndex]
     heartbeat_at: float
-    duplicates: dict[tuple[str, int], DuplicateFilter]
+    duplicates: dict[tuple[str, int], DuplicateFilter]  # of proposals that were appended lately
 
     def become_leader(self) -> None:
         """No proposal was appended in this term yet."""
@@ -118,7 +118,7 @@
                 ForwardProposal(self.requests.session, seq, low, pending.proposal.command),
             )
 
-    def append_proposal(self, session: str, seq: int, low: int, command: bytes) -> None:
+    def append_proposal(self, session: str, seq: int, lowest_open: int, command: bytes) -> None:
         """As leader append a proposal, unless it is in the log unapplied, or was appended lately."""
         key = (session, seq)
         if key in self.unapplied or self.log.last_index - self.commit_index >= timing.MAX_UNCOMMITTED:
@@ -131,7 +131,7 @@
         self.duplicates[key] = DuplicateFilter(self.now + hold_ms, hold_ms)
         while len(self.duplicates) > timing.MAX_DUPLICATE_FILTERS:
             del self.duplicates[next(iter(self.duplicates))]
-        self.add_entry(COMMAND, command, session, seq, low)
+        self.add_entry(COMMAND, command, session, seq, lowest_open)
 
     def on_forward(self, sender: str, message: ForwardProposal) -> None:
         """Append another copy's proposal, or pass it on to the leader."""
@@ -215,12 +215,12 @@
         """A leader that has committed in its term asks a quorum whether it still leads."""
         if self.role == LEADER and self.commit_index >= self.term_start:
             self.read_confirmations = [
-                confirm for confirm in self.read_confirmations if confirm.deadline > self.now
+                pending for pending in self.read_confirmations if pending.deadline > self.now
             ][-1_000:]
-            until = self.now + timing.ELECTION_MS
+            deadline = self.now + timing.ELECTION_MS
             self.read_confirmations.append(
                 PendingReadIndex(
-                    sender, message.request_id, self.commit_index, self.heartbeat_round + 1, until
+                    sender, message.request_id, self.commit_index, self.heartbeat_round + 1, deadline
                 )
             )
             self.heartbeat_at = self.now
@@ -232,9 +232,9 @@
         voters = self.log.membership.voters
         rounds = sorted((self.answered_round_of(name, member) for name, member in voters), reverse=True)
         answered = rounds[self.log.membership.quorum - 1]
-        for confirm in [confirm for confirm in self.read_confirmations if confirm.round <= answered]:
-            self.read_confirmations.remove(confirm)
-            self.deliver(confirm.requester, ReadIndexReply(confirm.request_id, confirm.index))
+        for pending in [pending for pending in self.read_confirmations if pending.round <= answered]:
+            self.read_confirmations.remove(pending)
+            self.deliver(pending.requester, ReadIndexReply(pending.request_id, pending.index))
 
     def answered_round_of(self, name: str, member: str) -> int:
         """The latest heartbeat round that a voter answered in this term."""
--- a/brassweir/agreed/snapshot_transfer.py
+++ b/brassweir/agreed/snapshot_transfer.py
@@ -27,8 +27,8 @@
     size: int
     check_at: float  # when to look for overdue chunks
     progressed_at: float  # when the last chunk came
-    chunks: dict[int, bytes] = field(default_factory=dict)
-    requested: dict[int, float] = field(default_factory=dict)
+    chunks: dict[int, bytes] = field(default_factory=dict)  # by offset
+    requested: dict[int, float] = field(default_factory=dict)  # when, for offsets in flight
     next_offset: int = 0  # first offset never requested
     response_ms: float = 0.0  # exponential moving average of a chunk's response time
 
@@ -40,22 +40,22 @@
     def take_due(self, now: float) -> list[int]:
         """Offsets to request now: those that are overdue, then new ones up to the window."""
         timeout_ms = max(timing.CHUNK_RETRY_MS, 3.0 * self.response_ms)
-        due = [at for at, asked in self.requested.items() if now - asked >= timeout_ms]
+        due = [offset for offset, requested_at in self.requested.items() if now - requested_at >= timeout_ms]
         while self.next_offset < self.size and len(self.requested) < timing.CHUNK_WINDOW:
             if self.next_offset not in self.chunks:
                 due.append(self.next_offset)
                 self.requested[self.next_offset] = now
             self.next_offset += timing.CHUNK_BYTES
-        for at in due:
-            self.requested[at] = now
+        for offset in due:
+            self.requested[offset] = now
         return due
 
     def add_chunk(self, message: SnapshotChunk, now: float) -> bool:
         """Store a chunk. Returns whether it was the last one."""
-        asked = self.requested.pop(message.offset, None)
-        if asked is not None:
+        requested_at = self.requested.pop(message.offset, None)
+        if requested_at is not None:
             gain = 0.25 if self.chunks else 1.0
-            self.response_ms += ((now - asked) - self.response_ms) * gain
+            self.response_ms += ((now - requested_at) - self.response_ms) * gain
         self.chunks[message.offset] = message.data
         self.progressed_at = now
         return len(self.chunks) * timing.CHUNK_BYTES >= self.size
@@ -75,20 +75,20 @@
 
     def send_chunks(self) -> None:
         """Send queued chunks as far as the budget goes, and drop snapshots that nobody requests."""
-        while (piece := self.pacing.next(self.now)) is not None:
-            sending = self.outgoing_snapshots.get(piece.index)
-            if sending is not None:
-                sending.used_at = self.now
-                data = sending.data[piece.offset : piece.offset + timing.CHUNK_BYTES]
-                self.send(piece.name, SnapshotChunk(piece.index, piece.offset, len(sending.data), data))
+        while (chunk := self.pacing.next(self.now)) is not None:
+            outgoing = self.outgoing_snapshots.get(chunk.index)
+            if outgoing is not None:
+                outgoing.used_at = self.now
+                data = outgoing.data[chunk.offset : chunk.offset + timing.CHUNK_BYTES]
+                self.send(chunk.name, SnapshotChunk(chunk.index, chunk.offset, len(outgoing.data), data))
         if any(
-            self.now - sending.used_at > timing.OUTGOING_SNAPSHOT_TTL_MS
-            for sending in self.outgoing_snapshots.values()
+            self.now - outgoing.used_at > timing.OUTGOING_SNAPSHOT_TTL_MS
+            for outgoing in self.outgoing_snapshots.values()
         ):
             self.outgoing_snapshots = {
-                index: sending
-                for index, sending in self.outgoing_snapshots.items()
-                if self.now - sending.used_at <= timing.OUTGOING_SNAPSHOT_TTL_MS
+                index: outgoing
+                for index, outgoing in self.outgoing_snapshots.items()
+                if self.now - outgoing.used_at <= timing.OUTGOING_SNAPSHOT_TTL_MS
             }
 
     # The receiver's side
@@ -113,8 +113,8 @@
 
     def request_chunks(self, fetch: SnapshotFetch) -> None:
         """Request overdue and new chunks."""
-        for at in fetch.take_due(self.now):
-            self.send(fetch.sender, ChunkRequest(fetch.index, at))
+        for offset in fetch.take_due(self.now):
+            self.send(fetch.sender, ChunkRequest(fetch.index, offset))
 
     def accept_chunk(self, sender: str, message: SnapshotChunk) -> bool:
         """Store a received chunk. Returns whether it belongs to the snapshot that is being fetched."""
@@ -129,7 +129,7 @@
             self.request_chunks(fetch)
             return True
         self.fetch = None
-        self.unpack_snapshot(b"".join(fetch.chunks[at] for at in sorted(fetch.chunks)))
+        self.unpack_snapshot(b"".join(fetch.chunks[offset] for offset in sorted(fetch.chunks)))
         return True
 
     def unpack_snapshot(self, data: bytes) -> None:
--- a/tests/agreed/drawn.py
+++ b/tests/agreed/drawn.py
@@ -110,20 +110,19 @@
             if isinstance(decision, ProposeRenewal):
                 self.publish(decision.epoch, decision.after)
             return
+        # a stale view
         base = draw.choice(
             [one for one in self.log[-12:] if one.issued < self.now - 9_000.0] or self.log[-3:]
-        )  # a stale view
+        )
         epoch = self.plan(base, self.now + draw.choice((0.0, 0.0, -60_000.0)))
-        if kind == "desired" and trusted:  # planned anew by the copy
+        if kind == "desired" and trusted:  # the copy plans it again
             epoch = msgspec.structs.replace(
                 epoch, number=max(epoch.number, state.epoch.number + draw.randrange(2))
             )
             proposed = reconciled(epoch, state.epoch, wall, LEASE, ASSUMED)
             if proposed is not None:
                 self.publish(proposed[0], state.granted, proposed[1] if proposed[1] in self.lost else "")
-        elif (
-            kind == "raw"
-        ):  # as it was planned: a sender of another making, or one that works from a stale state
+        elif kind == "raw":  # unchanged, as a faulty sender or one with a stale state proposes it
             turn = state.epoch.turn + (draw.random() < 0.3)
             epoch = msgspec.structs.replace(
                 epoch,
@@ -188,7 +187,7 @@
                     one.learn(epochs[-1] if draw.random() < 0.7 else draw.choice(epochs[-4:]))
         elif kind == "step":
             copy.offset += draw.choice((-100_000.0, -40_000.0, -10_000.0, 10_000.0, 40_000.0, 100_000.0))
-        elif kind in ("back", "restart", "older"):  # its operator has looked at the clock
+        elif kind in ("back", "restart", "older"):  # its operator has set the clock
             copy.offset = draw.uniform(-ERROR, ERROR)
             copy.restart(
                 copy.view.epoch if kind != "older" or not copy.durable else draw.choice(copy.durable[-3:]),
--- a/tests/agreed/feedworld.py
+++ b/tests/agreed/feedworld.py
@@ -10,7 +10,7 @@
 from brassweir.agreed.messages import AppendEntries, SnapshotChunk, encode
 from brassweir.lab.models.logworld import Weather, World
 
-LINK = 12_500.0  # bytes a ms that a copy can send: 100 Mbit a second
+LINK = 12_500.0  # bytes per ms: 100 Mbit/s
 
 
 class FeedWorld(World):
@@ -25,12 +25,10 @@
         link: float = LINK,
     ) -> None:
         self.link = link
-        self.free: dict[str, float] = {}  # when each copy's link is free
+        self.free: dict[str, float] = {}  # when each copy's link is free again
         self.kinds: dict[tuple[str, str], int] = {}  # messages by receiver and kind
-        self.chunks: dict[tuple[str, int], int] = {}  # bytes of pieces by sender and second
-        self.beats: dict[
-            tuple[str, int], list[float]
-        ] = {}  # when messages of a leader, by its term, left its link
+        self.chunks: dict[tuple[str, int], int] = {}  # bytes of chunks by sender and second
+        self.beats: dict[tuple[str, int], list[float]] = {}  # send times of a leader's messages, by term
         super().__init__(seed, 3, learners, weather, core)
         self.run(6_000.0)
 
--- a/tests/agreed/test_fetching.py
+++ b/tests/agreed/test_fetching.py
@@ -27,9 +27,8 @@
     )
     assert [chunk.name for chunk in sent[:4]] == ["a", "b", "a", "b"]
     assert [chunk.offset for chunk in sent[:4]] == [0, 0, 1, 1]
-    pacer.charge(
-        timing.CHUNK_INTERVAL_MS, timing.CHUNK_BUDGET_BYTES
-    )  # entries: they are not held back, pieces are
+    # entries that were fed use up the budget
+    pacer.charge(timing.CHUNK_INTERVAL_MS, timing.CHUNK_BUDGET_BYTES)
     assert pacer.next(timing.CHUNK_INTERVAL_MS) is not None and pacer.next(timing.CHUNK_INTERVAL_MS) is None
     left = 0
     while pacer.queued:
--- a/tests/agreed/test_grants_clocks.py
+++ b/tests/agreed/test_grants_clocks.py
@@ -135,7 +135,7 @@
             view.accept(world.log[world.read[region] - 1])
         elif what == "step":
             world.clocks[region] += by * (a % 3 - 1)
-        elif what == "restart":  # its operator has looked at the clock; it knows its epoch
+        elif what == "restart":  # its operator has set the clock; it knows its epoch
             world.views[region], world.clocks[region] = Ownership(region, ASSUMED, view.epoch), skews[b % 3]
         elif what == "ask":
             world.ask(f"m{b % 40}", region)
