--- a/tests/agreed/drawn.py
+++ b/tests/agreed/drawn.py
@@ -44,8 +44,8 @@
             for name in NAMES
             for _ in range(2)
         ]
-        for one in self.copies:
-            one.wall(0.0)  # the clock is right when it is first read
+        for copy in self.copies:
+            copy.wall(0.0)  # the clock is right when it is first read
         self.messages: dict[str, tuple[float, float | None]] = {}  # birth, and what its client says of it
         self.took: set[tuple[str, str]] = set()
         if self.draw.random() < 0.85:
@@ -112,7 +112,7 @@
             return
         # a stale view
         base = draw.choice(
-            [one for one in self.log[-12:] if one.issued < self.now - 9_000.0] or self.log[-3:]
+            [old for old in self.log[-12:] if old.issued < self.now - 9_000.0] or self.log[-3:]
         )
         epoch = self.plan(base, self.now + draw.choice((0.0, 0.0, -60_000.0)))
         if kind == "desired" and trusted:  # the copy plans it again
@@ -134,19 +134,19 @@
             self.publish(epoch, draw.choice((state.granted, state.granted, max(0, state.granted - 1))))
             self.hear(3)
 
-    def hear(self, many: int) -> None:
+    def hear(self, count: int) -> None:
         """Some copies are set to the right source, and learn the newest epoch."""
-        for one in self.draw.sample(self.copies, many):
-            one.source = publisher(self.known())
-            one.learn(self.known())
+        for copy in self.draw.sample(self.copies, count):
+            copy.source = publisher(self.known())
+            copy.learn(self.known())
 
     def lose(self) -> None:
         """A region is lost for good: its senders stop, its places are taken over."""
         region = self.draw.choice(NAMES)
-        if self.lost or region not in {one.region for one in self.known().grants}:
+        if self.lost or region not in {grant.region for grant in self.known().grants}:
             return
         self.lost.add(region)
-        self.copies = [one for one in self.copies if one.region != region]
+        self.copies = [copy for copy in self.copies if copy.region != region]
         last = self.known()
         epoch = planning.taken_over(
             last, region, self.now + self.office, LEASE, ASSUMED, LossStatement(True, True)
@@ -160,20 +160,20 @@
         """All copies have taken a handover to the log, and head office goes on from an older state."""
         if publisher(self.known()) is Source.FILE:
             return
-        for one in self.copies:
-            one.source = Source.AGREED
-            one.learn(self.known())
-            if one.view.epoch != self.known():
+        for copy in self.copies:
+            copy.source = Source.AGREED
+            copy.learn(self.known())
+            if copy.view.epoch != self.known():
                 return
-            one.durable = [self.known()]
-        older = next((one for one in reversed(self.files) if publisher(one) is Source.FILE), self.files[0])
-        wild = planning.renewed(older, self.now + self.office, LEASE, ASSUMED)
-        wild = msgspec.structs.replace(
-            wild, number=self.known().number + 1, issued=max(wild.issued, self.known().issued)
+            copy.durable = [self.known()]
+        older = next((copy for copy in reversed(self.files) if publisher(copy) is Source.FILE), self.files[0])
+        stray = planning.renewed(older, self.now + self.office, LEASE, ASSUMED)
+        stray = msgspec.structs.replace(
+            stray, number=self.known().number + 1, issued=max(stray.issued, self.known().issued)
         )
-        for one in self.draw.sample(self.copies, 2):
-            one.source = Source.FILE
-            one.learn(wild)
+        for copy in self.draw.sample(self.copies, 2):
+            copy.source = Source.FILE
+            copy.learn(stray)
 
     def event(self) -> None:
         draw, kind = self.draw, self.draw.choice(EVENTS)
@@ -181,10 +181,10 @@
         if kind in ("renew", "desired", "raw"):
             self.change(kind, copy)
         elif kind == "read":
-            for one in draw.sample(self.copies, 2):
-                epochs = self.files if one.source is Source.FILE else self.log
+            for other in draw.sample(self.copies, 2):
+                epochs = self.files if other.source is Source.FILE else self.log
                 if epochs:
-                    one.learn(epochs[-1] if draw.random() < 0.7 else draw.choice(epochs[-4:]))
+                    other.learn(epochs[-1] if draw.random() < 0.7 else draw.choice(epochs[-4:]))
         elif kind == "step":
             copy.offset += draw.choice((-100_000.0, -40_000.0, -10_000.0, 10_000.0, 40_000.0, 100_000.0))
         elif kind in ("back", "restart", "older"):  # its operator has set the clock
@@ -194,10 +194,10 @@
                 self.now,
             )
         elif kind == "switch":
-            right = publisher(self.known())
-            for one in self.copies:
+            source = publisher(self.known())
+            for other in self.copies:
                 if draw.random() < 0.7:
-                    one.source = right
+                    other.source = source
         elif kind == "hand" and draw.random() < 0.3:
             self.hand()
         elif kind == "fork":
@@ -207,8 +207,8 @@
         """Advance the time, often to just before or after a grant begins or ends, on some clock."""
         edges = [
             edge + by
-            for one in self.known().grants
-            for edge in (one.begins, one.ends)
+            for grant in self.known().grants
+            for edge in (grant.begins, grant.ends)
             for by in (-300.0, 0.0, 300.0, 700.0)
             if self.now < edge + by < self.now + 20_000.0
         ]
--- a/tests/agreed/feedworld.py
+++ b/tests/agreed/feedworld.py
@@ -64,7 +64,9 @@
 
     def sent(self, kind: str, to: str = "") -> int:
         """Number of messages of a kind, to one copy or to all."""
-        return sum(count for (name, what), count in self.kinds.items() if what == kind and to in ("", name))
+        return sum(
+            count for (name, sent_kind), count in self.kinds.items() if sent_kind == kind and to in ("", name)
+        )
 
     def version(self, parts: int = 125, size: int = 5_600) -> None:
         """Propose many commands at once, as a new configuration version does."""
--- a/tests/agreed/test_fetching.py
+++ b/tests/agreed/test_fetching.py
@@ -93,11 +93,11 @@
     world.run(world.now + 600.0)
     begin, spans = world.now, []
     while not world.have(180, lost) and world.now < begin + back:
-        had, asked = world.tickets, world.now
+        count, proposed_at = world.tickets, world.now
         world.until(lambda: world.leader() is not None, 15_000.0)
         world.command(200)
-        world.until(lambda had=had: world.have(had + 1, others), 15_000.0)  # type: ignore[misc]
-        spans.append(world.now - asked)
+        world.until(lambda count=count: world.have(count + 1, others), 15_000.0)  # type: ignore[misc]
+        spans.append(world.now - proposed_at)
         world.run(world.now + 100.0)
     assert world.have(180, lost) and world.now - begin < back
     assert max(spans) < entry
--- a/tests/agreed/test_grants_clocks.py
+++ b/tests/agreed/test_grants_clocks.py
@@ -89,29 +89,29 @@
 def play(
     events: list[Event], skews: tuple[float, float, float], dated: bool = True, by: float = 60_000.0
 ) -> World:
-    world, names, stale = World(dated=dated), list(REGIONS), FIRST
+    world, names, known = World(dated=dated), list(REGIONS), FIRST
     world.views = {name: Ownership(name, ASSUMED) for name in names}
     world.clocks, world.read = dict(zip(names, skews, strict=True)), dict.fromkeys(names, 0)
     world.publish(FIRST, 0)
-    for what, a, b in events:
-        world.now += a % 7_000 + (80_000 if what == "wait" and a % 5 == 0 else 0)
+    for kind, a, b in events:
+        world.now += a % 7_000 + (80_000 if kind == "wait" and a % 5 == 0 else 0)
         region = names[b % 3]
         view, state = world.views[region], world.machine.state
         assert state.epoch is not None
         wall = world.wall(region)
-        if what == "renew":  # any copy may think that it leads
-            step = LeaseRenewal().step(
+        if kind == "renew":  # any copy may think that it leads
+            decision = LeaseRenewal().step(
                 world.now,
                 RenewalInputs(
                     True, wall, view.clock_trusted(wall), state.epoch, state.granted, LEASE, ASSUMED
                 ),
             )
-            if isinstance(step, ProposeRenewal):
-                world.publish(step.epoch, step.after)
-        elif what == "wish":  # planned from a file that is old, and by a clock of its own
+            if isinstance(decision, ProposeRenewal):
+                world.publish(decision.epoch, decision.after)
+        elif kind == "wish":  # planned from a file that is old, and by a clock of its own
             low = a % PLACES
-            wish = planning.moved(
-                stale,
+            desired = planning.moved(
+                known,
                 low,
                 min(PLACES, low + 1 + (b << 11)),
                 names[a % 3],
@@ -120,24 +120,26 @@
                 ASSUMED,
             ).epoch
             try:
-                found = (
-                    reconciled(wish, state.epoch, wall, LEASE, ASSUMED) if view.clock_trusted(wall) else None
+                proposed = (
+                    reconciled(desired, state.epoch, wall, LEASE, ASSUMED)
+                    if view.clock_trusted(wall)
+                    else None
                 )
-                if found is not None:
-                    world.publish(found[0], state.granted, found[1])
-                    stale = world.log[-1]
+                if proposed is not None:
+                    world.publish(proposed[0], state.granted, proposed[1])
+                    known = world.log[-1]
             except EpochError:
-                stale = state.epoch
-        elif what == "read" and world.read[region] < len(
+                known = state.epoch
+        elif kind == "read" and world.read[region] < len(
             world.log
         ):  # in the order of the log, some at a time
             world.read[region] = min(len(world.log), world.read[region] + 1 + a % 3)
             view.accept(world.log[world.read[region] - 1])
-        elif what == "step":
+        elif kind == "step":
             world.clocks[region] += by * (a % 3 - 1)
-        elif what == "restart":  # its operator has set the clock; it knows its epoch
+        elif kind == "restart":  # its operator has set the clock; it knows its epoch
             world.views[region], world.clocks[region] = Ownership(region, ASSUMED, view.epoch), skews[b % 3]
-        elif what == "ask":
+        elif kind == "ask":
             world.ask(f"m{b % 40}", region)
     return world
 
@@ -148,7 +150,7 @@
     events: list[Event], skews: tuple[float, float, float], dated: bool
 ) -> None:
     world = play(events, skews, dated)
-    assert all(len(found) == 1 for found in world.took.values())
+    assert all(len(regions) == 1 for regions in world.took.values())
 
 
 def asked_at_all_times(world: World, low: int, high: int, until: float) -> bool:
@@ -173,11 +175,11 @@
     if fault == "a stale wish as it is":
         monkeypatch.setattr(machine, "check_succeeds", lambda *_: None)
     elif fault == "renews by a wrong clock":
-        right = LeaseRenewal.step
+        original = LeaseRenewal.step
         monkeypatch.setattr(
             LeaseRenewal,
             "step",
-            lambda self, now, facts: right(self, now, replace(facts, clock_trusted=True)),
+            lambda self, now, facts: original(self, now, replace(facts, trusted=True)),
         )
         monkeypatch.setattr(machine, "check_succeeds", lambda *_: None)
     elif fault == "admits by a wrong clock":
@@ -206,7 +208,7 @@
         world.wall("west")
         world.clocks["west"] += KEEP_PAST_MS + 120_000.0
         wall, state = world.wall("west"), world.machine.state
-        step = LeaseRenewal().step(
+        decision = LeaseRenewal().step(
             0.0,
             RenewalInputs(
                 True,
@@ -218,13 +220,13 @@
                 ASSUMED,
             ),
         )
-        assert isinstance(step, ProposeRenewal) is bool(fault)
-        if isinstance(step, ProposeRenewal):
-            assert not step.epoch.past, "it forgets who held the places before"
-            world.publish(step.epoch, step.after)
+        assert isinstance(decision, ProposeRenewal) is bool(fault)
+        if isinstance(decision, ProposeRenewal):
+            assert not decision.epoch.past, "it forgets who held the places before"
+            world.publish(decision.epoch, decision.after)
         own = Ownership("south", ASSUMED, world.log[-1])
-        told = Ownership("west", ASSUMED, msgspec.structs.replace(world.log[-1], issued=0.0)).refusal(
+        refusal = Ownership("west", ASSUMED, msgspec.structs.replace(world.log[-1], issued=0.0)).refusal(
             Effect.UNSAFE, "c", identity_in(0, third), stale.grants[0].begins + 300.0
         )
-        assert own.epoch is not None and (told is None) is bool(fault)
-        assert told is None or told.reason is Reason.BORN_ELSEWHERE
+        assert own.epoch is not None and (refusal is None) is bool(fault)
+        assert refusal is None or refusal.reason is Reason.BORN_ELSEWHERE
