--- a/brassweir/as2/carrier.py
+++ b/brassweir/as2/carrier.py
@@ -1,4 +1,4 @@
-"""Makes one attempt at one partner endpoint over AS2 and reports how it ended."""
+"""HTTP client side of AS2: makes one attempt at one partner endpoint and reports its outcome."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 
 class As2Carrier(TaskCarrier):
-    """Carries attempts to partners.
+    """Makes attempts to deliver messages to partners.
 
-    ``linger`` (ms) is how long a call whose time is over is still listened to: a receipt that comes then is
-    recorded, and is the answer if none was given.
+    ``linger_ms`` is how long the carrier waits for a receipt after an attempt's deadline, so that a late
+    receipt is recorded, and is used as the answer if none was given yet.
     """
 
     def __init__(
         self,
-        book: Partnerships,
+        partnerships: Partnerships,
         urls: Urls,
         pools: PoolManager,
         receipts: Receipts,
         offload: Offload,
         note: Note,
         name: str = "",
-        linger: float = 2000.0,
+        linger_ms: float = 2000.0,
     ) -> None:
         super().__init__(urls, pools, note, name)
-        self.book, self.pools = book, pools
-        self.receipts, self.offload, self.linger = receipts, offload, linger
-        self.partners = {partner.destination: partner for partner in book.partners.values()}
+        self.partnerships, self.pools = partnerships, pools
+        self.receipts, self.offload, self.linger_ms = receipts, offload, linger_ms
+        self.partners = {partner.destination: partner for partner in partnerships.partners.values()}
 
     async def call(self, attempt: Attempt, done: Callable[[Outcome], None]) -> None:
-        """Make the attempt and tell how it ended."""
+        """Makes the attempt and calls ``done`` with its outcome."""
         loop = asyncio.get_running_loop()
         partner = self.partners.get(attempt.endpoint.destination)
         url = self.urls.url(attempt.endpoint.name)
@@ -55,53 +55,63 @@
         if partner is None or url is None or not isinstance(payload, Payload):
             done(Outcome(Result.NO_CONNECTION, "no partnership or address for this endpoint"))
             return
-        ident = onward_id(attempt.submission.owner, attempt.submission.identity, self.book.ours.as2_id)
+        message_id = onward_id(
+            attempt.submission.owner, attempt.submission.identity, self.partnerships.ours.as2_id
+        )
         try:
             built = await self.offload(lambda: self._build(payload, partner))
         except ValueError as error:
             done(Outcome(Result.NO_CONNECTION, f"cannot be built: {error}"))
             return
-        until = attempt.abandon_at / 1000.0
-        if loop.time() >= until:
+        deadline = attempt.abandon_at / 1000.0
+        if loop.time() >= deadline:
             done(Outcome(Result.NO_CONNECTION, "its time was over before anything was written"))
             return
-        waiting: asyncio.Future[mdn.Mdn] | None = None
+        receipt_future: asyncio.Future[mdn.Mdn] | None = None
         if partner.asynchronous:
-            waiting = loop.create_future()
-            self.receipts.expect(ident, partner.as2_id, _giver(waiting))
-        expected = endings.Expected(ident, built.mic, built.micalg, partner.signed_receipt, attempt.repeat)
-        headers = self._headers(partner, payload, ident, built, self.book.receipt_url)
-        last = until + self.linger / 1000.0
+            receipt_future = loop.create_future()
+            self.receipts.expect(message_id, partner.as2_id, _resolver(receipt_future))
+        expected = endings.Expected(
+            message_id, built.mic, built.micalg, partner.signed_receipt, attempt.repeat
+        )
+        headers = self._headers(partner, payload, message_id, built, self.partnerships.receipt_url)
+        listen_until = deadline + self.linger_ms / 1000.0
         call = loop.create_task(
-            self.pools.http_pool(url).post(headers, built.body, last, until, attempt.start_guard.begin)
+            self.pools.http_pool(url).post(
+                headers, built.body, listen_until, deadline, attempt.start_guard.begin
+            )
         )
         try:
-            if waiting is None:
-                done(await self._read(call, expected, partner))
+            if receipt_future is None:
+                done(await self._read_response(call, expected, partner))
             else:
-                await self._asynchronous(call, waiting, expected, partner, until + self.linger / 1000.0, done)
+                await self._await_receipt(
+                    call, receipt_future, expected, partner, deadline + self.linger_ms / 1000.0, done
+                )
         finally:
-            if waiting is not None:
-                self.receipts.ended(ident)
+            if receipt_future is not None:
+                self.receipts.attempt_ended(message_id)
 
     def _build(self, payload: Payload, partner: Partner) -> Built:
         theirs = valid_now(partner.certificates, time.time())
         if not theirs:
             raise ValueError(f"no certificate of {partner.as2_id} is valid now")
-        return message.build(payload, partner.security, self.book.ours, theirs[0])
+        return message.build(payload, partner.security, self.partnerships.ours, theirs[0])
 
-    def _headers(self, partner: Partner, payload: Payload, ident: str, built: Built, back: str) -> Headers:
+    def _headers(
+        self, partner: Partner, payload: Payload, message_id: str, built: Built, receipt_url: str
+    ) -> Headers:
         headers = Headers()
         headers.add("User-Agent", self.agent)
         headers.add("AS2-Version", "1.2")
-        headers.add("AS2-From", mime.shown_name(self.book.ours.as2_id))
+        headers.add("AS2-From", mime.shown_name(self.partnerships.ours.as2_id))
         headers.add("AS2-To", mime.shown_name(partner.as2_id))
-        headers.add("Message-ID", ident)
+        headers.add("Message-ID", message_id)
         headers.add("Subject", payload.subject or "message")
         headers.add("Date", formatdate(usegmt=True))
         headers.add("MIME-Version", "1.0")
         headers.add("Content-Type", built.content_type)
-        headers.add("Disposition-Notification-To", mime.shown_name(self.book.ours.as2_id))
+        headers.add("Disposition-Notification-To", mime.shown_name(self.partnerships.ours.as2_id))
         if partner.signed_receipt:
             headers.add(
                 "Disposition-Notification-Options",
@@ -109,24 +119,26 @@
                 f"signed-receipt-micalg=required, {cms.micalg(built.micalg)}",
             )
         if partner.asynchronous:
-            headers.add("Receipt-Delivery-Option", back)
+            headers.add("Receipt-Delivery-Option", receipt_url)
         return headers
 
-    async def _read(self, call: asyncio.Task[Reply], expected: endings.Expected, partner: Partner) -> Outcome:
-        """What a synchronous answer says."""
+    async def _read_response(
+        self, call: asyncio.Task[Reply], expected: endings.Expected, partner: Partner
+    ) -> Outcome:
+        """Returns the outcome that the HTTP response and its synchronous receipt report."""
         try:
             reply = await call
         except CallFailed as failed:
             return _failed(failed)
         hints = read_hints(reply.headers.first, time.time())
-        outcome = endings.status(reply.status, hints, partner.busy)
+        outcome = endings.of_status(reply.status, hints, partner.busy)
         if outcome is not None:
             return outcome
         try:
-            got = await self.offload(lambda: self._parse(reply, partner))
+            receipt = await self.offload(lambda: self._parse(reply, partner))
         except As2Error as error:
-            return endings.unreadable(error, hints)
-        return endings.receipt(got, expected, hints)
+            return endings.of_unreadable_receipt(error, hints)
+        return endings.of_receipt(receipt, expected, hints)
 
     @staticmethod
     def _parse(reply: Reply, partner: Partner) -> mdn.Mdn:
@@ -135,44 +147,51 @@
         )
         return mdn.parse(entity, valid_now(partner.certificates, time.time()), legacy=partner.legacy)
 
-    async def _asynchronous(
+    async def _await_receipt(
         self,
         call: asyncio.Task[Reply],
-        waiting: asyncio.Future[mdn.Mdn],
+        receipt_future: asyncio.Future[mdn.Mdn],
         expected: endings.Expected,
         partner: Partner,
-        until: float,
+        deadline: float,
         done: Callable[[Outcome], None],
     ) -> None:
-        """The receipt decides, come before or after the post's own answer; waits until ``until``."""
+        """Calls ``done`` with the outcome of an asynchronous receipt.
+
+        The receipt may arrive before or after the response to the post. An error status, or a failure before
+        anything was written, ends the attempt at once. Without a receipt by ``deadline`` (loop time, in
+        seconds) the outcome is TIMEOUT.
+        """
         loop = asyncio.get_running_loop()
         hints = ServerHints()
-        either: set[asyncio.Future[Any]] = {call, waiting}
-        await asyncio.wait(either, timeout=max(0.0, until - loop.time()), return_when=asyncio.FIRST_COMPLETED)
-        if call.done() and not waiting.done():
+        futures: set[asyncio.Future[Any]] = {call, receipt_future}
+        await asyncio.wait(
+            futures, timeout=max(0.0, deadline - loop.time()), return_when=asyncio.FIRST_COMPLETED
+        )
+        if call.done() and not receipt_future.done():
             try:
                 reply = await call
             except CallFailed as failed:
-                ended = _failed(failed)
-                if not ended.may_have_run:
-                    done(ended)
-                    return  # else a receipt may still come for what was written
+                failure = _failed(failed)
+                if not failure.may_have_run:
+                    done(failure)
+                    return  # otherwise the partner may still send a receipt for what was written
             else:
                 hints = read_hints(reply.headers.first, time.time())
-                outcome = endings.status(reply.status, hints, partner.busy)
+                outcome = endings.of_status(reply.status, hints, partner.busy)
                 if outcome is not None:
                     done(outcome)
                     return
-            await asyncio.wait({waiting}, timeout=max(0.0, until - loop.time()))
-        if waiting.done():
-            done(endings.receipt(waiting.result(), expected, hints))
+            await asyncio.wait({receipt_future}, timeout=max(0.0, deadline - loop.time()))
+        if receipt_future.done():
+            done(endings.of_receipt(receipt_future.result(), expected, hints))
         else:
             done(
                 Outcome(Result.TIMEOUT, "no receipt in time", limit_left=hints.limit_left, limit=hints.limit)
             )
         if not call.done():
             try:
-                await call  # the connection is good for more once its answer is in
+                await call  # lets the pool reuse the connection
             except CallFailed:
                 pass
 
@@ -181,9 +200,9 @@
     return no_answer(failed.stage is not Stage.CONNECT, True, failed.timed_out, failed.reason)
 
 
-def _giver(waiting: asyncio.Future[mdn.Mdn]) -> Callable[[mdn.Mdn], None]:
-    def give(got: mdn.Mdn) -> None:
-        if not waiting.done():
-            waiting.set_result(got)
+def _resolver(receipt_future: asyncio.Future[mdn.Mdn]) -> Callable[[mdn.Mdn], None]:
+    def resolve(receipt: mdn.Mdn) -> None:
+        if not receipt_future.done():
+            receipt_future.set_result(receipt)
 
-    return give
+    return resolve
--- a/brassweir/as2/cms/__init__.py
+++ b/brassweir/as2/cms/__init__.py
@@ -1,7 +1,8 @@
 """CMS objects (RFC 5652, 3274, 5083, 5084, 8551) on asn1crypto's structures and cryptography's primitives.
 
-Trust is by certificate, not by chain: a signature counts if one of the certificates agreed with the partner
-made it. Certificates inside a message are never trusted. Reading takes BER and DER; writing is DER.
+Certificates are trusted one by one, without chains: a signature is accepted if it was made with the key of a
+certificate agreed with the partner. Certificates inside a message are never trusted. Reads BER and DER;
+writes DER.
 """
 
 from brassweir.as2.cms.common import DIGESTS, LEGACY_DIGESTS, PrivateKey, content_kind, digest_name, micalg
--- a/brassweir/as2/cms/common.py
+++ b/brassweir/as2/cms/common.py
@@ -1,4 +1,4 @@
-"""What all parts share: digests, the reading of CMS objects, and errors that hostile bytes can raise."""
+"""Shared by the CMS modules: digests, parsing of CMS objects, and conversion of parsing errors."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     "sha512": hashes.SHA512,
 }
 LEGACY_DIGESTS = frozenset({"sha1"})
-MOST_SIGNERS = 8  # signatures are costly to check: a message with more is no honest one
+MAX_SIGNERS = 8  # limits the cost of verifying a hostile message
 
 _P = ParamSpec("_P")
 _T = TypeVar("_T")
 
 
-def guarded(modifier: Modifier, what: str) -> Callable[[Callable[_P, _T]], Callable[_P, _T]]:
-    """Turn every error that hostile bytes can raise below into the codec's own."""
+def raising_as2_error(modifier: Modifier, problem: str) -> Callable[[Callable[_P, _T]], Callable[_P, _T]]:
+    """Decorator that converts every error that malformed bytes can raise into As2Error."""
 
     def around(function: Callable[_P, _T]) -> Callable[_P, _T]:
         def inner(*args: _P.args, **kwargs: _P.kwargs) -> _T:
@@ -54,7 +54,7 @@
                 zlib.error,
                 NotImplementedError,
             ) as error:
-                raise As2Error(modifier, f"{what}: {type(error).__name__}: {str(error)[:200]}") from None
+                raise As2Error(modifier, f"{problem}: {type(error).__name__}: {str(error)[:200]}") from None
 
         inner.__name__, inner.__doc__ = function.__name__, function.__doc__
         return inner
@@ -63,9 +63,9 @@
 
 
 def digest_name(name: str) -> str:
-    """The plain name of a digest however it is spelled: sha256, sha-256, SHA256, rsa-sha1.
+    """Normalizes the name of a digest: sha256, sha-256, SHA256, rsa-sha1.
 
-    Raises As2Error for one that is not known.
+    Raises As2Error for an unknown digest.
     """
     plain = name.strip().strip('"').lower().replace("-", "").replace("_", "").removeprefix("rsa")
     if plain not in DIGESTS:
@@ -74,24 +74,24 @@
 
 
 def micalg(name: str) -> str:
-    """A digest as RFC 5751 spells it in micalg."""
+    """Returns the name of a digest as RFC 5751 spells it in micalg."""
     return name if name == "sha1" else name.replace("sha", "sha-")
 
 
 def content_kind(data: bytes) -> str:
-    """What kind of CMS object this is, such as ``signed_data``. Raises As2Error."""
+    """Returns the content type of a CMS object, such as ``signed_data``. Raises As2Error."""
     return str(content_info(data)["content_type"].native)
 
 
-@guarded(Modifier.FORMAT, "CMS object cannot be read")
+@raising_as2_error(Modifier.FORMAT, "CMS object cannot be read")
 def content_info(data: bytes) -> Any:
-    """A CMS object whose kind can be read. Raises As2Error."""
+    """Parses a CMS object up to its content type. Raises As2Error."""
     info = cms.ContentInfo.load(data)
-    info["content_type"].native  # noqa: B018 - parsed lazily: an error is to come here
+    info["content_type"].native  # noqa: B018 - parsed lazily: raises here if malformed
     return info
 
 
 @lru_cache(4096)
-def asn1_of(certificate: x509.Certificate) -> Any:
-    """A certificate as asn1crypto has it."""
+def to_asn1(certificate: x509.Certificate) -> Any:
+    """Converts a certificate to asn1crypto's type."""
     return asn1x509.Certificate.load(certificate.public_bytes(serialization.Encoding.DER))
--- a/brassweir/as2/cms/compression.py
+++ b/brassweir/as2/cms/compression.py
@@ -1,4 +1,4 @@
-"""CompressedData (RFC 3274)."""
+"""Compresses and decompresses CompressedData (RFC 3274)."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from brassweir.as2.cms.common import (
     content_info,
-    guarded,
+    raising_as2_error,
 )
 from brassweir.as2.errors import As2Error, Modifier
 
 
 def compress(content: bytes) -> bytes:
-    """A CompressedData with zlib, DER (RFC 3274)."""
+    """Returns a CompressedData with zlib, in DER."""
     return bytes(
         cms.ContentInfo(
             {
@@ -31,19 +31,19 @@
     )
 
 
-@guarded(Modifier.DECOMPRESSION, "cannot be decompressed")
-def decompress(data: bytes, most: int) -> bytes:
-    """The content of a CompressedData, at most ``most`` bytes. Raises As2Error."""
+@raising_as2_error(Modifier.DECOMPRESSION, "cannot be decompressed")
+def decompress(data: bytes, max_bytes: int) -> bytes:
+    """Returns the content of a CompressedData. Raises As2Error, also if it exceeds ``max_bytes``."""
     info = content_info(data)
     if info["content_type"].native != "compressed_data":
         raise As2Error(Modifier.DECOMPRESSION, "no CompressedData where one is due")
-    packed = info["content"]["encap_content_info"]["content"].native
-    if not isinstance(packed, bytes):
+    compressed = info["content"]["encap_content_info"]["content"].native
+    if not isinstance(compressed, bytes):
         raise As2Error(Modifier.DECOMPRESSION, "CompressedData without content")
-    machine = zlib.decompressobj()
-    content = machine.decompress(packed, most + 1)
-    if len(content) > most:
-        raise As2Error(Modifier.DECOMPRESSION, f"more than {most} bytes when decompressed")
-    if not machine.eof:
+    decompressor = zlib.decompressobj()
+    content = decompressor.decompress(compressed, max_bytes + 1)
+    if len(content) > max_bytes:
+        raise As2Error(Modifier.DECOMPRESSION, f"more than {max_bytes} bytes when decompressed")
+    if not decompressor.eof:
         raise As2Error(Modifier.DECOMPRESSION, "compressed content was cut")
     return content
--- a/brassweir/as2/cms/envelopes.py
+++ b/brassweir/as2/cms/envelopes.py
@@ -1,4 +1,4 @@
-"""EnvelopedData and AuthEnvelopedData (RFC 5652, 5083, 5084): encryption for one recipient."""
+"""Encrypts and decrypts EnvelopedData and AuthEnvelopedData (RFC 5652, 5083, 5084)."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 from brassweir.as2.cms.common import (
     DIGESTS,
-    MOST_SIGNERS,
+    MAX_SIGNERS,
     PrivateKey,
-    asn1_of,
     content_info,
     digest_name,
-    guarded,
+    raising_as2_error,
+    to_asn1,
 )
 from brassweir.as2.errors import As2Error, Modifier
 
@@ -46,13 +46,13 @@
     "aes192_gcm": "aes192-gcm",
     "aes256_gcm": "aes256-gcm",
 }
-_PLAIN_CIPHERS: dict[str, Any] = {"aes128-cbc": algorithms.AES128, "aes256-cbc": algorithms.AES256}
-# The DER of the object identifiers (RFC 3565, section 4.1), which stand within the head of an EnvelopedData.
-_PLAIN_OIDS = {
+_BUILDER_CIPHERS: dict[str, Any] = {"aes128-cbc": algorithms.AES128, "aes256-cbc": algorithms.AES256}
+# DER of the ciphers' object identifiers (RFC 3565, section 4.1), found near the start of an EnvelopedData.
+_FAST_PATH_OIDS = {
     "aes128-cbc": bytes.fromhex("0609608648016503040102"),
     "aes256-cbc": bytes.fromhex("060960864801650304012a"),
 }
-_HEAD = 4096
+_OID_SEARCH_BYTES = 4096
 
 
 class _GcmParameters(core.Sequence):  # type: ignore[misc]
@@ -62,25 +62,27 @@
 
 
 def encrypt(content: bytes, certificate: x509.Certificate, cipher: str, *, oaep: bool = False) -> bytes:
-    """An EnvelopedData, or AuthEnvelopedData for GCM, for one recipient with an RSA key; DER.
+    """Returns an EnvelopedData, or AuthEnvelopedData for GCM, for one recipient with an RSA key, in DER.
 
     Raises ValueError if the certificate's key is no RSA key.
     """
     public = certificate.public_key()
     if not isinstance(public, rsa.RSAPublicKey):
         raise ValueError("only RSA certificates can be encrypted to")
-    if cipher in _PLAIN_CIPHERS and not oaep:
+    if cipher in _BUILDER_CIPHERS and not oaep:
         return (
             pkcs7.PKCS7EnvelopeBuilder()
             .set_data(content)
             .add_recipient(certificate)
-            .set_content_encryption_algorithm(_PLAIN_CIPHERS[cipher])
+            .set_content_encryption_algorithm(_BUILDER_CIPHERS[cipher])
             .encrypt(serialization.Encoding.DER, [pkcs7.PKCS7Options.Binary])
         )
-    secret = os.urandom(CIPHERS[cipher])
-    cert = asn1_of(certificate)
+    content_key = os.urandom(CIPHERS[cipher])
+    cert = to_asn1(certificate)
     if oaep:
-        wrapped = public.encrypt(secret, padding.OAEP(padding.MGF1(hashes.SHA256()), hashes.SHA256(), None))
+        wrapped = public.encrypt(
+            content_key, padding.OAEP(padding.MGF1(hashes.SHA256()), hashes.SHA256(), None)
+        )
         transport: Any = {
             "algorithm": "rsaes_oaep",
             "parameters": algos.RSAESOAEPParams(
@@ -91,7 +93,7 @@
             ),
         }
     else:
-        wrapped = public.encrypt(secret, padding.PKCS1v15())
+        wrapped = public.encrypt(content_key, padding.PKCS1v15())
         transport = {"algorithm": "rsaes_pkcs1v15"}
     recipient = cms.RecipientInfo(
         "ktri",
@@ -108,7 +110,7 @@
     )
     if cipher.endswith("-gcm"):
         nonce = os.urandom(12)
-        sealed = AESGCM(secret).encrypt(nonce, content, None)
+        sealed = AESGCM(content_key).encrypt(nonce, content, None)
         parameters = core.Any(_GcmParameters({"nonce": nonce, "icv_len": 16}))
         body = cms.AuthEnvelopedData(
             {
@@ -131,7 +133,7 @@
     block = 8 if cipher == "3des" else 16
     iv = os.urandom(block)
     padder = PKCS7(block * 8).padder()
-    encryptor = _cbc(cipher, secret, iv).encryptor()
+    encryptor = _cbc(cipher, content_key, iv).encryptor()
     sealed = encryptor.update(padder.update(content) + padder.finalize()) + encryptor.finalize()
     name = "tripledes_3key" if cipher == "3des" else cipher.replace("-", "_")
     return bytes(
@@ -154,28 +156,30 @@
     )
 
 
-def _cbc(cipher: str, secret: bytes, iv: bytes) -> Cipher[modes.CBC]:
-    kind = TripleDES(secret) if cipher == "3des" else algorithms.AES(secret)
+def _cbc(cipher: str, content_key: bytes, iv: bytes) -> Cipher[modes.CBC]:
+    kind = TripleDES(content_key) if cipher == "3des" else algorithms.AES(content_key)
     return Cipher(kind, modes.CBC(iv))
 
 
-@guarded(Modifier.DECRYPTION, "cannot be decrypted")
+@raising_as2_error(Modifier.DECRYPTION, "cannot be decrypted")
 def decrypt(
     data: bytes, key: PrivateKey, certificate: x509.Certificate, *, legacy: bool = False
 ) -> tuple[bytes, str]:
-    """The content of an EnvelopedData or AuthEnvelopedData, and its cipher. Raises As2Error.
+    """Returns the content of an EnvelopedData or AuthEnvelopedData, and its cipher. Raises As2Error.
 
-    A key that does not unwrap is replaced by a random one, so that whoever probes paddings sees no
-    difference (RFC 3218, section 2.3).
+    A content key that cannot be unwrapped is replaced by a random one, which prevents padding-oracle attacks
+    on the RSA key (RFC 3218, section 2.3).
     """
     if not isinstance(key, rsa.RSAPrivateKey):
         raise As2Error(Modifier.DECRYPTION, "our key here is no RSA key")
-    plain_cipher = next((name for name, oid in _PLAIN_OIDS.items() if oid in data[:_HEAD]), None)
-    if plain_cipher is not None:
-        try:  # most messages: DER, AES-CBC, PKCS #1 v1.5, and read in one go by cryptography itself
-            return pkcs7.pkcs7_decrypt_der(data, certificate, key, []), plain_cipher
+    fast_path_cipher = next(
+        (name for name, oid in _FAST_PATH_OIDS.items() if oid in data[:_OID_SEARCH_BYTES]), None
+    )
+    if fast_path_cipher is not None:
+        try:  # fast path of cryptography: DER, AES-CBC, PKCS #1 v1.5
+            return pkcs7.pkcs7_decrypt_der(data, certificate, key, []), fast_path_cipher
         except (ValueError, UnsupportedAlgorithm):
-            pass  # BER, other key transport or another recipient: and what fails, fails below
+            pass  # BER, other key transport or another recipient: retried below
     info = content_info(data)
     kind = info["content_type"].native
     if kind not in ("enveloped_data", "authenticated_enveloped_data"):
@@ -189,7 +193,7 @@
         raise As2Error(Modifier.DECRYPTION, f"cipher {algorithm['algorithm'].native} is not served")
     if cipher in LEGACY_CIPHERS and not legacy:
         raise As2Error(Modifier.SECURITY, f"cipher {cipher} is not allowed here")
-    secret = _unwrap(body["recipient_infos"], key, certificate, CIPHERS[cipher])
+    content_key = _unwrap(body["recipient_infos"], key, certificate, CIPHERS[cipher])
     content = sealed["encrypted_content"].native or b""
     if gcm:
         parameters = algorithm["parameters"].parse(_GcmParameters)
@@ -198,28 +202,30 @@
         aad = body["auth_attrs"].untag().dump(force=True) if len(body["auth_attrs"]) else None
         if len(body["mac"].native) != 16:
             raise As2Error(Modifier.DECRYPTION, "authentication tags under 16 bytes are not served")
-        return AESGCM(secret).decrypt(parameters["nonce"].native, content + body["mac"].native, aad), cipher
-    decryptor = _cbc(cipher, secret, algorithm["parameters"].native).decryptor()
+        return AESGCM(content_key).decrypt(
+            parameters["nonce"].native, content + body["mac"].native, aad
+        ), cipher
+    decryptor = _cbc(cipher, content_key, algorithm["parameters"].native).decryptor()
     unpadder = PKCS7(64 if cipher == "3des" else 128).unpadder()
     plain = decryptor.update(content) + decryptor.finalize()
     return unpadder.update(plain) + unpadder.finalize(), cipher
 
 
 def _unwrap(recipients: Any, key: rsa.RSAPrivateKey, certificate: x509.Certificate, size: int) -> bytes:
-    cert = asn1_of(certificate)
-    for recipient in list(recipients)[: MOST_SIGNERS * 4]:
+    cert = to_asn1(certificate)
+    for recipient in list(recipients)[: MAX_SIGNERS * 4]:
         if recipient.name != "ktri":
             continue
         chosen = recipient.chosen
         rid = chosen["rid"]
         if rid.name == "issuer_and_serial_number":
-            mine = (
+            matches = (
                 rid.chosen["serial_number"].native == cert.serial_number
                 and rid.chosen["issuer"].hashable == cert.issuer.hashable
             )
         else:
-            mine = rid.chosen.native == cert.key_identifier
-        if not mine:
+            matches = rid.chosen.native == cert.key_identifier
+        if not matches:
             continue
         scheme: padding.AsymmetricPadding = padding.PKCS1v15()
         algorithm = chosen["key_encryption_algorithm"]
@@ -229,8 +235,8 @@
             mask = parameters["mask_gen_algorithm"]["parameters"]["algorithm"].native
             scheme = padding.OAEP(padding.MGF1(DIGESTS[digest_name(str(mask))]()), digest, None)
         try:
-            secret = key.decrypt(chosen["encrypted_key"].native, scheme)
+            content_key = key.decrypt(chosen["encrypted_key"].native, scheme)
         except ValueError:
-            secret = b""
-        return secret if len(secret) == size else os.urandom(size)
+            content_key = b""
+        return content_key if len(content_key) == size else os.urandom(size)
     raise As2Error(Modifier.DECRYPTION, "encrypted for another certificate")
--- a/brassweir/as2/cms/signatures.py
+++ b/brassweir/as2/cms/signatures.py
@@ -1,4 +1,4 @@
-"""SignedData (RFC 5652, section 5): made, checked against agreed certificates, and shown."""
+"""Makes SignedData (RFC 5652, section 5) and verifies it with agreed certificates."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from brassweir.as2.cms.common import (
     DIGESTS,
     LEGACY_DIGESTS,
-    MOST_SIGNERS,
+    MAX_SIGNERS,
     PrivateKey,
-    asn1_of,
     content_info,
     digest_name,
-    guarded,
+    raising_as2_error,
+    to_asn1,
 )
 from brassweir.as2.errors import As2Error, Modifier
 
@@ -37,7 +37,7 @@
     pss: bool = False,
     detached: bool = True,
 ) -> bytes:
-    """A SignedData over ``content`` with one signer, DER (RFC 5652, section 5)."""
+    """Returns a SignedData over ``content`` with one signer, in DER."""
     if digest not in LEGACY_DIGESTS:
         scheme = _pss(DIGESTS[digest]()) if pss and isinstance(key, rsa.RSAPrivateKey) else None
         builder = (
@@ -59,9 +59,9 @@
 def _sign_legacy(
     content: bytes, key: PrivateKey, certificate: x509.Certificate, digest: str, detached: bool
 ) -> bytes:
-    """The same with a digest that cryptography's own builder no longer writes."""
+    """Does what ``sign`` does with a digest that cryptography's builder does not support."""
     algorithm = DIGESTS[digest]()
-    cert = asn1_of(certificate)
+    cert = to_asn1(certificate)
     attributes = cms.CMSAttributes(
         [
             cms.CMSAttribute({"type": "content_type", "values": ["data"]}),
@@ -116,21 +116,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Signed:
-    """A signature that holds: its digest, who made it, and the content it covers."""
+    """A valid signature: its digest, its signer's certificate and the signed content."""
 
     digest: str
     signer: x509.Certificate
     content: bytes
 
 
-@guarded(Modifier.AUTHENTICATION, "signature cannot be read")
+@raising_as2_error(Modifier.AUTHENTICATION, "signature cannot be read")
 def verify(
     data: bytes, trusted: Sequence[x509.Certificate], content: bytes | None, *, legacy: bool = False
 ) -> Signed:
-    """Check a SignedData against the trusted certificates; ``content`` is given if it is detached.
+    """Verifies a SignedData with the trusted certificates; ``content`` is None if it is in the SignedData.
 
-    Raises As2Error: integrity-check-failed if the content is not what was signed, authentication-failed if
-    no trusted certificate made the signature or its digest is not allowed.
+    Raises As2Error: integrity-check-failed if the content differs from what was signed, authentication-failed
+    if no trusted certificate's key made the signature or its digest is not allowed.
     """
     info = content_info(data)
     if info["content_type"].native != "signed_data":
@@ -141,7 +141,7 @@
         if not isinstance(content, bytes):
             raise As2Error(Modifier.AUTHENTICATION, "signature without content")
     signers = list(signed["signer_infos"])
-    if not 1 <= len(signers) <= MOST_SIGNERS:
+    if not 1 <= len(signers) <= MAX_SIGNERS:
         raise As2Error(Modifier.AUTHENTICATION, f"{len(signers)} signers")
     problem = As2Error(Modifier.AUTHENTICATION, "signed by no certificate agreed with this partner")
     for signer in signers:
@@ -149,33 +149,35 @@
         if digest in LEGACY_DIGESTS and not legacy:
             problem = As2Error(Modifier.AUTHENTICATION, f"digest {digest} is not allowed here")
             continue
-        maker = next((cert for cert in trusted if _made(signer, cert, digest, content)), None)
-        if maker is None:
+        signer_certificate = next(
+            (cert for cert in trusted if _signed_by(signer, cert, digest, content)), None
+        )
+        if signer_certificate is None:
             continue
-        if not _covers(signer, digest, content):
+        if not _digest_matches(signer, digest, content):
             problem = As2Error(Modifier.INTEGRITY, "content is not what was signed")
             continue
-        return Signed(digest, maker, content)
+        return Signed(digest, signer_certificate, content)
     raise problem
 
 
-def _made(signer: Any, certificate: x509.Certificate, digest: str, content: bytes) -> bool:
-    """Did the key of this certificate make the signature?"""
+def _signed_by(signer: Any, certificate: x509.Certificate, digest: str, content: bytes) -> bool:
+    """Whether the key of this certificate made the signature."""
     attributes = signer["signed_attrs"]
     if not len(attributes):
-        return _holds(signer, certificate, digest, content)
-    # Signed as an explicit SET OF in DER, whatever the message holds (RFC 5652, section 5.4). Nearly always
-    # it holds just that but for the tag; putting it in order anew costs more than the signature.
-    held = attributes.dump()
+        return _is_valid(signer, certificate, digest, content)
+    # The signature covers the attributes as an explicit SET OF in DER (RFC 5652, section 5.4). Tries the
+    # received bytes with that tag first, because encoding them again costs more than verifying the signature.
+    encoded = attributes.dump()
     return (
-        held[1] != 0x80
-        and _holds(signer, certificate, digest, b"\x31" + held[1:])
-        or _holds(signer, certificate, digest, attributes.untag().dump(force=True))
+        encoded[1] != 0x80
+        and _is_valid(signer, certificate, digest, b"\x31" + encoded[1:])
+        or _is_valid(signer, certificate, digest, attributes.untag().dump(force=True))
     )
 
 
-def _holds(signer: Any, certificate: x509.Certificate, digest: str, covered: bytes) -> bool:
-    """Is this the signature of these bytes by the key of this certificate?"""
+def _is_valid(signer: Any, certificate: x509.Certificate, digest: str, covered: bytes) -> bool:
+    """Whether this is the signature of ``covered`` by the key of this certificate."""
     kind = str(signer["signature_algorithm"]["algorithm"].native)
     signature = signer["signature"].native
     algorithm = DIGESTS[digest]()
@@ -197,8 +199,8 @@
     return True
 
 
-def _covers(signer: Any, digest: str, content: bytes) -> bool:
-    """Does the signed digest belong to this content?"""
+def _digest_matches(signer: Any, digest: str, content: bytes) -> bool:
+    """Whether the signed digest is that of the content."""
     attributes = signer["signed_attrs"]
     if not len(attributes):
         return True  # the signature was made over the content itself
@@ -208,8 +210,8 @@
     return False
 
 
-@guarded(Modifier.AUTHENTICATION, "signature cannot be read")
+@raising_as2_error(Modifier.AUTHENTICATION, "signature cannot be read")
 def embedded(data: bytes) -> list[x509.Certificate]:
-    """The certificates a SignedData carries, for showing only. Raises As2Error."""
+    """Returns the certificates inside a SignedData, for display only. Raises As2Error."""
     found = content_info(data)["content"]["certificates"]
     return [x509.load_der_x509_certificate(cert.chosen.dump()) for cert in found or []]
--- a/brassweir/as2/endings.py
+++ b/brassweir/as2/endings.py
@@ -1,8 +1,7 @@
-"""How each ending of an attempt reads: the table of docs/design-as2.md as code. Pure.
+"""Maps HTTP statuses and receipts to outcomes of attempts, as the table in docs/design-as2.md. No I/O.
 
-The question behind every row is whether the payment can have taken effect. Only what proves that the
-partner cannot have read a whole message says no: a connection that never stood, or the partner's own word
-that it refused the message unseen.
+The outcome says whether the message may have taken effect at the partner. It cannot have if no connection
+was established, or if the partner reported that it refused the message without processing it.
 """
 
 from __future__ import annotations
@@ -15,10 +14,10 @@
 from brassweir.core.ports import Outcome
 from brassweir.interface import Result
 
-# Statuses that speak of the message itself: it would be no other at a later try (RFC 9110, section 15.5).
-ABOUT_THE_MESSAGE = frozenset({413, 414, 415, 422, 431})
-# Modifiers that do: the partner has read the message and will not take it.
-ABOUT_THE_CONTENT = frozenset(
+# Statuses about the message itself, which a retry would not change (RFC 9110, section 15.5).
+REJECTING_STATUSES = frozenset({413, 414, 415, 422, 431})
+# Modifiers by which a partner rejects a message that it has read.
+REJECTING_MODIFIERS = frozenset(
     {
         Modifier.AUTHENTICATION.value,
         Modifier.DECRYPTION.value,
@@ -33,59 +32,59 @@
 )
 
 
-def status(code: int, hints: ServerHints, busy: frozenset[int]) -> Outcome | None:
-    """What an HTTP status says, or None for a success, whose receipt then decides.
+def of_status(code: int, hints: ServerHints, busy: frozenset[int]) -> Outcome | None:
+    """Returns the outcome of an HTTP status, or None for a success, whose receipt decides.
 
-    ``busy`` are statuses by which the partner has agreed to mean "refused unseen". 503 means that too where
-    it names a wait: a partner that says when to come back has not taken the message on.
+    ``busy`` are the statuses agreed to mean that the message was refused without being processed. A 503 with
+    Retry-After means the same.
     """
     reason = f"status {code}"
     if 200 <= code < 300:
         return None
     if code in busy or (code == 503 and hints.wait > 0):
         return Outcome(Result.BUSY, reason, wait=hints.wait, limit_left=hints.limit_left, limit=hints.limit)
-    if code in ABOUT_THE_MESSAGE:
+    if code in REJECTING_STATUSES:
         return Outcome(Result.OK, reason, rejected=True, limit_left=hints.limit_left, limit=hints.limit)
     return Outcome(Result.ERROR, reason, limit_left=hints.limit_left, limit=hints.limit)
 
 
 @dataclass(frozen=True, slots=True)
 class Expected:
-    """What a receipt must show to count."""
+    """What a receipt must show to be accepted."""
 
     message_id: str
     mic: str
     micalg: str
     signed: bool
-    repeat: bool  # an earlier attempt may have run: a duplicate is then our own
+    repeat: bool  # an earlier attempt may have taken effect: a reported duplicate is then its message
 
 
-def receipt(got: Mdn, expected: Expected, hints: ServerHints) -> Outcome:
-    """What a receipt says; it was parsed, and its signature, if any, held."""
+def of_receipt(mdn: Mdn, expected: Expected, hints: ServerHints) -> Outcome:
+    """Returns the outcome of a parsed receipt, whose signature, if it has one, is valid."""
 
-    def say(result: Result, reason: str, rejected: bool = False) -> Outcome:
+    def outcome(result: Result, reason: str, rejected: bool = False) -> Outcome:
         return Outcome(result, reason, rejected, limit_left=hints.limit_left, limit=hints.limit)
 
-    if expected.signed and got.signer is None:
-        return say(Result.ERROR, "receipt is not signed")
-    if got.original_message_id.strip("<>") != expected.message_id.strip("<>"):
-        return say(Result.ERROR, "receipt is for another message")
-    disposition, modifier = got.disposition, got.disposition.modifier.lower()
+    if expected.signed and mdn.signer is None:
+        return outcome(Result.ERROR, "receipt is not signed")
+    if mdn.original_message_id.strip("<>") != expected.message_id.strip("<>"):
+        return outcome(Result.ERROR, "receipt is for another message")
+    disposition, modifier = mdn.disposition, mdn.disposition.modifier.lower()
     if modifier == Modifier.DUPLICATE.value and expected.repeat:
-        return say(Result.OK, "the partner had it from an earlier attempt")
+        return outcome(Result.OK, "the partner had it from an earlier attempt")
     if disposition.good:
         if modifier == Modifier.DUPLICATE.value:
-            return say(Result.OK, "the partner calls it a duplicate")
-        if got.mic and (got.mic != expected.mic or got.micalg not in ("", expected.micalg)):
-            return say(Result.ERROR, "receipt shows another MIC: not what we sent")
-        if not got.mic and expected.signed:
-            return say(Result.ERROR, "signed receipt without MIC")
-        return say(Result.OK, disposition.modifier)
-    if modifier in ABOUT_THE_CONTENT or modifier == Modifier.DUPLICATE.value:
-        return say(Result.OK, f"the partner says {disposition.modifier}", rejected=True)
-    return say(Result.ERROR, f"the partner says {disposition.modifier or disposition.kind}")
-
-
-def unreadable(error: As2Error, hints: ServerHints) -> Outcome:
-    """A receipt that cannot be read, or that the wrong key signed: it proves nothing either way."""
+            return outcome(Result.OK, "the partner calls it a duplicate")
+        if mdn.mic and (mdn.mic != expected.mic or mdn.micalg not in ("", expected.micalg)):
+            return outcome(Result.ERROR, "receipt shows another MIC: not what we sent")
+        if not mdn.mic and expected.signed:
+            return outcome(Result.ERROR, "signed receipt without MIC")
+        return outcome(Result.OK, disposition.modifier)
+    if modifier in REJECTING_MODIFIERS or modifier == Modifier.DUPLICATE.value:
+        return outcome(Result.OK, f"the partner says {disposition.modifier}", rejected=True)
+    return outcome(Result.ERROR, f"the partner says {disposition.modifier or disposition.kind}")
+
+
+def of_unreadable_receipt(error: As2Error, hints: ServerHints) -> Outcome:
+    """Returns the outcome of a receipt that cannot be parsed or verified: it is unknown what became of it."""
     return Outcome(Result.ERROR, f"receipt: {error.reason}", limit_left=hints.limit_left, limit=hints.limit)
--- a/brassweir/as2/errors.py
+++ b/brassweir/as2/errors.py
@@ -1,4 +1,4 @@
-"""The codec's one error. Nothing else leaves a parse, whatever the bytes."""
+"""The only exception that parsing raises, whatever the input bytes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class As2Error(ValueError):
-    """A message or receipt cannot be taken; ``modifier`` is what a receipt says of it."""
+    """A message or receipt is invalid or not accepted; ``modifier`` is what its receipt reports."""
 
     def __init__(self, modifier: Modifier, reason: str) -> None:
         super().__init__(reason)
--- a/brassweir/as2/front.py
+++ b/brassweir/as2/front.py
@@ -1,7 +1,7 @@
-"""The AS2 front: clients' messages in, one final answer each, and partners' asynchronous receipts.
+"""HTTP server side of AS2: takes clients' messages and partners' asynchronous receipts.
 
-It parses, authenticates and limits; what becomes of a message is the engine's to say. How the three final
-answers are told, and why so, is in docs/design-as2.md.
+It parses, authenticates and limits requests and submits messages to the engine, which decides each message's
+final answer. How the three final answers are sent to clients is described in docs/design-as2.md.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from brassweir.as2 import mdn, mime, partnership
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.as2.incoming_receipts import IncomingReceipts
-from brassweir.as2.mdn import Asked, Disposition
-from brassweir.as2.opening import Knows, Opener
+from brassweir.as2.mdn import Disposition, ReceiptRequest
+from brassweir.as2.opening import KnownMessages, Opener
 from brassweir.as2.owed import Owed
 from brassweir.as2.partnership import Client, Partnerships
 from brassweir.as2.receipts import Receipts
-from brassweir.as2.reply import Note, Reply, plain, turned_away
+from brassweir.as2.reply import Note, Reply, plain, reject
 from brassweir.core.futures import resolver
 from brassweir.core.key_order import KeyOrder
 from brassweir.core.ledger import MessageRecord, SubmitStatus
@@ -29,180 +29,206 @@
 from brassweir.net.headers import DuplicateHeader, Headers
 from brassweir.net.server import Request, Response
 
-MESSAGES, RECEIPTS = "/as2", "/as2/receipts"
+MESSAGE_PATH, RECEIPT_PATH = "/as2", "/as2/receipts"
 
 
-class Submits(Knows, Protocol):
-    """The engine, as far as a front sees it."""
+class SubmissionEngine(KnownMessages, Protocol):
+    """The part of the engine that the front calls."""
 
     def submit(
         self, submission: Submission, waiter: Callable[[FinalAnswer], None]
     ) -> tuple[SubmitStatus, MessageRecord]:
-        """Hand in a message."""
+        """Submits a message; ``waiter`` is called with its final answer."""
 
-    def when_persisted(self, record: MessageRecord, keeper: Callable[[], None]) -> None:
-        """Call ``keeper`` once a message is written down."""
+    def when_persisted(self, record: MessageRecord, callback: Callable[[], None]) -> None:
+        """Calls ``callback`` once the message is on disk."""
 
 
 class As2Front:
     """Answers HTTP requests of clients and partners.
 
-    ``hold`` (ms) is how long an asynchronous client's post waits for an answer that comes at once: a refusal
-    in that time is told by its status, and no receipt is owed. ``margin`` (ms) is kept of each message's time
-    for the answer's own way. ``most`` bounds a decompressed message in bytes.
+    ``refusal_hold_ms`` is how long the response to an asynchronous client is delayed: a message that is
+    refused within that time is answered with a status, and no receipt is sent. ``margin`` (ms) is subtracted
+    from each message's deadline so that the answer can still reach the client. ``most`` limits the bytes of
+    each decompressed layer. ``told`` is called with a message's record id once the client has its answer.
     """
 
     def __init__(
         self,
-        book: Partnerships,
-        engine: Submits,
+        partnerships: Partnerships,
+        engine: SubmissionEngine,
         receipts: Receipts,
         owed: Owed,
         offload: Offload,
         note: Note,
         *,
-        hold: float = 100.0,
+        refusal_hold_ms: float = 100.0,
         margin: float = 100.0,
         most: int = 50_000_000,
         told: Callable[[int], None] = lambda _: None,
     ) -> None:
-        self.book, self.engine, self.owed = book, engine, owed
+        self.partnerships, self.engine, self.owed = partnerships, engine, owed
         self.offload, self.note, self.told = offload, note, told
-        self.hold, self.margin = hold, margin
-        self.lines = KeyOrder()
-        self.opener = Opener(book, engine, offload, most)
-        self.incoming = IncomingReceipts(book, receipts, offload, note)
+        self.refusal_hold_ms, self.margin = refusal_hold_ms, margin
+        self.key_order = KeyOrder()
+        self.opener = Opener(partnerships, engine, offload, most)
+        self.incoming = IncomingReceipts(partnerships, receipts, offload, note)
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one request."""
+        """Answers one request."""
         path = request.path.partition("?")[0]
-        if path not in (MESSAGES, RECEIPTS):
+        if path not in (MESSAGE_PATH, RECEIPT_PATH):
             return plain(404, "nothing is served here")
         if request.method != "POST":
             return Response(405, Headers([("Allow", "POST")]), b"only POST\n")
         try:
-            if path == RECEIPTS:
+            if path == RECEIPT_PATH:
                 return await self.incoming(request)
-            return await self._message(request)
+            return await self._handle_message(request)
         except DuplicateHeader as error:
-            return turned_away(self.note, request, 400, str(error))
+            return reject(self.note, request, 400, str(error))
 
-    async def _message(self, request: Request) -> Response:
+    async def _handle_message(self, request: Request) -> Response:
         headers = request.headers
         try:
             sender = mime.as2_name(headers.one("as2-from"))
             receiver = mime.as2_name(headers.one("as2-to"))
-            ident = mime.message_id(headers.one("message-id"))
+            message_id = mime.message_id(headers.one("message-id"))
         except As2Error as error:
-            return turned_away(self.note, request, 400, error.reason)
+            return reject(self.note, request, 400, error.reason)
         try:
-            client = self.book.client(sender, receiver)
+            client = self.partnerships.client(sender, receiver)
         except As2Error as error:
-            # No receipt: there is no agreement that says what its signature would be worth.
-            return turned_away(self.note, request, 403, error.reason)
+            # No receipt: without a partnership there is no agreed certificate to verify its signature with.
+            return reject(self.note, request, 403, error.reason)
         try:
-            asked = mdn.asked(
+            receipt_request = mdn.asked(
                 headers.one("disposition-notification-to"),
                 headers.one("disposition-notification-options"),
                 headers.one("receipt-delivery-option"),
             )
         except As2Error as error:
-            return await self._unacceptable(request, client, receiver, ident, Asked(True), error)
+            return await self._reject_message(
+                request, client, receiver, message_id, ReceiptRequest(True), error
+            )
         try:
-            mapped = partnership.mapped(client, self.book.classes, headers.one, time.time(), self.margin)
-            # Messages of one key are handed to the engine in the order in which they came whole, however
-            # long each takes to open.
-            ordered = self.book.classes[mapped.class_name].in_order
-            async with self.lines.turn(mapped.key if ordered else "") as turn:
-                opened = await self.opener.open(request, client, asked, f"{receiver}\n{ident}")
-                await turn()
+            terms = partnership.map_headers(
+                client, self.partnerships.classes, headers.one, time.time(), self.margin
+            )
+            # Messages of one key are submitted in the order in which they were received completely, however
+            # long each takes to decrypt and verify.
+            ordered = self.partnerships.classes[terms.class_name].in_order
+            async with self.key_order.turn(terms.key if ordered else "") as wait_turn:
+                opened = await self.opener.open(request, client, receipt_request, f"{receiver}\n{message_id}")
+                await wait_turn()
                 payload = replace(opened.payload, subject=headers.one("subject"))
-                destination = self.book.number(receiver)
-                assert destination is not None  # the partnership was found under this name
+                destination = self.partnerships.number(receiver)
+                assert destination is not None  # checked by client() above
                 submission = Submission(
                     sender,
-                    f"{receiver}\n{ident}",
-                    mapped.class_name,
+                    f"{receiver}\n{message_id}",
+                    terms.class_name,
                     destination,
-                    mapped.left,
-                    mapped.key,
+                    terms.left_ms,
+                    terms.key,
                     payload=payload,
-                    created_at=mapped.born,
+                    created_at=terms.created_at_ms,
                 )
-                answered: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
+                final_answer: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
                 receipt = Reply(
-                    self.book, self.offload, client, receiver, ident, asked, opened.mic, opened.micalg
+                    self.partnerships,
+                    self.offload,
+                    client,
+                    receiver,
+                    message_id,
+                    receipt_request,
+                    opened.mic,
+                    opened.micalg,
                 )
-                if asked.wanted and asked.delivery and client.receipt_url:
-                    submission = replace(submission, reply_to=receipt.note())
-                how, record = self.engine.submit(submission, resolver(answered))
+                if receipt_request.wanted and receipt_request.delivery and client.receipt_url:
+                    submission = replace(submission, reply_to=receipt.encode())
+                submit_status, record = self.engine.submit(submission, resolver(final_answer))
         except As2Error as error:
-            return await self._unacceptable(request, client, receiver, ident, asked, error)
-        if asked.wanted and asked.delivery:
-            return await self._later(request, receipt, answered, how, record)
-        return await receipt.response(await answered)
+            return await self._reject_message(request, client, receiver, message_id, receipt_request, error)
+        if receipt_request.wanted and receipt_request.delivery:
+            return await self._answer_asynchronously(request, receipt, final_answer, submit_status, record)
+        return await receipt.response(await final_answer)
 
-    async def _unacceptable(
-        self, request: Request, client: Client, receiver: str, ident: str, asked: Asked, error: As2Error
+    async def _reject_message(
+        self,
+        request: Request,
+        client: Client,
+        receiver: str,
+        message_id: str,
+        receipt_request: ReceiptRequest,
+        error: As2Error,
     ) -> Response:
-        """A message that cannot be taken: the receipt says why, in the protocol's own words."""
+        """Rejects a message that cannot be submitted: by a receipt if requested, else by status 400."""
         self.note(
             "unacceptable",
             {
                 "peer": request.peer,
                 "as2_from": client.as2_id,
-                "message_id": ident,
+                "message_id": message_id,
                 "modifier": error.modifier.value,
                 "reason": error.reason,
             },
         )
-        if not asked.wanted:
+        if not receipt_request.wanted:
             return plain(400, error.reason)
-        receipt = Reply(self.book, self.offload, client, receiver, ident, asked)
+        receipt = Reply(self.partnerships, self.offload, client, receiver, message_id, receipt_request)
         disposition = Disposition("processed", "error", error.modifier.value)
         if error.modifier in (Modifier.FORMAT, Modifier.MIC):
             disposition = Disposition("failed", "failure", error.modifier.value)
         content = await receipt.build(disposition, f"Not taken: {error.reason}.")
-        if asked.delivery and client.receipt_url:
-            self.owed.owe(client.receipt_url, content)
+        if receipt_request.delivery and client.receipt_url:
+            self.owed.send(client.receipt_url, content)
             return Response(202)
         return content
 
-    async def _later(
+    async def _answer_asynchronously(
         self,
         request: Request,
         receipt: Reply,
-        answered: asyncio.Future[FinalAnswer],
-        how: SubmitStatus,
+        final_answer: asyncio.Future[FinalAnswer],
+        submit_status: SubmitStatus,
         record: MessageRecord,
     ) -> Response:
-        """An asynchronous client: a refusal at once is told by status, all else by a receipt."""
+        """Answers a client that requested an asynchronous receipt.
+
+        A message refused within ``refusal_hold_ms`` gets a status; any other gets 202 and later a receipt.
+        """
         if not receipt.client.receipt_url:
-            return turned_away(self.note, request, 403, "no receipt URL is agreed for this client")
-        await asyncio.wait({answered}, timeout=self.hold / 1000.0)
-        if answered.done() and answered.result().answer is Answer.REFUSED:
-            self.told(record.id)  # by this status: no receipt is owed for it any more
-            return await receipt.response(answered.result())
-        if how is not SubmitStatus.JOINED:  # one that joined is answered by the receipt already owed
-            self.owed.when_ready(self._owe(receipt, answered, record.id))
-        # A 202 is a promise: not before the message is written down.
-        kept: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.engine.when_persisted(record, lambda: None if kept.done() else kept.set_result(None))
-        either: set[asyncio.Future[Any]] = {answered, kept}
-        await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+            return reject(self.note, request, 403, "no receipt URL is agreed for this client")
+        await asyncio.wait({final_answer}, timeout=self.refusal_hold_ms / 1000.0)
+        if final_answer.done() and final_answer.result().answer is Answer.REFUSED:
+            self.told(record.id)  # the status is the answer: no receipt follows
+            return await receipt.response(final_answer.result())
+        if submit_status is not SubmitStatus.JOINED:  # a joined duplicate shares the first one's receipt
+            self.owed.run(self._send_receipt(receipt, final_answer, record.id))
+        # A 202 commits to the message, so it is not sent before the message is persisted.
+        persisted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.engine.when_persisted(record, lambda: None if persisted.done() else persisted.set_result(None))
+        futures: set[asyncio.Future[Any]] = {final_answer, persisted}
+        await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
         return Response(202)
 
-    async def _owe(self, receipt: Reply, answered: asyncio.Future[FinalAnswer], message: int) -> None:
-        content = await receipt.response(await answered, by_receipt=True)
-        self.owed.owe(receipt.client.receipt_url, content, lambda: self.told(message))
+    async def _send_receipt(
+        self, receipt: Reply, final_answer: asyncio.Future[FinalAnswer], message: int
+    ) -> None:
+        """Waits for the final answer of a message and sends its receipt to the client's URL."""
+        content = await receipt.response(await final_answer, by_receipt=True)
+        self.owed.send(receipt.client.receipt_url, content, lambda: self.told(message))
 
     def owing(self, message: int, submission: Submission) -> Callable[[FinalAnswer], None] | None:
-        """Who waits for the answer of a message from before a restart: its client's receipt URL, if it has
-        one still."""
-        receipt = Reply.noted(self.book, self.offload, submission)
+        """Returns the waiter that sends the receipt of a message recovered after a restart.
+
+        Returns None if its client is no longer configured or has no receipt URL any more.
+        """
+        receipt = Reply.restore(self.partnerships, self.offload, submission)
         if receipt is None:
             self.note("receipt_dropped", {"message": message, "reason": "its client takes none any more"})
             return None
-        answered: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
-        self.owed.when_ready(self._owe(receipt, answered, message))
-        return resolver(answered)
+        final_answer: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
+        self.owed.run(self._send_receipt(receipt, final_answer, message))
+        return resolver(final_answer)
--- a/brassweir/as2/inspect.py
+++ b/brassweir/as2/inspect.py
@@ -1,4 +1,4 @@
-"""Explains any AS2 message or receipt: its layers from the outside in, who signed, and its MIC."""
+"""Describes an AS2 message or receipt: its layers, outermost first, its signer and its MIC."""
 
 from __future__ import annotations
 
@@ -13,59 +13,59 @@
 from brassweir.as2.errors import As2Error
 from brassweir.as2.message import Identity
 
-_MOST = 100_000_000  # bytes of a decompressed layer
+MAX_LAYER_BYTES = 100_000_000  # after decompression
 
 
 def explain(raw: bytes, ours: Identity | None, trusted: Sequence[x509.Certificate]) -> dict[str, Any]:
-    """What ``raw`` (header and body as sent) holds, as far as the keys given open it. Never raises.
+    """Describes ``raw`` (header and body as sent) as far as the given keys can decrypt it. Never raises.
 
-    Legacy algorithms are read too: this only shows.
+    Legacy algorithms are allowed, since the result is only displayed.
     """
-    shown: dict[str, Any] = {}
+    result: dict[str, Any] = {}
     try:
         entity = mime.parse(raw)
         for name in ("AS2-From", "AS2-To", "Message-ID", "Subject", "Date"):
             if entity.field(name):
-                shown[name] = entity.field(name)
-        shown["parts"] = _parts(entity, 0)
+                result[name] = entity.field(name)
+        result["parts"] = _parts(entity, 0)
         try:
-            shown["receipt"] = _receipt(mdn.parse(entity, trusted, legacy=True))
-            return shown
+            result["receipt"] = _receipt(mdn.parse(entity, trusted, legacy=True))
+            return result
         except As2Error as error:
-            if any(part["type"] == "message/disposition-notification" for part in shown["parts"]):
-                shown["receipt"] = {"problem": error.reason}
-                return shown
-        shown["message"] = _message(entity, ours, trusted)
+            if any(part["type"] == "message/disposition-notification" for part in result["parts"]):
+                result["receipt"] = {"problem": error.reason}
+                return result
+        result["message"] = _message(entity, ours, trusted)
     except As2Error as error:
-        shown["problem"] = f"{error.modifier.value}: {error.reason}"
-    return shown
+        result["problem"] = f"{error.modifier.value}: {error.reason}"
+    return result
 
 
 @cache
-def _nobody() -> Identity:
-    """A key that opens nothing."""
+def _unrelated_identity() -> Identity:
+    """An identity that cannot decrypt anything, for when no key is given."""
     return keys.make("nobody", "ec256")
 
 
 def _parts(entity: mime.Entity, depth: int) -> list[dict[str, Any]]:
-    one: dict[str, Any] = {"depth": depth, "type": entity.content_type, "bytes": len(entity.body)}
+    summary: dict[str, Any] = {"depth": depth, "type": entity.content_type, "bytes": len(entity.body)}
     if "pkcs7" in entity.content_type:
         try:
             data = entity.decoded()
-            one["cms"] = cms.content_kind(data)
-            if one["cms"] == "signed_data":
-                one["certificates"] = [_subject(cert) for cert in cms.embedded(data)]
+            summary["cms"] = cms.content_kind(data)
+            if summary["cms"] == "signed_data":
+                summary["certificates"] = [_subject(cert) for cert in cms.embedded(data)]
         except As2Error as error:
-            one["problem"] = error.reason
-    found = [one]
+            summary["problem"] = error.reason
+    summaries = [summary]
     if entity.content_type.startswith("multipart/") and depth < 5:
         for part in mime.parts(entity):
-            found += _parts(part, depth + 1)
-    return found
+            summaries += _parts(part, depth + 1)
+    return summaries
 
 
 def _subject(certificate: x509.Certificate) -> str:
-    """Whose it says it is; parts of a certificate are read only when asked for, and may be anything."""
+    """Returns the subject of a certificate, which is parsed only now and may be malformed."""
     try:
         return keys.show(certificate).subject
     except (ValueError, UnsupportedAlgorithm) as error:
@@ -89,7 +89,7 @@
     entity: mime.Entity, ours: Identity | None, trusted: Sequence[x509.Certificate]
 ) -> dict[str, Any]:
     try:
-        got = message.read(entity, ours or _nobody(), trusted, most=_MOST, legacy=True)
+        got = message.read(entity, ours or _unrelated_identity(), trusted, most=MAX_LAYER_BYTES, legacy=True)
     except As2Error as error:
         return {"problem": f"{error.modifier.value}: {error.reason}"}
     return {
--- a/brassweir/as2/keys.py
+++ b/brassweir/as2/keys.py
@@ -1,4 +1,4 @@
-"""Keys and certificates in PEM: made for tests and trials, shown for operators."""
+"""Creates, writes and describes keys and certificates in PEM."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make(as2_id: str, kind: str = "rsa2048", days: float = 365.0, start: datetime | None = None) -> Identity:
-    """A new key with a certificate signed by itself. Raises ValueError for an unknown kind."""
+    """Creates a key with a self-signed certificate. Raises ValueError for an unknown kind."""
     key: PrivateKey
     if kind.startswith("rsa") and kind in KINDS:
         key = rsa.generate_private_key(65537, int(kind[3:]))
@@ -44,14 +44,14 @@
 
 
 def file_name(as2_id: str) -> str:
-    """A file name for an AS2 name."""
+    """Returns a file name for an AS2 name."""
     return re.sub(r"[^A-Za-z0-9._-]", "_", as2_id)
 
 
 def write(identity: Identity, folder: Path) -> tuple[Path, Path]:
-    """Write ``NAME.key.pem`` (for its owner only) and ``NAME.crt.pem``; never over an existing key.
+    """Writes ``NAME.key.pem``, readable by its owner only, and ``NAME.crt.pem``; returns their paths.
 
-    Raises OSError, FileExistsError among them.
+    Raises FileExistsError if the key exists already, and other OSErrors.
     """
     folder.mkdir(parents=True, exist_ok=True)
     base = file_name(identity.as2_id)
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shown:
-    """What an operator wants to know of a certificate."""
+    """Description of a certificate, as commands print it."""
 
     subject: str
     issuer: str
@@ -80,7 +80,7 @@
 
 
 def show(certificate: x509.Certificate) -> Shown:
-    """Describe a certificate."""
+    """Describes a certificate."""
     public = certificate.public_key()
     if isinstance(public, rsa.RSAPublicKey):
         key = f"RSA {public.key_size}"
--- a/brassweir/as2/mdn.py
+++ b/brassweir/as2/mdn.py
@@ -1,4 +1,4 @@
-"""Receipts: message disposition notifications (RFC 8098, RFC 4130 section 7), signed or not."""
+"""Builds and parses receipts: message disposition notifications (RFC 8098; RFC 4130, section 7)."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 
     @staticmethod
     def of(text: str) -> Disposition:
-        """Read a Disposition field (RFC 8098, section 3.2.6). Raises As2Error."""
+        """Parses a Disposition field (RFC 8098, section 3.2.6). Raises As2Error."""
         found = _DISPOSITION.fullmatch(text)
         if found is None:
             raise As2Error(Modifier.FORMAT, f"disposition {text[:100]!r} cannot be read")
         severity, modifier = (found[3] or "").lower(), found[4] or ""
         bare = re.match(r"(error|failure|warning)\b\s*:?\s*(.*)", modifier, re.IGNORECASE | re.DOTALL)
-        if not severity and bare:  # "processed: error: ..." is seen too
+        if not severity and bare:  # some implementations send "processed: error: ..."
             severity, modifier = bare[1].lower(), bare[2]
         return Disposition(found[2].lower(), severity, modifier)
 
     @property
     def good(self) -> bool:
-        """Was the message processed, perhaps with a warning?"""
+        """Whether the message was processed, with or without a warning."""
         return self.kind == "processed" and self.severity in ("", "warning")
 
     def __str__(self) -> str:
@@ -67,17 +67,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """What a message asks of its receipt (RFC 4130, section 7.3)."""
+class ReceiptRequest:
+    """The receipt that a message requests (RFC 4130, section 7.3)."""
 
     wanted: bool = False
     signed: bool = False
     micalgs: tuple[str, ...] = ()
-    delivery: str = ""  # the URL told for an asynchronous one; only its presence counts
+    delivery: str = ""  # the URL given for an asynchronous receipt; only its presence is used
 
     @property
     def micalg(self) -> str:
-        """The first digest asked for that is known."""
+        """The first requested digest that is supported, else sha256."""
         for name in self.micalgs:
             try:
                 return cms.digest_name(name)
@@ -86,27 +86,31 @@
         return "sha256"
 
 
-def asked(to: str, options: str, delivery: str) -> Asked:
-    """Read Disposition-Notification-To, -Options and Receipt-Delivery-Option.
+def asked(to: str, options: str, delivery: str) -> ReceiptRequest:
+    """Parses Disposition-Notification-To, Disposition-Notification-Options and Receipt-Delivery-Option.
 
-    Raises As2Error if a required protocol or digest is none that we serve.
+    Raises As2Error if a required protocol or digest is not supported.
     """
-    given: dict[str, list[str]] = {}
+    parameters: dict[str, list[str]] = {}
     for part in options.split(";"):
         name, _, values = part.partition("=")
-        given[name.strip().lower()] = [value.strip().strip('"') for value in values.split(",")]
-    protocol = given.get("signed-receipt-protocol", [])
-    algorithms = given.get("signed-receipt-micalg", [])
+        parameters[name.strip().lower()] = [value.strip().strip('"') for value in values.split(",")]
+    protocol = parameters.get("signed-receipt-protocol", [])
+    algorithms = parameters.get("signed-receipt-micalg", [])
     wants_signed = len(protocol) > 1 and protocol[1].lower() == "pkcs7-signature"
     if len(protocol) > 1 and not wants_signed and protocol[0].lower() == "required":
         raise As2Error(Modifier.FORMAT, f"signed-receipt-protocol {protocol[1][:40]!r} is not served")
-    found = Asked(bool(to), bool(to) and wants_signed, tuple(algorithms[1:]), delivery)
-    if algorithms and algorithms[0].lower() == "required" and not any(_known(name) for name in found.micalgs):
+    found = ReceiptRequest(bool(to), bool(to) and wants_signed, tuple(algorithms[1:]), delivery)
+    if (
+        algorithms
+        and algorithms[0].lower() == "required"
+        and not any(_is_known_digest(name) for name in found.micalgs)
+    ):
         raise As2Error(Modifier.MIC, "none of the digests required is served")
     return found
 
 
-def _known(name: str) -> bool:
+def _is_known_digest(name: str) -> bool:
     try:
         cms.digest_name(name)
     except As2Error:
@@ -115,7 +119,7 @@
 
 
 def build(mdn: Mdn, ours: Identity, sign: str) -> tuple[str, bytes]:
-    """Content-Type and body of a receipt; ``sign`` is the digest, or empty for an unsigned one."""
+    """Returns Content-Type and body of a receipt; ``sign`` is the digest, or empty for an unsigned one."""
     fields = [
         ("Reporting-UA", "brassweir"),
         ("Original-Recipient", f"rfc822; {mime.shown_name(mdn.original_recipient)}"),
@@ -156,10 +160,10 @@
 
 
 def parse(entity: mime.Entity, trusted: Sequence[x509.Certificate], *, legacy: bool = False) -> Mdn:
-    """Read a receipt and check its signature if it has one. Raises As2Error."""
+    """Parses a receipt and verifies its signature if it has one. Raises As2Error."""
     signer: x509.Certificate | None = None
     if entity.content_type == "multipart/signed":
-        signed, entity = message.detached(entity, trusted, legacy)
+        signed, entity = message.verify_detached(entity, trusted, legacy)
         signer = signed.signer
     elif entity.content_type in ("application/pkcs7-mime", "application/x-pkcs7-mime"):
         opaque = cms.verify(entity.decoded(), trusted, None, legacy=legacy)
--- a/brassweir/as2/opening.py
+++ b/brassweir/as2/opening.py
@@ -1,4 +1,4 @@
-"""Opens clients' messages, and remembers which: one that comes again is not opened again."""
+"""Decrypts and verifies clients' messages, with a cache so that a repeated message is not processed again."""
 
 from __future__ import annotations
 
@@ -10,56 +10,68 @@
 
 from brassweir.as2 import message, mime, partnership
 from brassweir.as2.errors import As2Error, Modifier
-from brassweir.as2.mdn import Asked
+from brassweir.as2.mdn import ReceiptRequest
 from brassweir.as2.partnership import Client, Partnerships, valid_now
 from brassweir.core.offload import Offload
 from brassweir.net.server import Request
 
-_MOST_KNOWN = 20_000  # messages whose bytes need not be opened again when they come again
+_MAX_CACHED_MESSAGES = 20_000
 
 
-class Knows(Protocol):
-    """The engine, as far as an opener sees it."""
+class KnownMessages(Protocol):
+    """The part of the engine that the opener calls."""
 
     def knows(self, owner: str, identity: str) -> bool:
-        """Would a hand-in join a message, or be told its answer, so that its content is not asked for?"""
+        """Tells whether a submission would join a known message or get its answer, and needs no content."""
 
 
 class Opener:
-    """``most`` bounds a decompressed message in bytes."""
+    """Decrypts and verifies messages. ``most`` limits the bytes of each decompressed layer."""
 
-    def __init__(self, book: Partnerships, engine: Knows, offload: Offload, most: int) -> None:
-        self.book, self.engine, self.offload, self.most = book, engine, offload, most
-        self.known: OrderedDict[tuple[str, str, bytes], message.Received] = OrderedDict()
+    def __init__(
+        self, partnerships: Partnerships, engine: KnownMessages, offload: Offload, most: int
+    ) -> None:
+        self.partnerships, self.engine, self.offload, self.most = partnerships, engine, offload, most
+        self.cache: OrderedDict[tuple[str, str, bytes], message.Received] = OrderedDict()
 
-    async def open(self, request: Request, client: Client, asked: Asked, identity: str) -> message.Received:
-        """Unwrap and check a message; bytes that were opened before are not opened again for an answer."""
+    async def open(
+        self, request: Request, client: Client, receipt_request: ReceiptRequest, identity: str
+    ) -> message.Received:
+        """Unwraps a message and checks it against the agreed security. Raises As2Error.
+
+        A repeat of a message that the engine knows is answered from the cache, with empty content.
+        """
         headers = request.headers
         digest = hashlib.sha256(request.body).digest()
-        name = (client.as2_id, headers.one("content-type"), digest)
-        known = self.known.get(name)
-        if known is not None and self.engine.knows(client.as2_id, identity):
-            self.known.move_to_end(name)
-            return known
+        cache_key = (client.as2_id, headers.one("content-type"), digest)
+        cached = self.cache.get(cache_key)
+        if cached is not None and self.engine.knows(client.as2_id, identity):
+            self.cache.move_to_end(cache_key)
+            return cached
 
-        def work() -> message.Received:
+        def unwrap() -> message.Received:
             trusted = valid_now(client.certificates, time.time())
             if client.signed and not trusted:
                 raise As2Error(Modifier.AUTHENTICATION, f"no certificate of {client.as2_id} is valid now")
             entity = mime.of_http(
                 headers.one("content-type"), headers.one("content-transfer-encoding"), request.body
             )
-            got = message.read(
-                entity, self.book.ours, trusted, most=self.most, legacy=client.legacy, digest=asked.micalg
+            opened = message.read(
+                entity,
+                self.partnerships.ours,
+                trusted,
+                most=self.most,
+                legacy=client.legacy,
+                digest=receipt_request.micalg,
             )
-            partnership.secure_enough(client, got)
-            return got
+            partnership.check_security(client, opened)
+            return opened
 
-        received = await self.offload(work)
-        # The document is the ledger's to hold, and taken from the request again where a refused message
-        # is handed in anew: here only what a repeated receipt needs.
-        kept = replace(received, payload=replace(received.payload, content=b""))
-        self.known[name] = kept
-        while len(self.known) > _MOST_KNOWN:
-            self.known.popitem(last=False)
-        return received
+        result = await self.offload(unwrap)
+        # The cache holds only what a repeated receipt needs. The ledger keeps the content; a refused message
+        # that is submitted again is unwrapped again.
+        without_content = replace(result, payload=replace(result.payload, content=b""))
+        self.cache[cache_key] = without_content
+        while len(self.cache) > _MAX_CACHED_MESSAGES:
+            self.cache.popitem(last=False)
+        return result
--- a/brassweir/as2/owed.py
+++ b/brassweir/as2/owed.py
@@ -1,4 +1,4 @@
-"""Asynchronous receipts we owe to clients: brought to the registered URL, for a time again and again."""
+"""Sends asynchronous receipts to clients' registered URLs, with a few retries."""
 
 from __future__ import annotations
 
@@ -12,55 +12,59 @@
 
 Note = Callable[[str, dict[str, object]], None]
 
-# A client's receiver that restarts is back within these; later the client's own repeat fetches the answer.
-AGAIN = (0.0, 1.0, 4.0, 15.0, 60.0)  # seconds before each try
-CALL_TIME = 10.0  # seconds for one try
+# Long enough for a client's receiver to restart. After the last try the client gets the answer by repeating
+# its message.
+RETRY_PAUSES_SECONDS = (0.0, 1.0, 4.0, 15.0, 60.0)  # before each try
+CALL_TIMEOUT_SECONDS = 10.0  # of one try
 
 
 class Owed:
-    """Receipts on their way. ``most`` bounds those held at once; over it the oldest way to learn an answer,
-    asking again with the same Message-ID, is what remains to the client."""
+    """Receipts that are waiting for an answer or being sent.
 
-    def __init__(self, pools: PoolManager, note: Note, most: int = 10_000) -> None:
-        self.pools, self.note, self.most = pools, note, most
+    ``max_pending`` limits how many. A receipt beyond it is dropped and logged; the client then gets its
+    answer by repeating the message under the same Message-ID.
+    """
+
+    def __init__(self, pools: PoolManager, note: Note, max_pending: int = 10_000) -> None:
+        self.pools, self.note, self.max_pending = pools, note, max_pending
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def when_ready(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run what waits for an answer and then owes its receipt."""
-        task = asyncio.get_running_loop().create_task(work)
+    def run(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Starts a task, such as one that waits for an answer and then sends its receipt."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def owe(self, url: str, receipt: Response, brought: Callable[[], None] | None = None) -> None:
-        """Bring a receipt to ``url``; ``brought`` is called once it was taken there."""
-        if len(self.tasks) >= self.most:
+    def send(self, url: str, receipt: Response, on_delivered: Callable[[], None] | None = None) -> None:
+        """Starts sending a receipt to ``url``; ``on_delivered`` is called once it was accepted (2xx)."""
+        if len(self.tasks) >= self.max_pending:
             self.note("receipt_dropped", {"url": url, "reason": "too many receipts are owed"})
             return
-        self.when_ready(self._bring(url, receipt, brought))
+        self.run(self._deliver(url, receipt, on_delivered))
 
-    async def _bring(self, url: str, receipt: Response, brought: Callable[[], None] | None) -> None:
+    async def _deliver(self, url: str, receipt: Response, on_delivered: Callable[[], None] | None) -> None:
         loop = asyncio.get_running_loop()
         reason = ""
-        for pause in AGAIN:
+        for pause in RETRY_PAUSES_SECONDS:
             await asyncio.sleep(pause)
             try:
                 reply = await self.pools.http_pool(url).post(
-                    receipt.headers, receipt.body, loop.time() + CALL_TIME
+                    receipt.headers, receipt.body, loop.time() + CALL_TIMEOUT_SECONDS
                 )
             except CallFailed as failed:
                 reason = str(failed)
                 continue
             if 200 <= reply.status < 300:
-                if brought is not None:
-                    brought()
+                if on_delivered is not None:
+                    on_delivered()
                 return
             reason = f"status {reply.status}"
         self.note("receipt_not_taken", {"url": url, "reason": reason})
 
-    async def settle(self, span: float) -> int:
-        """Wait up to ``span`` seconds for what is on its way; return how many are left, and drop those."""
+    async def settle(self, timeout_seconds: float) -> int:
+        """Waits up to ``timeout_seconds`` for pending receipts; cancels and counts those left."""
         if self.tasks:
-            await asyncio.wait(set(self.tasks), timeout=span)
+            await asyncio.wait(set(self.tasks), timeout=timeout_seconds)
         left = len(self.tasks)
         for task in list(self.tasks):
             task.cancel()
--- a/brassweir/as2/partnership.py
+++ b/brassweir/as2/partnership.py
@@ -1,4 +1,4 @@
-"""Who may send what to whom, and how a message's headers become a submission. Pure."""
+"""Partnerships: who may send what to whom, and the class, key and deadline of a message. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Messages whose Subject matches are of this class; a group named ``key`` in the pattern is their key."""
+    """Assigns a class to messages whose Subject matches; a group named ``key`` in the pattern is the key."""
 
     subject: re.Pattern[str]
     class_name: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Client:
-    """One that hands messages in. ``receipt_url`` is the only place its asynchronous receipts go to."""
+    """A system that submits messages. Its asynchronous receipts go to ``receipt_url`` only."""
 
     as2_id: str
     certificates: tuple[x509.Certificate, ...]
@@ -36,12 +36,12 @@
     signed: bool = True
     encrypted: bool = True
     legacy: bool = False
-    dated: bool = False  # its Date is the message's own, and the same over repeats
+    dated: bool = False  # its Date is the time of creation, the same in every repeat
 
 
 @dataclass(frozen=True, slots=True)
 class Partner:
-    """One that messages are delivered to, under the destination number that the decisions know it by."""
+    """A system that messages are delivered to; ``destination`` is its number in the engine."""
 
     as2_id: str
     destination: int
@@ -61,16 +61,18 @@
     clients: Mapping[str, Client]
     partners: Mapping[str, Partner]
     classes: Mapping[str, MessageClass]
-    receipt_url: str = ""  # where partners bring asynchronous receipts
-    listed: Mapping[str, int] = field(default_factory=dict)  # numbers of those that only the list names
+    receipt_url: str = ""  # where partners post asynchronous receipts
+    listed: Mapping[str, int] = field(
+        default_factory=dict
+    )  # destination numbers of receivers that only the endpoint list names
 
     def number(self, receiver: str) -> int | None:
-        """The destination that a name stands for."""
+        """Returns the destination number of a receiver's AS2 name, or None."""
         partner = self.partners.get(receiver)
         return partner.destination if partner is not None else self.listed.get(receiver)
 
     def client(self, sender: str, receiver: str) -> Client:
-        """The agreement a message falls under. Raises As2Error if there is none."""
+        """Returns the client that may send to this receiver. Raises As2Error if no partnership allows it."""
         client = self.clients.get(sender)
         allowed = client is not None and (
             receiver in client.may_send_to
@@ -82,8 +84,8 @@
         return client
 
 
-def secure_enough(client: Client, received: Received) -> None:
-    """Raise As2Error if a message is less protected than agreed."""
+def check_security(client: Client, received: Received) -> None:
+    """Raises As2Error if a message is not signed or encrypted as agreed."""
     if client.signed and not received.signed:
         raise As2Error(Modifier.SECURITY, "the message is not signed")
     if client.encrypted and not received.encrypted:
@@ -91,7 +93,7 @@
 
 
 def valid_now(certificates: Sequence[x509.Certificate], when: float) -> tuple[x509.Certificate, ...]:
-    """The certificates whose time holds at ``when`` (seconds, wall)."""
+    """Returns the certificates that are valid at ``when`` (seconds since 1970)."""
     return tuple(
         cert
         for cert in certificates
@@ -100,55 +102,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mapped:
-    """What the decisions are told of a message; ``left`` in ms."""
+class MessageTerms:
+    """Class, key and time left (ms) of a message."""
 
     class_name: str
     key: str
-    left: float
-    born: float | None = None  # its Date, in ms since 1970
+    left_ms: float
+    created_at_ms: float | None = None  # from its Date, in ms since 1970
 
 
-def mapped(
+def map_headers(
     client: Client,
     classes: Mapping[str, MessageClass],
     header: Callable[[str], str],
-    wall: float,
-    margin: float,
-) -> Mapped:
-    """Class, key and time left, from the agreement and standard headers alone.
-
-    The class and key come from the first rule whose pattern the Subject matches. The time left is the class's
-    deadline, cut to what ``Prefer: wait=S`` allows (RFC 7240, section 4.3: how long the client waits), and to
-    ``Expires`` (RFC 4021), counted from the message's own Date where it has one, so that clocks need not
-    agree. ``margin`` (ms) is kept back for the answer's own way. Raises As2Error if no rule matches or no
-    time is left.
+    now_seconds: float,
+    margin_ms: float,
+) -> MessageTerms:
+    """Determines class, key and time left of a message from its client's rules and its headers.
+
+    The first rule whose pattern matches the Subject gives the class and key. The time left is the shortest of
+    the class's deadline, ``Prefer: wait=S`` (RFC 7240, section 4.3: how long the client waits) and
+    ``Expires`` (RFC 4021). Expires counts from the message's Date if it has one, so that the result does not
+    depend on the client's clock. ``margin_ms`` is subtracted so that the answer can still reach the client.
+    ``now_seconds`` is since 1970.
+    Raises As2Error if no rule matches or no time is left.
     """
     subject = header("subject")
     for rule in client.rules:
-        found = rule.subject.search(subject)
-        if found is not None:
-            key = found.groupdict().get("key") or ""
+        match = rule.subject.search(subject)
+        if match is not None:
+            key = match.groupdict().get("key") or ""
             break
     else:
         raise As2Error(Modifier.FORMAT, f"no class for a message with the subject {subject[:80]!r}")
-    left = classes[rule.class_name].deadline
+    left_ms = classes[rule.class_name].deadline
     wait = re.search(r"(?:^|[,;\s])wait\s*=\s*\"?(\d{1,7})", header("prefer"), re.IGNORECASE)
     if wait is not None:
-        left = min(left, float(wait[1]) * 1000.0)
+        left_ms = min(left_ms, float(wait[1]) * 1000.0)
     expires = _date(header("expires"))
     if expires is not None:
-        left = min(left, (expires - (_date(header("date")) or wall)) * 1000.0)
-    left -= margin
-    if left <= 0.0:
+        left_ms = min(left_ms, (expires - (_date(header("date")) or now_seconds)) * 1000.0)
+    left_ms -= margin_ms
+    if left_ms <= 0.0:
         raise As2Error(Modifier.UNEXPECTED, "no time is left to deliver it")
-    # Many clients date each post anew: a Date tells when a message was made only where that is agreed.
-    made = _date(header("date")) if client.dated else None
-    return Mapped(
+    # Many clients set a new Date on each repeat: it is the time of creation only where that is agreed.
+    created_at = _date(header("date")) if client.dated else None
+    return MessageTerms(
         rule.class_name,
         f"{client.as2_id}\n{key}" if key else "",
-        left,
-        made * 1000.0 if made is not None else None,
+        left_ms,
+        created_at * 1000.0 if created_at is not None else None,
     )
 
 
@@ -160,8 +163,9 @@
 
 
 def onward_id(owner: str, identity: str, host: str) -> str:
-    """The Message-ID under which a message goes on: the same for every attempt, hand-in and restart.
+    """Returns the Message-ID under which a message is sent to its partner.
 
-    Made from the client's own identity, so that the partner's memory of ids holds whatever becomes of ours.
+    It is derived from the submission's owner and identity, so it is the same for every attempt, repeated
+    submission and restart, and the partner can detect duplicates even if this process lost its data.
     """
     return f"<{delivery_id(owner, identity)}@{re.sub(r'[^A-Za-z0-9.-]', '-', host) or 'brassweir'}>"
--- a/brassweir/as2/receipts.py
+++ b/brassweir/as2/receipts.py
@@ -1,4 +1,4 @@
-"""Asynchronous receipts due from partners, and those that came late, twice or for nothing. Pure state."""
+"""Matches asynchronous receipts from partners to the attempts that wait for them. No I/O."""
 
 from __future__ import annotations
 
@@ -11,63 +11,63 @@
 
 
 class Verdict(Enum):
-    """What a receipt turned out to be."""
+    """How a received receipt relates to the attempts made."""
 
-    DUE = auto()  # given to the attempt that waits for it
-    LATE = auto()  # the attempt has ended; recorded, nothing follows
-    SECOND = auto()  # the attempt had its receipt
-    UNKNOWN = auto()  # no message of ours, or not remembered
-    WRONG_PARTNER = auto()  # somebody else's message
+    DUE = auto()  # passed to the attempt that waits for it
+    LATE = auto()  # the attempt has ended; has no effect
+    SECOND = auto()  # a duplicate: a receipt was received before
+    UNKNOWN = auto()  # not a message sent from here, or no longer remembered
+    WRONG_PARTNER = auto()  # the message was sent to another partner
 
 
 @dataclass(slots=True)
-class _Due:
+class _Expected:
     partner: str
-    give: Callable[[Mdn], None] | None
-    had: bool = False
+    on_receipt: Callable[[Mdn], None] | None
+    received: bool = False
 
 
 class Receipts:
-    """Receipts by onward Message-ID. ``most`` bounds how many ended ones are remembered."""
-
-    def __init__(self, most: int = 50_000) -> None:
-        self.due: OrderedDict[str, _Due] = OrderedDict()
-        self.most = most
-
-    def expect(self, message_id: str, partner: str, give: Callable[[Mdn], None]) -> None:
-        """Wait for a receipt; an earlier attempt's wait for the same message ends."""
-        self.due[_bare(message_id)] = _Due(partner, give)
-        self.due.move_to_end(_bare(message_id))
-
-    def ended(self, message_id: str) -> None:
-        """The attempt is over; a receipt that still comes is late."""
-        due = self.due.get(_bare(message_id))
-        if due is not None:
-            due.give = None
-        while len(self.due) > self.most:
-            oldest = next(iter(self.due))
-            if self.due[oldest].give is not None:
-                break  # still waited for: bounded by the attempts out
-            del self.due[oldest]
+    """Expected receipts by Message-ID. ``max_remembered`` limits the entries of attempts that have ended."""
+
+    def __init__(self, max_remembered: int = 50_000) -> None:
+        self.expected: OrderedDict[str, _Expected] = OrderedDict()
+        self.max_remembered = max_remembered
+
+    def expect(self, message_id: str, partner: str, on_receipt: Callable[[Mdn], None]) -> None:
+        """Registers an attempt that waits for a receipt; it replaces an earlier attempt of the message."""
+        self.expected[_bare(message_id)] = _Expected(partner, on_receipt)
+        self.expected.move_to_end(_bare(message_id))
+
+    def attempt_ended(self, message_id: str) -> None:
+        """Records that the attempt is over, so that a receipt from now on is late."""
+        expected = self.expected.get(_bare(message_id))
+        if expected is not None:
+            expected.on_receipt = None
+        while len(self.expected) > self.max_remembered:
+            oldest = next(iter(self.expected))
+            if self.expected[oldest].on_receipt is not None:
+                break  # an attempt still waits for it
+            del self.expected[oldest]
 
     def partner_of(self, message_id: str) -> str | None:
-        """Whose receipt is due for this message."""
-        due = self.due.get(_bare(message_id))
-        return due.partner if due is not None else None
-
-    def came(self, partner: str, mdn: Mdn) -> Verdict:
-        """Take a receipt whose signature was checked against that partner's certificates."""
-        due = self.due.get(_bare(mdn.original_message_id))
-        if due is None:
+        """Returns the partner that the message was sent to, or None if it is not known."""
+        expected = self.expected.get(_bare(message_id))
+        return expected.partner if expected is not None else None
+
+    def receive(self, partner: str, mdn: Mdn) -> Verdict:
+        """Matches a receipt whose signature was verified with that partner's certificates."""
+        expected = self.expected.get(_bare(mdn.original_message_id))
+        if expected is None:
             return Verdict.UNKNOWN
-        if due.partner != partner:
+        if expected.partner != partner:
             return Verdict.WRONG_PARTNER
-        if due.had:
+        if expected.received:
             return Verdict.SECOND
-        due.had = True
-        if due.give is None:
+        expected.received = True
+        if expected.on_receipt is None:
             return Verdict.LATE
-        due.give(mdn)
+        expected.on_receipt(mdn)
         return Verdict.DUE
 
 
--- a/brassweir/as2/reply.py
+++ b/brassweir/as2/reply.py
@@ -1,4 +1,4 @@
-"""What an AS2 client is told of one message: a receipt, or a status where it asked for none."""
+"""Builds the answer to an AS2 client: a receipt, or an HTTP status if it requested no receipt."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from brassweir.as2 import mdn, mime, partnership
 from brassweir.as2.errors import Modifier
-from brassweir.as2.mdn import Asked, Disposition, Mdn
+from brassweir.as2.mdn import Disposition, Mdn, ReceiptRequest
 from brassweir.as2.partnership import Client, Partnerships
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Answer, FinalAnswer, Submission
@@ -21,77 +21,100 @@
 
 
 class Reply:
-    """Builds what one client is told of one message."""
+    """Builds the answer to one message of one client."""
 
     def __init__(
         self,
-        book: Partnerships,
+        partnerships: Partnerships,
         offload: Offload,
         client: Client,
         receiver: str,
-        ident: str,
-        asked: Asked,
+        message_id: str,
+        receipt_request: ReceiptRequest,
         mic: str = "",
         micalg: str = "",
     ) -> None:
-        self.book, self.offload = book, offload
+        self.partnerships, self.offload = partnerships, offload
         self.client, self.receiver = client, receiver
-        self.ident, self.asked, self.mic, self.micalg = ident, asked, mic, micalg
+        self.message_id, self.receipt_request, self.mic, self.micalg = (
+            message_id,
+            receipt_request,
+            mic,
+            micalg,
+        )
 
-    def note(self) -> bytes:
-        """What is needed to make it again after a restart."""
+    def encode(self) -> bytes:
+        """Serializes what ``restore`` needs to build the receipt after a restart."""
         return msgspec.msgpack.encode(
-            (self.receiver, self.ident, self.asked.signed, self.asked.micalgs, self.mic, self.micalg)
+            (
+                self.receiver,
+                self.message_id,
+                self.receipt_request.signed,
+                self.receipt_request.micalgs,
+                self.mic,
+                self.micalg,
+            )
         )
 
     @staticmethod
-    def noted(book: Partnerships, offload: Offload, submission: Submission) -> Reply | None:
-        """The receipt of a message from before a restart; None if its client has no URL for it any more."""
-        client = book.clients.get(submission.owner)
+    def restore(partnerships: Partnerships, offload: Offload, submission: Submission) -> Reply | None:
+        """Rebuilds the reply to a recovered message; None if its client has no receipt URL any more."""
+        client = partnerships.clients.get(submission.owner)
         if client is None or not client.receipt_url:
             return None
-        receiver, ident, signed, micalgs, mic, micalg = msgspec.msgpack.decode(
+        receiver, message_id, signed, micalgs, mic, micalg = msgspec.msgpack.decode(
             submission.reply_to, type=tuple[str, str, bool, tuple[str, ...], str, str]
         )
         return Reply(
-            book, offload, client, receiver, ident, Asked(True, signed, micalgs, "noted"), mic, micalg
+            partnerships,
+            offload,
+            client,
+            receiver,
+            message_id,
+            ReceiptRequest(True, signed, micalgs, "noted"),
+            mic,
+            micalg,
         )
 
     async def response(self, answer: FinalAnswer, by_receipt: bool = False) -> Response:
-        """The answer as HTTP; ``by_receipt`` where it goes alone, without the post to carry a status."""
+        """Returns the final answer as an HTTP message.
+
+        ``by_receipt`` is for asynchronous receipts: a refusal is then a receipt too, not a 503.
+        """
         seconds = max(1, ceil(answer.retry_after / 1000.0))
         if answer.answer is Answer.DELIVERED:
-            if not self.asked.wanted:
+            if not self.receipt_request.wanted:
                 return Response(200)
             return await self.build(Disposition(), "The message was delivered.")
         if answer.answer is Answer.REFUSED:
-            words = f"Refused: {answer.reason}. A later try is harmless. Send it again after {seconds} s."
+            text = f"Refused: {answer.reason}. A later try is harmless. Send it again after {seconds} s."
             if by_receipt:
-                return await self.build(Disposition("processed", "error", Modifier.UNEXPECTED.value), words)
+                return await self.build(Disposition("processed", "error", Modifier.UNEXPECTED.value), text)
             return Response(
                 503,
                 Headers([("Retry-After", str(seconds)), ("Content-Type", "text/plain")]),
-                words.encode("ascii", "replace") + b"\n",
+                text.encode("ascii", "replace") + b"\n",
             )
-        words = (
+        text = (
             f"Failed: {answer.reason}. Whether it took effect is not known. Do not send it as a new message."
         )
-        if not self.asked.wanted:
-            return plain(422, words)
-        return await self.build(Disposition("processed", "error", Modifier.UNEXPECTED.value), words)
-
-    async def build(self, disposition: Disposition, words: str) -> Response:
-        """A receipt as an HTTP message, signed if that was asked."""
-        ours = self.book.ours
-        receipt = Mdn(self.ident, disposition, self.mic, self.micalg, self.receiver, self.receiver, words)
-        sign = self.asked.micalg if self.asked.signed else ""
+        if not self.receipt_request.wanted:
+            return plain(422, text)
+        return await self.build(Disposition("processed", "error", Modifier.UNEXPECTED.value), text)
+
+    async def build(self, disposition: Disposition, text: str) -> Response:
+        """Returns a receipt as an HTTP message, signed if the client requested that."""
+        ours = self.partnerships.ours
+        receipt = Mdn(self.message_id, disposition, self.mic, self.micalg, self.receiver, self.receiver, text)
+        sign = self.receipt_request.micalg if self.receipt_request.signed else ""
         content_type, body = await self.offload(lambda: mdn.build(receipt, ours, sign))
         headers = Headers()
         headers.add("AS2-Version", "1.2")
         headers.add("AS2-From", mime.shown_name(self.receiver))
         headers.add("AS2-To", mime.shown_name(self.client.as2_id))
         headers.add(
-            "Message-ID", partnership.onward_id("receipt", f"{self.client.as2_id}\n{self.ident}", ours.as2_id)
+            "Message-ID",
+            partnership.onward_id("receipt", f"{self.client.as2_id}\n{self.message_id}", ours.as2_id),
         )
         headers.add("Date", formatdate(usegmt=True))
         headers.add("MIME-Version", "1.0")
@@ -100,14 +123,14 @@
 
 
 def plain(status: int, reason: str) -> Response:
-    """A status with its reason as text."""
+    """Returns a response with the reason as its text."""
     return Response(
         status, Headers([("Content-Type", "text/plain")]), (reason + "\n").encode("ascii", "replace")
     )
 
 
-def turned_away(note: Note, request: Request, status: int, reason: str) -> Response:
-    """A post that nothing is made of: its reason goes to the log too."""
+def reject(note: Note, request: Request, status: int, reason: str) -> Response:
+    """Logs the reason why a post is rejected and returns it as the response."""
     note(
         "turned_away",
         {
--- a/brassweir/as2/sending.py
+++ b/brassweir/as2/sending.py
@@ -1,4 +1,4 @@
-"""The client's side of one hand-in: build, post, and read the answer. For trials and the laboratory."""
+"""Client side of one submission: build, post, and read the answer. For the command line and the lab."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Letter:
-    """A message ready to be posted, as often as need be, under one Message-ID."""
+    """A built message with its headers, to be posted and repeated under one Message-ID."""
 
     headers: Headers
     built: Built
     ident: str
 
     def again(self, left: float) -> Letter:
-        """The same message for another try, with the time (seconds) that is left for it."""
+        """Returns the same message for another try, with ``left`` seconds as its new ``Prefer: wait``."""
         kept = [pair for pair in self.headers if pair[0] != "Prefer"]
         return Letter(Headers([*kept, ("Prefer", f"wait={max(1, int(left))}")]), self.built, self.ident)
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """What an answer says: delivered, refused, failed, accepted (a receipt follows), rejected (not taken)."""
+    """The answer: delivered, refused, failed, accepted (a receipt follows) or rejected (not submitted)."""
 
     answer: str
     reason: str = ""
@@ -55,7 +55,7 @@
     signed_receipt: bool = True,
     receipt_url: str = "",
 ) -> Letter:
-    """Build a message; ``wait`` is how many seconds the client waits, told as ``Prefer: wait``."""
+    """Builds a message; ``wait`` is how many seconds the client waits, sent as ``Prefer: wait``."""
     security = security or Security()
     built = message.build(payload, security, ours, theirs)
     headers = Headers()
@@ -88,13 +88,13 @@
 async def post(
     pool: HttpPool, sent: Letter, trusted: x509.Certificate, deadline: float, offload: Offload
 ) -> Told:
-    """Post it and read the answer. Raises CallFailed."""
+    """Posts a message and reads the answer. Raises CallFailed."""
     reply = await pool.post(sent.headers, sent.built.body, deadline)
     return await offload(lambda: read(reply, sent, trusted))
 
 
 def read(reply: Reply, sent: Letter, trusted: x509.Certificate) -> Told:
-    """What a synchronous answer says."""
+    """Interprets a synchronous answer."""
     if reply.status == 503:
         return Told(
             "refused",
@@ -118,7 +118,7 @@
 
 
 def of_receipt(got: Mdn, sent: Letter) -> Told:
-    """What a receipt says of a message of ours."""
+    """Interprets the receipt of a message that was sent."""
     if got.original_message_id != sent.ident:
         return Told("rejected", "receipt for another message", receipt=got)
     if got.disposition.good:
--- a/tests/as2/samples.py
+++ b/tests/as2/samples.py
@@ -1,4 +1,4 @@
-"""Messages and certificates of another implementation."""
+"""Messages and certificates made by another AS2 implementation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 DATA = Path(__file__).parent / "data"
 PLAIN = (DATA / "plain.mime").read_bytes()
 CONTENT = PLAIN.partition(b"\r\n\r\n")[2]
-MOST = 100_000
+MAX_BYTES = 100_000
 
 
 def certificate(name: str) -> x509.Certificate:
--- a/tests/as2/test_endings.py
+++ b/tests/as2/test_endings.py
@@ -1,4 +1,4 @@
-"""Every row of the table of endings: which result, and whether the payment may have taken effect."""
+"""Outcomes of calls, statuses and receipts: the result, and whether the message may have taken effect."""
 
 from __future__ import annotations
 
@@ -72,11 +72,11 @@
     ],
 )
 def test_statuses(code: int, wait: float, result: Result, ran: bool, rejected: bool) -> None:
-    got = endings.status(code, ServerHints(wait), frozenset({429}))
+    got = endings.of_status(code, ServerHints(wait), frozenset({429}))
     assert got is not None
     assert (got.result, got.may_have_run, got.rejected) == (result, ran, rejected)
     assert got.wait == (wait if result is Result.BUSY else 0.0)
-    assert endings.status(200, ServerHints(), frozenset()) is None
+    assert endings.of_status(200, ServerHints(), frozenset()) is None
 
 
 @pytest.mark.parametrize(
@@ -107,21 +107,21 @@
     ],
 )
 def test_receipts(got: Mdn, result: Result, rejected: bool) -> None:
-    outcome = endings.receipt(got, EXPECTED, ServerHints(limit=4.0, limit_left=0.5))
+    outcome = endings.of_receipt(got, EXPECTED, ServerHints(limit=4.0, limit_left=0.5))
     assert (outcome.result, outcome.rejected) == (result, rejected)
     assert (outcome.limit, outcome.limit_left) == (4.0, 0.5)
     assert outcome.may_have_run
 
 
-def test_a_duplicate_after_an_attempt_of_ours_is_our_own() -> None:
+def test_a_duplicate_reported_after_an_earlier_attempt_is_a_delivery() -> None:
     again = Expected("<a@b>", "mic", "sha256", signed=True, repeat=True)
     for severity in ("error", "warning"):
-        got = endings.receipt(receipt(severity, "duplicate-document", mic=""), again, ServerHints())
+        got = endings.of_receipt(receipt(severity, "duplicate-document", mic=""), again, ServerHints())
         assert got.result is Result.OK and not got.rejected
 
 
-def test_an_unreadable_receipt_proves_nothing() -> None:
-    got = endings.unreadable(As2Error(Modifier.AUTHENTICATION, "x"), ServerHints())
+def test_an_unreadable_receipt_leaves_the_effect_unknown() -> None:
+    got = endings.of_unreadable_receipt(As2Error(Modifier.AUTHENTICATION, "x"), ServerHints())
     assert got.result is Result.ERROR and got.may_have_run and not got.rejected
 
 
@@ -148,7 +148,7 @@
         ({"ratelimit-policy": ";;;=", "ratelimit": "\x00"}, 0.0, None, None),
     ],
 )
-def test_told_waits_and_limits(
+def test_requested_waits_and_reported_limits(
     fields: dict[str, str], wait: float, limit: float | None, left: float | None
 ) -> None:
     got = read_hints(lambda name: fields.get(name, ""), WALL)
--- a/tests/as2/test_hostile_messages.py
+++ b/tests/as2/test_hostile_messages.py
@@ -1,4 +1,4 @@
-"""What is turned away: changed content, strangers, bombs, and bytes that nobody meant."""
+"""Rejection of changed content, unknown signers, decompression bombs, deep nesting and random bytes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from brassweir.as2 import cms, inspect, mdn, message, mime
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.core.ports import Payload
-from tests.as2.samples import DATA, MOST, TRUSTED, bob, certificate, load
+from tests.as2.samples import DATA, MAX_BYTES, TRUSTED, bob, certificate, load
 from tests.conftest import identity
 
 
@@ -28,20 +28,20 @@
     assert callable(change)
     raw = change((DATA / "signed-detached.mime").read_bytes())
     with pytest.raises(As2Error) as caught:
-        message.read(mime.parse(raw), bob(), TRUSTED, most=MOST)
+        message.read(mime.parse(raw), bob(), TRUSTED, most=MAX_BYTES)
     assert caught.value.modifier is Modifier.INTEGRITY
 
 
-def test_a_stranger_s_signature_and_a_stranger_s_envelope_are_turned_away() -> None:
+def test_an_unknown_signer_and_another_recipient_s_envelope_are_rejected() -> None:
     with pytest.raises(As2Error) as caught:
-        message.read(load("signed-detached.mime"), bob(), [certificate("eve")], most=MOST)
+        message.read(load("signed-detached.mime"), bob(), [certificate("eve")], most=MAX_BYTES)
     assert caught.value.modifier is Modifier.AUTHENTICATION
     with pytest.raises(As2Error) as caught:
-        message.read(load("encrypted-aes128.der"), identity("other"), TRUSTED, most=MOST)
+        message.read(load("encrypted-aes128.der"), identity("other"), TRUSTED, most=MAX_BYTES)
     assert caught.value.modifier is Modifier.DECRYPTION
 
 
-def test_bombs_depth_and_nests_end_in_the_codec_s_own_error() -> None:
+def test_decompression_bombs_and_deep_nesting_raise_as2_error() -> None:
     bomb = cms.compress(b"\0" * 5_000_000)
     assert len(bomb) < 10_000
     with pytest.raises(As2Error) as caught:
@@ -49,7 +49,7 @@
     assert caught.value.modifier is Modifier.DECOMPRESSION
     for deep in (b"\x30\x80" * 10_000, b"\x24\x80" * 10_000 + b"\0" * 20_000):
         with pytest.raises(As2Error):
-            message.read(mime.of_http("application/pkcs7-mime", "", deep), bob(), [], most=MOST)
+            message.read(mime.of_http("application/pkcs7-mime", "", deep), bob(), [], most=MAX_BYTES)
     nest = b"x"
     for i in range(40):
         nest = (
@@ -64,7 +64,7 @@
     for _ in range(7):
         body = mime.entity([("Content-Type", "application/pkcs7-mime")], cms.compress(body))
     with pytest.raises(As2Error, match="layers"):
-        message.read(mime.parse(body), bob(), [], most=MOST)
+        message.read(mime.parse(body), bob(), [], most=MAX_BYTES)
 
 
 SEEDS = [path.read_bytes() for path in sorted(DATA.iterdir()) if path.suffix in (".mime", ".der")]
@@ -72,7 +72,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(data=st.data())
-def test_parsing_raises_nothing_but_the_codec_s_error(data: st.DataObject) -> None:
+def test_parsing_raises_only_as2_error(data: st.DataObject) -> None:
     raw = bytearray(data.draw(st.one_of(st.sampled_from(SEEDS), st.binary(max_size=400))))
     for _ in range(data.draw(st.integers(0, 6))):
         if raw:
@@ -89,14 +89,14 @@
             ]
         )
     )
-    ways: list[Callable[[], mime.Entity]] = [
+    parsers: list[Callable[[], mime.Entity]] = [
         lambda: mime.parse(bytes(raw)),
         lambda: mime.of_http(kind, "", bytes(raw)),
     ]
-    for entity_of in ways:
+    for entity_of in parsers:
         try:
             entity = entity_of()
-            message.read(entity, bob(), TRUSTED, most=MOST, legacy=True)
+            message.read(entity, bob(), TRUSTED, most=MAX_BYTES, legacy=True)
             mdn.parse(entity, TRUSTED)
         except As2Error:
             pass
@@ -107,8 +107,8 @@
     inspect.explain(bytes(raw), bob(), TRUSTED)
 
 
-def test_a_certificate_with_a_key_that_is_none_is_shown_as_unreadable() -> None:
-    """Found by fuzzing: parts of a certificate are only read when they are asked for."""
+def test_a_certificate_with_an_invalid_key_is_shown_as_unreadable() -> None:
+    """Guards against an error when a malformed certificate, which is parsed lazily, is displayed."""
     good = bob().certificate
     der = bytearray(good.public_bytes(serialization.Encoding.DER))
     spki = good.public_key().public_bytes(
--- a/tests/as2/test_message.py
+++ b/tests/as2/test_message.py
@@ -1,4 +1,4 @@
-"""The codec: what another implementation made, what we make, and the MIC over the right bytes."""
+"""Messages of other implementations, messages built here, and the bytes that the MIC covers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.as2.message import Security, mic_of
 from brassweir.core.ports import Payload
-from tests.as2.samples import CONTENT, DATA, MOST, PLAIN, TRUSTED, bob, load
+from tests.as2.samples import CONTENT, DATA, MAX_BYTES, PLAIN, TRUSTED, bob, load
 from tests.conftest import identity
 
 
@@ -35,7 +35,7 @@
     ],
 )
 def test_messages_of_another_implementation(name: str, layers: tuple[str, ...], covered: bytes) -> None:
-    got = message.read(load(name), bob(), TRUSTED, most=MOST)
+    got = message.read(load(name), bob(), TRUSTED, most=MAX_BYTES)
     assert got.payload == Payload("application/EDI-X12", CONTENT)
     assert got.layers == layers
     assert got.mic == mic_of(covered, got.micalg)
@@ -47,12 +47,12 @@
 )
 def test_legacy_algorithms_only_where_a_partnership_allows(name: str, modifier: Modifier) -> None:
     with pytest.raises(As2Error) as caught:
-        message.read(load(name), bob(), TRUSTED, most=MOST)
+        message.read(load(name), bob(), TRUSTED, most=MAX_BYTES)
     assert caught.value.modifier is modifier
-    assert message.read(load(name), bob(), TRUSTED, most=MOST, legacy=True).payload.content == CONTENT
+    assert message.read(load(name), bob(), TRUSTED, most=MAX_BYTES, legacy=True).payload.content == CONTENT
 
 
-def test_messages_of_a_library_that_is_not_ours() -> None:
+def test_messages_built_by_another_library() -> None:
     alice = identity("alice made here")
     body = (
         pkcs7.PKCS7SignatureBuilder()
@@ -60,7 +60,7 @@
         .add_signer(alice.certificate, alice.key, hashes.SHA384())
         .sign(serialization.Encoding.SMIME, [pkcs7.PKCS7Options.DetachedSignature, pkcs7.PKCS7Options.Binary])
     )
-    got = message.read(mime.parse(body), bob(), [alice.certificate], most=MOST)
+    got = message.read(mime.parse(body), bob(), [alice.certificate], most=MAX_BYTES)
     assert got.signed and got.payload.content.strip() == CONTENT.strip()
     sealed = (
         pkcs7.PKCS7EnvelopeBuilder()
@@ -68,11 +68,11 @@
         .add_recipient(bob().certificate)
         .encrypt(serialization.Encoding.DER, [pkcs7.PKCS7Options.Binary])
     )
-    got = message.read(mime.of_http("application/pkcs7-mime", "", sealed), bob(), [], most=MOST)
+    got = message.read(mime.of_http("application/pkcs7-mime", "", sealed), bob(), [], most=MAX_BYTES)
     assert got.encrypted and got.payload.content == CONTENT
 
 
-def test_our_signatures_and_envelopes_are_read_by_a_library_that_is_not_ours() -> None:
+def test_our_envelopes_are_read_by_another_library() -> None:
     alice = identity("alice made here")
     built = message.build(Payload("text/xml", b"<a/>"), Security("", "aes128-cbc"), alice, bob().certificate)
     key = bob().key
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("kind", ["rsa2048", "ec256"])
-def test_what_we_build_we_read_with_the_same_mic_in_every_combination(kind: str) -> None:
+def test_build_and_read_give_the_same_content_and_mic_in_every_combination(kind: str) -> None:
     sender = identity("sender", kind)
     content = b"\r\n\n binary \x00\xff --boundary\r\n" * 50
     for combination in COMBINATIONS:
@@ -103,14 +103,14 @@
             Payload("application/octet-stream", content), security, sender, bob().certificate
         )
         got = message.read(
-            mime.of_http(built.content_type, "", built.body), bob(), [sender.certificate], most=MOST
+            mime.of_http(built.content_type, "", built.body), bob(), [sender.certificate], most=MAX_BYTES
         )
         assert got.payload.content == content, combination
         assert (got.mic, got.micalg) == (built.mic, built.micalg), combination
         assert got.signed == bool(security.sign) and got.encrypted == bool(security.encrypt)
 
 
-def test_the_mic_covers_what_the_standard_says() -> None:
+def test_the_mic_covers_the_bytes_that_rfc_4130_names() -> None:
     sender = identity("sender")
     payload = Payload("text/plain", b"hello")
     inner = b"Content-Type: text/plain\r\nContent-Transfer-Encoding: binary\r\n\r\nhello"
@@ -129,11 +129,11 @@
     assert mic("sha256", "", "before") != mic_of(inner, "sha256")
 
 
-def test_line_ends_changed_on_the_way_are_put_right_and_coding_may_be_any() -> None:
+def test_line_ends_changed_in_transit_and_any_transfer_encoding_are_accepted() -> None:
     raw = (DATA / "signed-detached.mime").read_bytes()
-    assert message.read(mime.parse(raw.replace(b"\r\n", b"\n")), bob(), TRUSTED, most=MOST).signed
-    whole = load("encrypted-aes128.der")
+    assert message.read(mime.parse(raw.replace(b"\r\n", b"\n")), bob(), TRUSTED, most=MAX_BYTES).signed
+    encrypted = load("encrypted-aes128.der")
     coded = mime.of_http(
-        "application/x-pkcs7-mime; smime-type=enveloped-data", "BASE64", base64.encodebytes(whole.body)
+        "application/x-pkcs7-mime; smime-type=enveloped-data", "BASE64", base64.encodebytes(encrypted.body)
     )
-    assert message.read(coded, bob(), TRUSTED, most=MOST).signed
+    assert message.read(coded, bob(), TRUSTED, most=MAX_BYTES).signed
--- a/tests/as2/test_receipts.py
+++ b/tests/as2/test_receipts.py
@@ -1,4 +1,4 @@
-"""Receipts come back as they were meant, and names and ids of headers are read as they are spelled."""
+"""Receipts built and parsed; dispositions, digests, AS2 names and Message-IDs in their various spellings."""
 
 from __future__ import annotations
 
@@ -9,8 +9,6 @@
 from brassweir.as2.mdn import Disposition, Mdn
 from tests.conftest import identity
 
-# ---- receipts
-
 
 def roundtrip(receipt: Mdn, sign: str = "sha256") -> Mdn:
     content_type, body = mdn.build(receipt, identity("sender"), sign)
@@ -18,8 +16,8 @@
 
 
 @pytest.mark.parametrize("sign", ["", "sha256", "sha512"])
-def test_receipts_come_back_as_they_were_meant(sign: str) -> None:
-    told = Mdn(
+def test_a_receipt_is_parsed_as_it_was_built(sign: str) -> None:
+    sent = Mdn(
         "<a b@c>",
         Disposition("processed", "error", "decryption-failed"),
         "bWlj",
@@ -28,11 +26,11 @@
         "",
         "sorry",
     )
-    got = roundtrip(told, sign)
+    got = roundtrip(sent, sign)
     assert (got.signer is not None) == bool(sign)
     assert (got.original_message_id, got.disposition, got.mic, got.micalg, got.final_recipient, got.text) == (
         "<a b@c>",
-        told.disposition,
+        sent.disposition,
         "bWlj",
         "sha256",
         "my name",
@@ -76,19 +74,17 @@
         ("manual-action/MDN-sent-manually; failed", "failed", "", "", False),
     ],
 )
-def test_dispositions_as_they_are_seen(
-    text: str, kind: str, severity: str, modifier: str, good: bool
-) -> None:
+def test_spellings_of_dispositions(text: str, kind: str, severity: str, modifier: str, good: bool) -> None:
     got = Disposition.of(text)
     assert (got.kind, got.severity, got.modifier, got.good) == (kind, severity, modifier, good)
 
 
 @pytest.mark.parametrize("spelled", ["sha256", "sha-256", "SHA256", "SHA-256", "rsa-sha256", '"sha-256"'])
-def test_digests_however_they_are_spelled(spelled: str) -> None:
+def test_spellings_of_digests(spelled: str) -> None:
     assert cms.digest_name(spelled) == "sha256"
 
 
-def test_text_parts_in_odd_places_do_not_hide_the_notification() -> None:
+def test_the_notification_is_found_among_unusual_parts() -> None:
     note = (
         b"Content-Type: message/disposition-notification\r\n\r\nFinal-Recipient: rfc822;\r\n  bob\r\n"
         b"Original-Message-ID: <x>\r\nDisposition: automatic-action/MDN-sent-automatically;\r\n processed\r\n"
@@ -109,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    ("shown", "meant"),
+    ("encoded", "name"),
     [
         ("ACME", "ACME"),
         ('"ACME Corp"', "ACME Corp"),
@@ -119,18 +115,18 @@
         ("acme", "acme"),
     ],
 )
-def test_names_folded_quoted_and_spaced(shown: str, meant: str) -> None:
-    assert mime.as2_name(shown) == meant
-    assert mime.as2_name(mime.shown_name(meant)) == meant
+def test_names_folded_quoted_and_spaced(encoded: str, name: str) -> None:
+    assert mime.as2_name(encoded) == name
+    assert mime.as2_name(mime.shown_name(name)) == name
 
 
 @pytest.mark.parametrize("bad", ["", " ", "x" * 129, "a\nb", "a\x00b", "caf\xe9"])
-def test_names_that_are_none(bad: str) -> None:
+def test_invalid_names(bad: str) -> None:
     with pytest.raises(As2Error):
         mime.as2_name(bad)
 
 
 @pytest.mark.parametrize("bad", ["", "a\r\nX: y", "x" * 999, "a\x00"])
-def test_message_ids_that_are_none(bad: str) -> None:
+def test_invalid_message_ids(bad: str) -> None:
     with pytest.raises(As2Error):
         mime.message_id(bad)
