--- a/brassweir/as2/carrier.py
+++ b/brassweir/as2/carrier.py
@@ -93,10 +93,10 @@
                 self.receipts.attempt_ended(message_id)
 
     def _build(self, payload: Payload, partner: Partner) -> Built:
-        theirs = valid_now(partner.certificates, time.time())
-        if not theirs:
+        certificates = valid_now(partner.certificates, time.time())
+        if not certificates:
             raise ValueError(f"no certificate of {partner.as2_id} is valid now")
-        return message.build(payload, partner.security, self.partnerships.ours, theirs[0])
+        return message.build(payload, partner.security, self.partnerships.ours, certificates[0])
 
     def _headers(
         self, partner: Partner, payload: Payload, message_id: str, built: Built, receipt_url: str
--- a/brassweir/as2/cms/signatures.py
+++ b/brassweir/as2/cms/signatures.py
@@ -213,5 +213,5 @@
 @raising_as2_error(Modifier.AUTHENTICATION, "signature cannot be read")
 def embedded(data: bytes) -> list[x509.Certificate]:
     """Returns the certificates inside a SignedData, for display only. Raises As2Error."""
-    found = content_info(data)["content"]["certificates"]
-    return [x509.load_der_x509_certificate(cert.chosen.dump()) for cert in found or []]
+    certificates = content_info(data)["content"]["certificates"]
+    return [x509.load_der_x509_certificate(cert.chosen.dump()) for cert in certificates or []]
--- a/brassweir/as2/endings.py
+++ b/brassweir/as2/endings.py
@@ -86,5 +86,5 @@
 
 
 def of_unreadable_receipt(error: As2Error, hints: ServerHints) -> Outcome:
-    """Returns the outcome of a receipt that cannot be parsed or verified: it is unknown what became of it."""
+    """Returns the outcome of a receipt that cannot be parsed or verified: the effect is unknown."""
     return Outcome(Result.ERROR, f"receipt: {error.reason}", limit_left=hints.limit_left, limit=hints.limit)
--- a/brassweir/as2/front.py
+++ b/brassweir/as2/front.py
@@ -48,9 +48,10 @@
     """Answers HTTP requests of clients and partners.
 
     ``refusal_hold_ms`` is how long the response to an asynchronous client is delayed: a message that is
-    refused within that time is answered with a status, and no receipt is sent. ``margin`` (ms) is subtracted
-    from each message's deadline so that the answer can still reach the client. ``most`` limits the bytes of
-    each decompressed layer. ``told`` is called with a message's record id once the client has its answer.
+    refused within that time is answered with a status, and no receipt is sent.
+    ``margin`` (ms) is subtracted from each message's deadline so that the answer can reach the client.
+    ``most`` limits the bytes of each decompressed layer.
+    ``told`` is called with the record's id once an asynchronous client has its answer.
     """
 
     def __init__(
--- a/brassweir/as2/inspect.py
+++ b/brassweir/as2/inspect.py
@@ -72,16 +72,16 @@
         return f"unreadable: {error}"
 
 
-def _receipt(got: mdn.Mdn) -> dict[str, Any]:
+def _receipt(receipt: mdn.Mdn) -> dict[str, Any]:
     return {
-        "original_message_id": got.original_message_id,
-        "disposition": str(got.disposition),
-        "good": got.disposition.good,
-        "mic": got.mic,
-        "micalg": got.micalg,
-        "final_recipient": got.final_recipient,
-        "text": got.text,
-        "signer": keys.show(got.signer).subject if got.signer else None,
+        "original_message_id": receipt.original_message_id,
+        "disposition": str(receipt.disposition),
+        "good": receipt.disposition.good,
+        "mic": receipt.mic,
+        "micalg": receipt.micalg,
+        "final_recipient": receipt.final_recipient,
+        "text": receipt.text,
+        "signer": keys.show(receipt.signer).subject if receipt.signer else None,
     }
 
 
@@ -89,14 +89,16 @@
     entity: mime.Entity, ours: Identity | None, trusted: Sequence[x509.Certificate]
 ) -> dict[str, Any]:
     try:
-        got = message.read(entity, ours or _unrelated_identity(), trusted, most=MAX_LAYER_BYTES, legacy=True)
+        opened = message.read(
+            entity, ours or _unrelated_identity(), trusted, most=MAX_LAYER_BYTES, legacy=True
+        )
     except As2Error as error:
         return {"problem": f"{error.modifier.value}: {error.reason}"}
     return {
-        "layers": list(got.layers),
-        "signer": keys.show(got.signer).subject if got.signer else None,
-        "mic": got.mic,
-        "micalg": got.micalg,
-        "content_type": got.payload.content_type,
-        "bytes": len(got.payload.content),
+        "layers": list(opened.layers),
+        "signer": keys.show(opened.signer).subject if opened.signer else None,
+        "mic": opened.mic,
+        "micalg": opened.micalg,
+        "content_type": opened.payload.content_type,
+        "bytes": len(opened.payload.content),
     }
--- a/brassweir/as2/mdn.py
+++ b/brassweir/as2/mdn.py
@@ -31,14 +31,14 @@
     @staticmethod
     def of(text: str) -> Disposition:
         """Parses a Disposition field (RFC 8098, section 3.2.6). Raises As2Error."""
-        found = _DISPOSITION.fullmatch(text)
-        if found is None:
+        match = _DISPOSITION.fullmatch(text)
+        if match is None:
             raise As2Error(Modifier.FORMAT, f"disposition {text[:100]!r} cannot be read")
-        severity, modifier = (found[3] or "").lower(), found[4] or ""
+        severity, modifier = (match[3] or "").lower(), match[4] or ""
         bare = re.match(r"(error|failure|warning)\b\s*:?\s*(.*)", modifier, re.IGNORECASE | re.DOTALL)
         if not severity and bare:  # some implementations send "processed: error: ..."
             severity, modifier = bare[1].lower(), bare[2]
-        return Disposition(found[2].lower(), severity, modifier)
+        return Disposition(match[2].lower(), severity, modifier)
 
     @property
     def good(self) -> bool:
@@ -100,14 +100,14 @@
     wants_signed = len(protocol) > 1 and protocol[1].lower() == "pkcs7-signature"
     if len(protocol) > 1 and not wants_signed and protocol[0].lower() == "required":
         raise As2Error(Modifier.FORMAT, f"signed-receipt-protocol {protocol[1][:40]!r} is not served")
-    found = ReceiptRequest(bool(to), bool(to) and wants_signed, tuple(algorithms[1:]), delivery)
+    request = ReceiptRequest(bool(to), bool(to) and wants_signed, tuple(algorithms[1:]), delivery)
     if (
         algorithms
         and algorithms[0].lower() == "required"
-        and not any(_is_known_digest(name) for name in found.micalgs)
+        and not any(_is_known_digest(name) for name in request.micalgs)
     ):
         raise As2Error(Modifier.MIC, "none of the digests required is served")
-    return found
+    return request
 
 
 def _is_known_digest(name: str) -> bool:
@@ -144,18 +144,18 @@
     )
     if not sign:
         return content_type, body
-    whole = mime.entity([("Content-Type", content_type)], body)
+    unsigned = mime.entity([("Content-Type", content_type)], body)
     signature = mime.entity(
         [
             ("Content-Type", "application/pkcs7-signature; name=smime.p7s"),
             ("Content-Transfer-Encoding", "binary"),
         ],
-        cms.sign(whole, ours.key, ours.certificate, sign),
+        cms.sign(unsigned, ours.key, ours.certificate, sign),
     )
     return mime.multipart(
         "signed",
         [("protocol", "application/pkcs7-signature"), ("micalg", cms.micalg(sign))],
-        [whole, signature],
+        [unsigned, signature],
     )
 
 
@@ -168,11 +168,11 @@
     elif entity.content_type in ("application/pkcs7-mime", "application/x-pkcs7-mime"):
         opaque = cms.verify(entity.decoded(), trusted, None, legacy=legacy)
         signer, entity = opaque.signer, mime.parse(opaque.content)
-    found = mime.leaves(entity)
-    report = next((part for part in found if part.content_type == "message/disposition-notification"), None)
+    leaves = mime.leaves(entity)
+    report = next((part for part in leaves if part.content_type == "message/disposition-notification"), None)
     if report is None:
         raise As2Error(Modifier.FORMAT, "no disposition notification in the answer")
-    text = next((part for part in found if part.content_type == "text/plain"), None)
+    text = next((part for part in leaves if part.content_type == "text/plain"), None)
     try:
         fields = BytesHeaderParser().parsebytes(report.decoded().lstrip(b"\r\n"))
     except (ValueError, LookupError, TypeError) as error:
--- a/brassweir/as2/mime.py
+++ b/brassweir/as2/mime.py
@@ -74,12 +74,12 @@
         return Entity(raw, Message(), raw[2:])
     if raw[:1] == b"\n":
         return Entity(raw, Message(), raw[1:])
-    found = _BLANK.search(raw, 0, MAX_HEADER_BYTES)
-    if found is None:
+    blank_line = _BLANK.search(raw, 0, MAX_HEADER_BYTES)
+    if blank_line is None:
         if len(raw) > MAX_HEADER_BYTES:
             raise As2Error(Modifier.FORMAT, "header of a MIME part has no end within its limit")
         return Entity(raw, _fields(raw), b"")
-    return Entity(raw, _fields(raw[: found.start()] + b"\r\n\r\n"), raw[found.end() :])
+    return Entity(raw, _fields(raw[: blank_line.start()] + b"\r\n\r\n"), raw[blank_line.end() :])
 
 
 def of_http(content_type: str, coding: str, body: bytes) -> Entity:
@@ -113,7 +113,7 @@
     if not boundary or len(boundary) > 200:
         raise As2Error(Modifier.FORMAT, "multipart without a usable boundary")
     delimiter = b"--" + boundary.encode("latin-1", "replace")
-    found: list[Entity] = []
+    entities: list[Entity] = []
     body, position, start = entity.body, 0, -1
     while True:
         position = body.find(delimiter, position)
@@ -127,10 +127,10 @@
         if start >= 0:
             # The line end before a delimiter belongs to it (RFC 2046, section 5.1.1); there may be none.
             end = position - 2 if body[position - 2 : position] == b"\r\n" else position - 1
-            found.append(parse(body[start : max(start, end)]))
+            entities.append(parse(body[start : max(start, end)]))
         if closing:
-            return found
-        if len(found) >= MAX_PARTS:
+            return entities
+        if len(entities) >= MAX_PARTS:
             raise As2Error(Modifier.FORMAT, f"more than {MAX_PARTS} MIME parts")
         start = position = after
 
--- a/brassweir/as2/owed.py
+++ b/brassweir/as2/owed.py
@@ -21,7 +21,7 @@
 class Owed:
     """Receipts that are waiting for an answer or being sent.
 
-    ``max_pending`` limits how many. A receipt beyond it is dropped and logged; the client then gets its
+    While there are ``max_pending`` tasks, ``send`` drops and logs the receipt. The client then gets its
     answer by repeating the message under the same Message-ID.
     """
 
--- a/brassweir/as2/sending.py
+++ b/brassweir/as2/sending.py
@@ -106,26 +106,26 @@
     if reply.status == 422:
         return Told("failed", reply.body.decode("ascii", "replace").strip())
     if not 200 <= reply.status < 300:
-        words = reply.body[:200].decode("ascii", "replace").strip()
-        return Told("rejected", f"status {reply.status}: {words}")
+        text = reply.body[:200].decode("ascii", "replace").strip()
+        return Told("rejected", f"status {reply.status}: {text}")
     if not reply.headers.all("content-type"):
         return Told("delivered")
     try:
-        got = mdn.parse(mime.of_http(reply.headers.first("content-type"), "", reply.body), [trusted])
+        receipt = mdn.parse(mime.of_http(reply.headers.first("content-type"), "", reply.body), [trusted])
     except As2Error as error:
         return Told("rejected", f"receipt: {error.reason}")
-    return of_receipt(got, sent)
+    return of_receipt(receipt, sent)
 
 
-def of_receipt(got: Mdn, sent: Letter) -> Told:
+def of_receipt(receipt: Mdn, sent: Letter) -> Told:
     """Interprets the receipt of a message that was sent."""
-    if got.original_message_id != sent.ident:
-        return Told("rejected", "receipt for another message", receipt=got)
-    if got.disposition.good:
-        if got.mic != sent.built.mic:
-            return Told("rejected", "receipt shows another MIC", receipt=got)
-        return Told("delivered", receipt=got)
-    if got.disposition.modifier == Modifier.UNEXPECTED.value:
-        answer = "refused" if got.text.startswith("Refused:") else "failed"
-        return Told(answer, got.text, receipt=got)
-    return Told("rejected", f"{got.disposition}: {got.text}", receipt=got)
+    if receipt.original_message_id != sent.ident:
+        return Told("rejected", "receipt for another message", receipt=receipt)
+    if receipt.disposition.good:
+        if receipt.mic != sent.built.mic:
+            return Told("rejected", "receipt shows another MIC", receipt=receipt)
+        return Told("delivered", receipt=receipt)
+    if receipt.disposition.modifier == Modifier.UNEXPECTED.value:
+        answer = "refused" if receipt.text.startswith("Refused:") else "failed"
+        return Told(answer, receipt.text, receipt=receipt)
+    return Told("rejected", f"{receipt.disposition}: {receipt.text}", receipt=receipt)
