--- a/brassweir/as2/sending.py
+++ b/brassweir/as2/sending.py
@@ -1,4 +1,4 @@
-"""The client's side of one hand-in: build, post, and read the answer. For trials and the laboratory."""
+"""Client side of one submission: build, post, and read the answer. For the command line and the lab."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Letter:
-    """A message ready to be posted, as often as need be, under one Message-ID."""
+    """A built message with its headers, to be posted and repeated under one Message-ID."""
 
     headers: Headers
     built: Built
     ident: str
 
     def again(self, left: float) -> Letter:
-        """The same message for another try, with the time (seconds) that is left for it."""
+        """Returns the same message for another try, with ``left`` seconds as its new ``Prefer: wait``."""
         kept = [pair for pair in self.headers if pair[0] != "Prefer"]
         return Letter(Headers([*kept, ("Prefer", f"wait={max(1, int(left))}")]), self.built, self.ident)
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """What an answer says: delivered, refused, failed, accepted (a receipt follows), rejected (not taken)."""
+    """The answer: delivered, refused, failed, accepted (a receipt follows) or rejected (not submitted)."""
 
     answer: str
     reason: str = ""
@@ -55,7 +55,7 @@
     signed_receipt: bool = True,
     receipt_url: str = "",
 ) -> Letter:
-    """Build a message; ``wait`` is how many seconds the client waits, told as ``Prefer: wait``."""
+    """Builds a message; ``wait`` is how many seconds the client waits, sent as ``Prefer: wait``."""
     security = security or Security()
     built = message.build(payload, security, ours, theirs)
     headers = Headers()
@@ -88,13 +88,13 @@
 async def post(
     pool: HttpPool, sent: Letter, trusted: x509.Certificate, deadline: float, offload: Offload
 ) -> Told:
-    """Post it and read the answer. Raises CallFailed."""
+    """Posts a message and reads the answer. Raises CallFailed."""
     reply = await pool.post(sent.headers, sent.built.body, deadline)
     return await offload(lambda: read(reply, sent, trusted))
 
 
 def read(reply: Reply, sent: Letter, trusted: x509.Certificate) -> Told:
-    """What a synchronous answer says."""
+    """Interprets a synchronous answer."""
     if reply.status == 503:
         return Told(
             "refused",
@@ -106,26 +106,26 @@
     if reply.status == 422:
         return Told("failed", reply.body.decode("ascii", "replace").strip())
     if not 200 <= reply.status < 300:
-        words = reply.body[:200].decode("ascii", "replace").strip()
-        return Told("rejected", f"status {reply.status}: {words}")
+        text = reply.body[:200].decode("ascii", "replace").strip()
+        return Told("rejected", f"status {reply.status}: {text}")
     if not reply.headers.all("content-type"):
         return Told("delivered")
     try:
-        got = mdn.parse(mime.of_http(reply.headers.first("content-type"), "", reply.body), [trusted])
+        receipt = mdn.parse(mime.of_http(reply.headers.first("content-type"), "", reply.body), [trusted])
     except As2Error as error:
         return Told("rejected", f"receipt: {error.reason}")
-    return of_receipt(got, sent)
-
-
-def of_receipt(got: Mdn, sent: Letter) -> Told:
-    """What a receipt says of a message of ours."""
-    if got.original_message_id != sent.ident:
-        return Told("rejected", "receipt for another message", receipt=got)
-    if got.disposition.good:
-        if got.mic != sent.built.mic:
-            return Told("rejected", "receipt shows another MIC", receipt=got)
-        return Told("delivered", receipt=got)
-    if got.disposition.modifier == Modifier.UNEXPECTED.value:
-        answer = "refused" if got.text.startswith("Refused:") else "failed"
-        return Told(answer, got.text, receipt=got)
-    return Told("rejected", f"{got.disposition}: {got.text}", receipt=got)
+    return of_receipt(receipt, sent)
+
+
+def of_receipt(receipt: Mdn, sent: Letter) -> Told:
+    """Interprets the receipt of a message that was sent."""
+    if receipt.original_message_id != sent.ident:
+        return Told("rejected", "receipt for another message", receipt=receipt)
+    if receipt.disposition.good:
+        if receipt.mic != sent.built.mic:
+            return Told("rejected", "receipt shows another MIC", receipt=receipt)
+        return Told("delivered", receipt=receipt)
+    if receipt.disposition.modifier == Modifier.UNEXPECTED.value:
+        answer = "refused" if receipt.text.startswith("Refused:") else "failed"
+        return Told(answer, receipt.text, receipt=receipt)
+    return Told("rejected", f"{receipt.disposition}: {receipt.text}", receipt=receipt)
