--- a/benchmarks/as2_path.py
+++ b/benchmarks/as2_path.py
@@ -25,7 +25,7 @@
 from ruamel.yaml import YAML
 
 from brassweir.as2 import keys
-from brassweir.as2.sending import letter, post
+from brassweir.as2.sending import post, prepare_message
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Payload
 from brassweir.lab.judges.tape import Tape
@@ -95,7 +95,7 @@
         async def one(ident: str, gate: asyncio.Semaphore = gate) -> bool:
             document = json.dumps({"payment": ident, "effect": "safe"}).encode()
             sent = await offload(
-                lambda: letter(
+                lambda: prepare_message(
                     client_id,
                     partner_id.as2_id,
                     hub.certificate,
--- a/benchmarks/configuration_serve.py
+++ b/benchmarks/configuration_serve.py
@@ -3,7 +3,7 @@
 python -m benchmarks.configuration_serve [--endpoints N] [--seconds S] [--json]
 
 Three control machines and two senders on loopback; all is seen from outside. Budgets of a sender for control:
-64 MB, 2.6% of a core, 27 KB/s; a delay of a voter's loop near ``timing.STALL`` is a fault.
+64 MB, 2.6% of a core, 27 KB/s; a delay of a voter's loop near ``timing.STALL_MS`` is a fault.
 """
 
 from __future__ import annotations
--- a/benchmarks/serve_fleet.py
+++ b/benchmarks/serve_fleet.py
@@ -40,7 +40,7 @@
 LAUNCH = """\
 import sys
 from brassweir.agreed import timing
-timing.SNAP_EVERY, timing.KEEP = 48, 16
+timing.SNAPSHOT_ENTRIES, timing.KEPT_ENTRIES = 48, 16
 from brassweir.cli.main import main
 sys.argv = ["brassweir", *sys.argv[1:]]
 sys.exit(main())
--- a/brassweir/agreed/core_state.py
+++ b/brassweir/agreed/core_state.py
@@ -23,7 +23,7 @@
     token: int
     last_index: int
     commit_index: int
-    posts: list[tuple[str, Message]] = field(default_factory=list)
+    messages: list[tuple[str, Message]] = field(default_factory=list)
     restore: Snapshot | None = None
 
 
@@ -143,7 +143,7 @@
             )
             self.pending_records, self.rewrite, self.held, self.restoring = [], False, [], None
         elif self.writes_in_flight:
-            self.writes_in_flight[-1].posts += self.held
+            self.writes_in_flight[-1].messages += self.held
             self.held = []
         else:
             posts, self.held = self.held, []
@@ -226,7 +226,7 @@
                 self.applied_index = done.restore.index
                 self.actions.append(Restored(self.applied_index))
             self.durable_commit = max(self.durable_commit, done.commit_index)
-            for to, message in done.posts:
+            for to, message in done.messages:
                 self.deliver(to, message)
 
     def deliver(self, to: str, message: Message) -> None:
--- a/brassweir/as2/carrier.py
+++ b/brassweir/as2/carrier.py
@@ -8,7 +8,7 @@
 from email.utils import formatdate
 from typing import Any
 
-from brassweir.as2 import cms, endings, mdn, message, mime
+from brassweir.as2 import cms, mdn, message, mime, outcomes
 from brassweir.as2.errors import As2Error
 from brassweir.as2.message import Built
 from brassweir.as2.partnership import Partner, Partnerships, onward_id, valid_now
@@ -71,7 +71,7 @@
         if partner.asynchronous:
             receipt_future = loop.create_future()
             self.receipts.expect(message_id, partner.as2_id, _resolver(receipt_future))
-        expected = endings.Expected(
+        expected = outcomes.Expected(
             message_id, built.mic, built.micalg, partner.signed_receipt, attempt.repeat
         )
         headers = self._headers(partner, payload, message_id, built, self.partnerships.receipt_url)
@@ -104,14 +104,14 @@
         headers = Headers()
         headers.add("User-Agent", self.agent)
         headers.add("AS2-Version", "1.2")
-        headers.add("AS2-From", mime.shown_name(self.partnerships.ours.as2_id))
-        headers.add("AS2-To", mime.shown_name(partner.as2_id))
+        headers.add("AS2-From", mime.encode_as2_name(self.partnerships.ours.as2_id))
+        headers.add("AS2-To", mime.encode_as2_name(partner.as2_id))
         headers.add("Message-ID", message_id)
         headers.add("Subject", payload.subject or "message")
         headers.add("Date", formatdate(usegmt=True))
         headers.add("MIME-Version", "1.0")
         headers.add("Content-Type", built.content_type)
-        headers.add("Disposition-Notification-To", mime.shown_name(self.partnerships.ours.as2_id))
+        headers.add("Disposition-Notification-To", mime.encode_as2_name(self.partnerships.ours.as2_id))
         if partner.signed_receipt:
             headers.add(
                 "Disposition-Notification-Options",
@@ -123,7 +123,7 @@
         return headers
 
     async def _read_response(
-        self, call: asyncio.Task[Reply], expected: endings.Expected, partner: Partner
+        self, call: asyncio.Task[Reply], expected: outcomes.Expected, partner: Partner
     ) -> Outcome:
         """Returns the outcome that the HTTP response and its synchronous receipt report."""
         try:
@@ -131,14 +131,14 @@
         except CallFailed as failed:
             return _failed(failed)
         hints = read_hints(reply.headers.first, time.time())
-        outcome = endings.of_status(reply.status, hints, partner.busy)
+        outcome = outcomes.of_status(reply.status, hints, partner.busy)
         if outcome is not None:
             return outcome
         try:
             receipt = await self.offload(lambda: self._parse(reply, partner))
         except As2Error as error:
-            return endings.of_unreadable_receipt(error, hints)
-        return endings.of_receipt(receipt, expected, hints)
+            return outcomes.of_unreadable_receipt(error, hints)
+        return outcomes.of_receipt(receipt, expected, hints)
 
     @staticmethod
     def _parse(reply: Reply, partner: Partner) -> mdn.Mdn:
@@ -151,7 +151,7 @@
         self,
         call: asyncio.Task[Reply],
         receipt_future: asyncio.Future[mdn.Mdn],
-        expected: endings.Expected,
+        expected: outcomes.Expected,
         partner: Partner,
         deadline: float,
         done: Callable[[Outcome], None],
@@ -178,13 +178,13 @@
                     return  # otherwise the partner may still send a receipt for what was written
             else:
                 hints = read_hints(reply.headers.first, time.time())
-                outcome = endings.of_status(reply.status, hints, partner.busy)
+                outcome = outcomes.of_status(reply.status, hints, partner.busy)
                 if outcome is not None:
                     done(outcome)
                     return
             await asyncio.wait({receipt_future}, timeout=max(0.0, deadline - loop.time()))
         if receipt_future.done():
-            done(endings.of_receipt(receipt_future.result(), expected, hints))
+            done(outcomes.of_receipt(receipt_future.result(), expected, hints))
         else:
             done(
                 Outcome(Result.TIMEOUT, "no receipt in time", limit_left=hints.limit_left, limit=hints.limit)
--- a/brassweir/as2/front.py
+++ b/brassweir/as2/front.py
@@ -17,8 +17,8 @@
 from brassweir.as2.incoming_receipts import IncomingReceipts
 from brassweir.as2.mdn import Disposition, ReceiptRequest
 from brassweir.as2.opening import KnownMessages, Opener
-from brassweir.as2.owed import Owed
 from brassweir.as2.partnership import Client, Partnerships
+from brassweir.as2.pending_receipts import PendingReceipts
 from brassweir.as2.receipts import Receipts
 from brassweir.as2.reply import Note, Reply, plain, reject
 from brassweir.core.futures import resolver
@@ -49,9 +49,9 @@
 
     ``refusal_hold_ms`` is how long the response to an asynchronous client is delayed: a message that is
     refused within that time is answered with a status, and no receipt is sent.
-    ``margin`` (ms) is subtracted from each message's deadline so that the answer can reach the client.
-    ``most`` limits the bytes of each decompressed layer.
-    ``told`` is called with the record's id once an asynchronous client has its answer.
+    ``answer_margin_ms`` is subtracted from each message's deadline so that the answer can reach the client.
+    ``max_layer_bytes`` limits the bytes of each decompressed layer.
+    ``receipt_delivered`` is called with the record's id once an asynchronous client has its answer.
     """
 
     def __init__(
@@ -59,20 +59,20 @@
         partnerships: Partnerships,
         engine: SubmissionEngine,
         receipts: Receipts,
-        owed: Owed,
+        pending_receipts: PendingReceipts,
         offload: Offload,
         note: Note,
         *,
         refusal_hold_ms: float = 100.0,
-        margin: float = 100.0,
-        most: int = 50_000_000,
-        told: Callable[[int], None] = lambda _: None,
+        answer_margin_ms: float = 100.0,
+        max_layer_bytes: int = 50_000_000,
+        receipt_delivered: Callable[[int], None] = lambda _: None,
     ) -> None:
-        self.partnerships, self.engine, self.owed = partnerships, engine, owed
-        self.offload, self.note, self.told = offload, note, told
-        self.refusal_hold_ms, self.margin = refusal_hold_ms, margin
+        self.partnerships, self.engine, self.pending_receipts = partnerships, engine, pending_receipts
+        self.offload, self.note, self.receipt_delivered = offload, note, receipt_delivered
+        self.refusal_hold_ms, self.answer_margin_ms = refusal_hold_ms, answer_margin_ms
         self.key_order = KeyOrder()
-        self.opener = Opener(partnerships, engine, offload, most)
+        self.opener = Opener(partnerships, engine, offload, max_layer_bytes)
         self.incoming = IncomingReceipts(partnerships, receipts, offload, note)
 
     async def __call__(self, request: Request) -> Response:
@@ -103,7 +103,7 @@
             # No receipt: without a partnership there is no agreed certificate to verify its signature with.
             return reject(self.note, request, 403, error.reason)
         try:
-            receipt_request = mdn.asked(
+            receipt_request = mdn.parse_receipt_request(
                 headers.one("disposition-notification-to"),
                 headers.one("disposition-notification-options"),
                 headers.one("receipt-delivery-option"),
@@ -114,7 +114,7 @@
             )
         try:
             terms = partnership.map_headers(
-                client, self.partnerships.classes, headers.one, time.time(), self.margin
+                client, self.partnerships.classes, headers.one, time.time(), self.answer_margin_ms
             )
             # Messages of one key are submitted in the order in which they were received completely, however
             # long each takes to decrypt and verify.
@@ -183,7 +183,7 @@
             disposition = Disposition("failed", "failure", error.modifier.value)
         content = await receipt.build(disposition, f"Not taken: {error.reason}.")
         if receipt_request.delivery and client.receipt_url:
-            self.owed.send(client.receipt_url, content)
+            self.pending_receipts.send(client.receipt_url, content)
             return Response(202)
         return content
 
@@ -203,10 +203,10 @@
             return reject(self.note, request, 403, "no receipt URL is agreed for this client")
         await asyncio.wait({final_answer}, timeout=self.refusal_hold_ms / 1000.0)
         if final_answer.done() and final_answer.result().answer is Answer.REFUSED:
-            self.told(record.id)  # the status is the answer: no receipt follows
+            self.receipt_delivered(record.id)  # the status is the answer: no receipt follows
             return await receipt.response(final_answer.result())
         if submit_status is not SubmitStatus.JOINED:  # a joined duplicate shares the first one's receipt
-            self.owed.run(self._send_receipt(receipt, final_answer, record.id))
+            self.pending_receipts.run(self._send_receipt(receipt, final_answer, record.id))
         # A 202 commits to the message, so it is not sent before the message is persisted.
         persisted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.engine.when_persisted(record, lambda: None if persisted.done() else persisted.set_result(None))
@@ -219,9 +219,11 @@
     ) -> None:
         """Waits for the final answer of a message and sends its receipt to the client's URL."""
         content = await receipt.response(await final_answer, by_receipt=True)
-        self.owed.send(receipt.client.receipt_url, content, lambda: self.told(message))
+        self.pending_receipts.send(
+            receipt.client.receipt_url, content, lambda: self.receipt_delivered(message)
+        )
 
-    def owing(self, message: int, submission: Submission) -> Callable[[FinalAnswer], None] | None:
+    def restored_waiter(self, message: int, submission: Submission) -> Callable[[FinalAnswer], None] | None:
         """Returns the waiter that sends the receipt of a message recovered after a restart.
 
         Returns None if its client is no longer configured or has no receipt URL any more.
@@ -231,5 +233,5 @@
             self.note("receipt_dropped", {"message": message, "reason": "its client takes none any more"})
             return None
         final_answer: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
-        self.owed.run(self._send_receipt(receipt, final_answer, message))
+        self.pending_receipts.run(self._send_receipt(receipt, final_answer, message))
         return resolver(final_answer)
--- a/brassweir/as2/inspect.py
+++ b/brassweir/as2/inspect.py
@@ -90,7 +90,7 @@
 ) -> dict[str, Any]:
     try:
         opened = message.read(
-            entity, ours or _unrelated_identity(), trusted, most=MAX_LAYER_BYTES, legacy=True
+            entity, ours or _unrelated_identity(), trusted, max_layer_bytes=MAX_LAYER_BYTES, legacy=True
         )
     except As2Error as error:
         return {"problem": f"{error.modifier.value}: {error.reason}"}
--- a/brassweir/as2/mdn.py
+++ b/brassweir/as2/mdn.py
@@ -86,7 +86,7 @@
         return "sha256"
 
 
-def asked(to: str, options: str, delivery: str) -> ReceiptRequest:
+def parse_receipt_request(to: str, options: str, delivery: str) -> ReceiptRequest:
     """Parses Disposition-Notification-To, Disposition-Notification-Options and Receipt-Delivery-Option.
 
     Raises As2Error if a required protocol or digest is not supported.
@@ -122,8 +122,8 @@
     """Returns Content-Type and body of a receipt; ``sign`` is the digest, or empty for an unsigned one."""
     fields = [
         ("Reporting-UA", "brassweir"),
-        ("Original-Recipient", f"rfc822; {mime.shown_name(mdn.original_recipient)}"),
-        ("Final-Recipient", f"rfc822; {mime.shown_name(mdn.final_recipient)}"),
+        ("Original-Recipient", f"rfc822; {mime.encode_as2_name(mdn.original_recipient)}"),
+        ("Final-Recipient", f"rfc822; {mime.encode_as2_name(mdn.final_recipient)}"),
         ("Original-Message-ID", mdn.original_message_id),
         ("Disposition", str(mdn.disposition)),
     ]
--- a/brassweir/as2/message.py
+++ b/brassweir/as2/message.py
@@ -149,13 +149,13 @@
     ours: Identity,
     trusted: Sequence[x509.Certificate],
     *,
-    most: int,
+    max_layer_bytes: int,
     legacy: bool = False,
     digest: str = "sha256",
 ) -> Received:
     """Unwraps a message. ``digest`` is for the MIC of unsigned messages.
 
-    ``most`` limits the bytes of each decompressed layer. Raises As2Error.
+    ``max_layer_bytes`` limits the bytes of each decompressed layer. Raises As2Error.
     """
     layers: list[str] = []
     signer: x509.Certificate | None = None
@@ -177,7 +177,7 @@
                 layers.append(f"encrypted {cipher}")
                 entity, was_encrypted = mime.parse(plain), True
             elif cms_kind == "compressed_data":
-                entity = mime.parse(cms.decompress(data, most))
+                entity = mime.parse(cms.decompress(data, max_layer_bytes))
                 layers.append("compressed zlib")
             elif cms_kind == "signed_data":
                 if signer is not None:
--- a/brassweir/as2/mime.py
+++ b/brassweir/as2/mime.py
@@ -197,7 +197,7 @@
     return name
 
 
-def shown_name(name: str) -> str:
+def encode_as2_name(name: str) -> str:
     """Encodes an AS2 name for a header: quoted if it has spaces, quotes or backslashes."""
     if re.search(r'[ "\\]', name):
         return '"' + name.replace("\\", "\\\\").replace('"', '\\"') + '"'
--- a/brassweir/as2/opening.py
+++ b/brassweir/as2/opening.py
@@ -26,12 +26,17 @@
 
 
 class Opener:
-    """Decrypts and verifies messages. ``most`` limits the bytes of each decompressed layer."""
+    """Decrypts and verifies messages. ``max_layer_bytes`` limits the bytes of each decompressed layer."""
 
     def __init__(
-        self, partnerships: Partnerships, engine: KnownMessages, offload: Offload, most: int
+        self, partnerships: Partnerships, engine: KnownMessages, offload: Offload, max_layer_bytes: int
     ) -> None:
-        self.partnerships, self.engine, self.offload, self.most = partnerships, engine, offload, most
+        self.partnerships, self.engine, self.offload, self.max_layer_bytes = (
+            partnerships,
+            engine,
+            offload,
+            max_layer_bytes,
+        )
         self.cache: OrderedDict[tuple[str, str, bytes], message.Received] = OrderedDict()
 
     async def open(
@@ -60,7 +65,7 @@
                 entity,
                 self.partnerships.ours,
                 trusted,
-                most=self.most,
+                max_layer_bytes=self.max_layer_bytes,
                 legacy=client.legacy,
                 digest=receipt_request.micalg,
             )
--- a/brassweir/as2/owed.py
+++ b/brassweir/as2/pending_receipts.py
@@ -18,7 +18,7 @@
 CALL_TIMEOUT_SECONDS = 10.0  # of one try
 
 
-class Owed:
+class PendingReceipts:
     """Receipts that are waiting for an answer or being sent.
 
     While there are ``max_pending`` tasks, ``send`` drops and logs the receipt. The client then gets its
--- a/brassweir/as2/reply.py
+++ b/brassweir/as2/reply.py
@@ -110,8 +110,8 @@
         content_type, body = await self.offload(lambda: mdn.build(receipt, ours, sign))
         headers = Headers()
         headers.add("AS2-Version", "1.2")
-        headers.add("AS2-From", mime.shown_name(self.receiver))
-        headers.add("AS2-To", mime.shown_name(self.client.as2_id))
+        headers.add("AS2-From", mime.encode_as2_name(self.receiver))
+        headers.add("AS2-To", mime.encode_as2_name(self.client.as2_id))
         headers.add(
             "Message-ID",
             partnership.onward_id("receipt", f"{self.client.as2_id}\n{self.message_id}", ours.as2_id),
--- a/brassweir/cli/as2.py
+++ b/brassweir/cli/as2.py
@@ -19,7 +19,7 @@
 from brassweir.as2.inspect import explain
 from brassweir.as2.mdn import Disposition, Mdn
 from brassweir.as2.message import Identity, Security
-from brassweir.as2.sending import Told, letter, post
+from brassweir.as2.sending import ClientAnswer, post, prepare_message
 from brassweir.cli.keys import read_certificate
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Payload
@@ -84,17 +84,17 @@
     payload = Payload(content_type, file.read_bytes(), subject)
     try:
         address = Address.parse(url)
-        sent = letter(ours, receiver, theirs, payload, ident, security=Security(), wait=wait)
+        sent = prepare_message(ours, receiver, theirs, payload, ident, security=Security(), wait=wait)
         pool = HttpPool(address, Limits(), 1, 1000.0, 5000.0)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
 
-    async def work() -> Told:
+    async def work() -> ClientAnswer:
         offload = Offload(1)
         try:
             return await post(pool, sent, theirs, asyncio.get_running_loop().time() + wait, offload)
         except CallFailed as failed:
-            return Told("lost", str(failed))
+            return ClientAnswer("lost", str(failed))
         finally:
             pool.close_idle()
             offload.close()
@@ -179,7 +179,7 @@
         headers.first("content-type"), headers.first("content-transfer-encoding"), request.body
     )
     try:
-        got = message.read(entity, ours, trusted, most=100_000_000)
+        got = message.read(entity, ours, trusted, max_layer_bytes=100_000_000)
         receipt = Mdn(ident, Disposition(), got.mic, got.micalg, ours.as2_id, ours.as2_id, "Processed.")
         line |= {"layers": list(got.layers), "bytes": len(got.payload.content)}
         if folder is not None:
@@ -198,7 +198,7 @@
             error.reason,
         )
         line["problem"] = f"{error.modifier.value}: {error.reason}"
-    asked = mdn.asked(
+    asked = mdn.parse_receipt_request(
         headers.first("disposition-notification-to"), headers.first("disposition-notification-options"), ""
     )
     if not asked.wanted:
@@ -209,7 +209,7 @@
         Headers(
             [
                 ("AS2-Version", "1.2"),
-                ("AS2-From", mime.shown_name(ours.as2_id)),
+                ("AS2-From", mime.encode_as2_name(ours.as2_id)),
                 ("AS2-To", headers.first("as2-from")),
                 ("Content-Type", content_type),
             ]
--- a/brassweir/configstream/commands.py
+++ b/brassweir/configstream/commands.py
@@ -15,9 +15,7 @@
 from brassweir.configstream.validation import UNCONFIRMED, Confirmation
 
 LEVEL = 2  # the agreed level from which on these may be used
-MAX_CHUNK_BYTES = (
-    5_600  # bytes of a packed delta in one command: under agreed.commands.MOST with all its words
-)
+MAX_CHUNK_BYTES = 5_600  # bytes of a packed delta in one command: under agreed.commands.MAX_COMMAND_BYTES
 MAX_CHUNKS = 1_024  # pieces of one version
 
 _Transfer = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-z]{1,40}\Z")]
--- a/brassweir/lab/models/logmodel.py
+++ b/brassweir/lab/models/logmodel.py
@@ -179,7 +179,7 @@
                     tuple(c.log.entries),
                     frozenset(c.votes_granted),
                     tuple((name, p.match_index, p.next_index, p.in_flight) for name, p in c.progress.items()),
-                    tuple((w.last_index, w.commit_index, frozenset(w.posts)) for w in c.writes_in_flight),
+                    tuple((w.last_index, w.commit_index, frozenset(w.messages)) for w in c.writes_in_flight),
                     tuple(w.records for w in place.writes),
                     tuple(k.entries),
                     k.commit_index,
--- a/brassweir/lab/standins/client.py
+++ b/brassweir/lab/standins/client.py
@@ -13,7 +13,7 @@
 from brassweir.as2 import mdn, mime
 from brassweir.as2.errors import As2Error
 from brassweir.as2.message import Identity
-from brassweir.as2.sending import Letter, Told, letter, of_receipt, post
+from brassweir.as2.sending import ClientAnswer, PreparedMessage, post, prepare_message, read_receipt
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Payload
 from brassweir.lab.judges.tape import Answered, HandIn, Tape
@@ -59,8 +59,8 @@
         self.pools: dict[str, HttpPool] = {}
         self.server: Server | None = None
         self.receipt_url = ""
-        self.letters: dict[str, tuple[Letter, str]] = {}
-        self.waiting: dict[str, asyncio.Future[Told]] = {}
+        self.letters: dict[str, tuple[PreparedMessage, str]] = {}
+        self.waiting: dict[str, asyncio.Future[ClientAnswer]] = {}
 
     async def listen(self) -> None:
         """Take asynchronous receipts."""
@@ -83,7 +83,7 @@
         subject = f"{order.class_name} {order.payment}" + (f" key-{order.key}" if order.key else "")
         payload = Payload("application/json", document, subject)
         sent = await self.offload(
-            lambda: letter(
+            lambda: prepare_message(
                 self.identity,
                 order.partner,
                 self.hub,
@@ -101,7 +101,7 @@
             if attempt and left <= 1.0 and (last != "lost" or left <= -order.patience):
                 break
             if attempt:  # each try gives only what is left of the message's own time
-                sent = sent.again(left)
+                sent = sent.with_time_left(left)
             until = begun + order.left + order.patience + GRACE
             last = await self._try(order, sent, ident, attempt, until)
             if last in ("lost", "refused", "dropped") and order.elsewhere is not None:
@@ -113,7 +113,7 @@
                 return last
         return last
 
-    async def _try(self, order: Order, sent: Letter, ident: str, attempt: int, until: float) -> str:
+    async def _try(self, order: Order, sent: PreparedMessage, ident: str, attempt: int, until: float) -> str:
         loop = asyncio.get_running_loop()
         url = self.url_of(order.sender)
         pool = self.pools.get(url)
@@ -134,7 +134,7 @@
             )
         )
 
-        def answered(told: Told) -> str:
+        def answered(told: ClientAnswer) -> str:
             self.tape.add(
                 Answered(
                     time.time(),
@@ -150,7 +150,7 @@
             )
             return told.answer
 
-        future: asyncio.Future[Told] = loop.create_future()
+        future: asyncio.Future[ClientAnswer] = loop.create_future()
         self.waiting[ident] = future
         deadline = loop.time() + until - time.time()
         try:
@@ -159,11 +159,11 @@
                     async with asyncio.timeout(0.15):
                         return answered(await post(pool, sent, self.hub, deadline, self.offload))
                 except TimeoutError:
-                    answered(Told("dropped"))
+                    answered(ClientAnswer("dropped"))
                     return "dropped"
             told = await post(pool, sent, self.hub, deadline, self.offload)
         except CallFailed as failed:
-            answered(Told("lost", str(failed)))
+            answered(ClientAnswer("lost", str(failed)))
             await asyncio.sleep(0.3)
             return "lost"
         if told.answer == "accepted":
@@ -184,7 +184,7 @@
         known = self.letters.get(got.original_message_id)
         if known is None:
             return Response(200)
-        told = of_receipt(got, known[0])
+        told = read_receipt(got, known[0])
         self.tape.add(
             Answered(
                 time.time(),
--- a/brassweir/lab/standins/partner.py
+++ b/brassweir/lab/standins/partner.py
@@ -116,7 +116,9 @@
             return self._full(ended, 0.0, False, 429)
         try:
             entity = mime.of_http(request.headers.first("content-type"), "", request.body)
-            got = await self.offload(lambda: message.read(entity, self.identity, [self.hub], most=10_000_000))
+            got = await self.offload(
+                lambda: message.read(entity, self.identity, [self.hub], max_layer_bytes=10_000_000)
+            )
         except As2Error as error:
             ended("rejected")
             return await self._answer(
@@ -165,7 +167,7 @@
         headers = Headers(
             [
                 ("Content-Type", content_type),
-                ("AS2-From", mime.shown_name(self.name)),
+                ("AS2-From", mime.encode_as2_name(self.name)),
                 ("AS2-To", request.headers.first("as2-from")),
                 ("AS2-Version", "1.2"),
                 ("Message-ID", f"<r{self.number}@{self.name.replace(' ', '-')}>"),
--- a/brassweir/service/as2_connector.py
+++ b/brassweir/service/as2_connector.py
@@ -7,8 +7,8 @@
 
 from brassweir.as2.carrier import As2Carrier
 from brassweir.as2.front import As2Front
-from brassweir.as2.owed import Owed
 from brassweir.as2.partnership import Partnerships
+from brassweir.as2.pending_receipts import PendingReceipts
 from brassweir.as2.receipts import Receipts
 from brassweir.core.engine import Engine
 from brassweir.core.ledger import Waiter
@@ -28,7 +28,7 @@
             partnerships(parts.config, parts.base), listed=parts.endpoints.numbers.listed
         )
         self.receipts = Receipts()
-        self.owed = Owed(parts.pools, parts.note)
+        self.pending_receipts = PendingReceipts(parts.pools, parts.note)
         self.carrier = As2Carrier(
             self.book,
             parts.endpoints,
@@ -52,12 +52,12 @@
             self.book,
             engine,
             self.receipts,
-            self.owed,
+            self.pending_receipts,
             parts.offload,
             parts.note,
-            margin=parts.config.sender.answer_margin_ms,
-            most=parts.limits.body_bytes,
-            told=parts.receipt_delivered,
+            answer_margin_ms=parts.config.sender.answer_margin_ms,
+            max_layer_bytes=parts.limits.body_bytes,
+            receipt_delivered=parts.receipt_delivered,
         )
         self.server = Server(self.front, parts.limits, parts.report_bad_request)
 
@@ -76,7 +76,7 @@
 
     def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
         """The client's receipt URL, if it has one still."""
-        return self.front.owing(message, submission) if self.front is not None else None
+        return self.front.restored_waiter(message, submission) if self.front is not None else None
 
     def stop_accepting(self) -> None:
         """Nothing yet: partners bring receipts to the same address, until nothing waits for one."""
@@ -88,7 +88,7 @@
 
     async def flush(self, span: float) -> None:
         """Bring the receipts that are owed."""
-        await self.owed.settle(span)
+        await self.pending_receipts.settle(span)
 
     @property
     def connections(self) -> int:
--- a/tests/as2/test_hostile_messages.py
+++ b/tests/as2/test_hostile_messages.py
@@ -28,16 +28,16 @@
     assert callable(change)
     raw = change((DATA / "signed-detached.mime").read_bytes())
     with pytest.raises(As2Error) as caught:
-        message.read(mime.parse(raw), bob(), TRUSTED, most=MAX_BYTES)
+        message.read(mime.parse(raw), bob(), TRUSTED, max_layer_bytes=MAX_BYTES)
     assert caught.value.modifier is Modifier.INTEGRITY
 
 
 def test_an_unknown_signer_and_another_recipient_s_envelope_are_rejected() -> None:
     with pytest.raises(As2Error) as caught:
-        message.read(load("signed-detached.mime"), bob(), [certificate("eve")], most=MAX_BYTES)
+        message.read(load("signed-detached.mime"), bob(), [certificate("eve")], max_layer_bytes=MAX_BYTES)
     assert caught.value.modifier is Modifier.AUTHENTICATION
     with pytest.raises(As2Error) as caught:
-        message.read(load("encrypted-aes128.der"), identity("other"), TRUSTED, most=MAX_BYTES)
+        message.read(load("encrypted-aes128.der"), identity("other"), TRUSTED, max_layer_bytes=MAX_BYTES)
     assert caught.value.modifier is Modifier.DECRYPTION
 
 
@@ -45,11 +45,13 @@
     bomb = cms.compress(b"\0" * 5_000_000)
     assert len(bomb) < 10_000
     with pytest.raises(As2Error) as caught:
-        message.read(mime.of_http("application/pkcs7-mime", "", bomb), bob(), [], most=1_000_000)
+        message.read(mime.of_http("application/pkcs7-mime", "", bomb), bob(), [], max_layer_bytes=1_000_000)
     assert caught.value.modifier is Modifier.DECOMPRESSION
     for deep in (b"\x30\x80" * 10_000, b"\x24\x80" * 10_000 + b"\0" * 20_000):
         with pytest.raises(As2Error):
-            message.read(mime.of_http("application/pkcs7-mime", "", deep), bob(), [], most=MAX_BYTES)
+            message.read(
+                mime.of_http("application/pkcs7-mime", "", deep), bob(), [], max_layer_bytes=MAX_BYTES
+            )
     nest = b"x"
     for i in range(40):
         nest = (
@@ -64,7 +66,7 @@
     for _ in range(7):
         body = mime.entity([("Content-Type", "application/pkcs7-mime")], cms.compress(body))
     with pytest.raises(As2Error, match="layers"):
-        message.read(mime.parse(body), bob(), [], most=MAX_BYTES)
+        message.read(mime.parse(body), bob(), [], max_layer_bytes=MAX_BYTES)
 
 
 SEEDS = [path.read_bytes() for path in sorted(DATA.iterdir()) if path.suffix in (".mime", ".der")]
@@ -96,7 +98,7 @@
     for entity_of in parsers:
         try:
             entity = entity_of()
-            message.read(entity, bob(), TRUSTED, most=MAX_BYTES, legacy=True)
+            message.read(entity, bob(), TRUSTED, max_layer_bytes=MAX_BYTES, legacy=True)
             mdn.parse(entity, TRUSTED)
         except As2Error:
             pass
--- a/tests/as2/test_message.py
+++ b/tests/as2/test_message.py
@@ -35,7 +35,7 @@
     ],
 )
 def test_messages_of_another_implementation(name: str, layers: tuple[str, ...], covered: bytes) -> None:
-    got = message.read(load(name), bob(), TRUSTED, most=MAX_BYTES)
+    got = message.read(load(name), bob(), TRUSTED, max_layer_bytes=MAX_BYTES)
     assert got.payload == Payload("application/EDI-X12", CONTENT)
     assert got.layers == layers
     assert got.mic == mic_of(covered, got.micalg)
@@ -47,9 +47,12 @@
 )
 def test_legacy_algorithms_only_where_a_partnership_allows(name: str, modifier: Modifier) -> None:
     with pytest.raises(As2Error) as caught:
-        message.read(load(name), bob(), TRUSTED, most=MAX_BYTES)
+        message.read(load(name), bob(), TRUSTED, max_layer_bytes=MAX_BYTES)
     assert caught.value.modifier is modifier
-    assert message.read(load(name), bob(), TRUSTED, most=MAX_BYTES, legacy=True).payload.content == CONTENT
+    assert (
+        message.read(load(name), bob(), TRUSTED, max_layer_bytes=MAX_BYTES, legacy=True).payload.content
+        == CONTENT
+    )
 
 
 def test_messages_built_by_another_library() -> None:
@@ -60,7 +63,7 @@
         .add_signer(alice.certificate, alice.key, hashes.SHA384())
         .sign(serialization.Encoding.SMIME, [pkcs7.PKCS7Options.DetachedSignature, pkcs7.PKCS7Options.Binary])
     )
-    got = message.read(mime.parse(body), bob(), [alice.certificate], most=MAX_BYTES)
+    got = message.read(mime.parse(body), bob(), [alice.certificate], max_layer_bytes=MAX_BYTES)
     assert got.signed and got.payload.content.strip() == CONTENT.strip()
     sealed = (
         pkcs7.PKCS7EnvelopeBuilder()
@@ -68,7 +71,9 @@
         .add_recipient(bob().certificate)
         .encrypt(serialization.Encoding.DER, [pkcs7.PKCS7Options.Binary])
     )
-    got = message.read(mime.of_http("application/pkcs7-mime", "", sealed), bob(), [], most=MAX_BYTES)
+    got = message.read(
+        mime.of_http("application/pkcs7-mime", "", sealed), bob(), [], max_layer_bytes=MAX_BYTES
+    )
     assert got.encrypted and got.payload.content == CONTENT
 
 
@@ -103,7 +108,10 @@
             Payload("application/octet-stream", content), security, sender, bob().certificate
         )
         got = message.read(
-            mime.of_http(built.content_type, "", built.body), bob(), [sender.certificate], most=MAX_BYTES
+            mime.of_http(built.content_type, "", built.body),
+            bob(),
+            [sender.certificate],
+            max_layer_bytes=MAX_BYTES,
         )
         assert got.payload.content == content, combination
         assert (got.mic, got.micalg) == (built.mic, built.micalg), combination
@@ -131,9 +139,11 @@
 
 def test_line_ends_changed_in_transit_and_any_transfer_encoding_are_accepted() -> None:
     raw = (DATA / "signed-detached.mime").read_bytes()
-    assert message.read(mime.parse(raw.replace(b"\r\n", b"\n")), bob(), TRUSTED, most=MAX_BYTES).signed
+    assert message.read(
+        mime.parse(raw.replace(b"\r\n", b"\n")), bob(), TRUSTED, max_layer_bytes=MAX_BYTES
+    ).signed
     encrypted = load("encrypted-aes128.der")
     coded = mime.of_http(
         "application/x-pkcs7-mime; smime-type=enveloped-data", "BASE64", base64.encodebytes(encrypted.body)
     )
-    assert message.read(coded, bob(), TRUSTED, most=MAX_BYTES).signed
+    assert message.read(coded, bob(), TRUSTED, max_layer_bytes=MAX_BYTES).signed
--- a/tests/as2/test_endings.py
+++ b/tests/as2/test_outcomes.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from brassweir.as2 import endings
-from brassweir.as2.endings import Expected
+from brassweir.as2 import outcomes
 from brassweir.as2.errors import As2Error, Modifier
 from brassweir.as2.mdn import Disposition, Mdn
+from brassweir.as2.outcomes import Expected
 from brassweir.core.http_responses import ServerHints, no_answer, read_hints
 from brassweir.interface import Result
 from tests.conftest import identity
@@ -72,11 +72,11 @@
     ],
 )
 def test_statuses(code: int, wait: float, result: Result, ran: bool, rejected: bool) -> None:
-    got = endings.of_status(code, ServerHints(wait), frozenset({429}))
+    got = outcomes.of_status(code, ServerHints(wait), frozenset({429}))
     assert got is not None
     assert (got.result, got.may_have_run, got.rejected) == (result, ran, rejected)
     assert got.wait == (wait if result is Result.BUSY else 0.0)
-    assert endings.of_status(200, ServerHints(), frozenset()) is None
+    assert outcomes.of_status(200, ServerHints(), frozenset()) is None
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
     ],
 )
 def test_receipts(got: Mdn, result: Result, rejected: bool) -> None:
-    outcome = endings.of_receipt(got, EXPECTED, ServerHints(limit=4.0, limit_left=0.5))
+    outcome = outcomes.of_receipt(got, EXPECTED, ServerHints(limit=4.0, limit_left=0.5))
     assert (outcome.result, outcome.rejected) == (result, rejected)
     assert (outcome.limit, outcome.limit_left) == (4.0, 0.5)
     assert outcome.may_have_run
@@ -116,12 +116,12 @@
 def test_a_duplicate_reported_after_an_earlier_attempt_is_a_delivery() -> None:
     again = Expected("<a@b>", "mic", "sha256", signed=True, repeat=True)
     for severity in ("error", "warning"):
-        got = endings.of_receipt(receipt(severity, "duplicate-document", mic=""), again, ServerHints())
+        got = outcomes.of_receipt(receipt(severity, "duplicate-document", mic=""), again, ServerHints())
         assert got.result is Result.OK and not got.rejected
 
 
 def test_an_unreadable_receipt_leaves_the_effect_unknown() -> None:
-    got = endings.of_unreadable_receipt(As2Error(Modifier.AUTHENTICATION, "x"), ServerHints())
+    got = outcomes.of_unreadable_receipt(As2Error(Modifier.AUTHENTICATION, "x"), ServerHints())
     assert got.result is Result.ERROR and got.may_have_run and not got.rejected
 
 
--- a/tests/as2/test_partnership.py
+++ b/tests/as2/test_partnership.py
@@ -132,7 +132,7 @@
     ],
 )
 def test_signature_and_digest_requested_of_a_receipt(options: str, signed: bool, digest: str) -> None:
-    got = mdn.asked("me", options, "")
+    got = mdn.parse_receipt_request("me", options, "")
     assert (got.signed, got.micalg) == (signed, digest)
 
 
@@ -145,5 +145,5 @@
 )
 def test_required_options_that_are_not_supported(options: str, modifier: Modifier) -> None:
     with pytest.raises(As2Error) as caught:
-        mdn.asked("me", options, "")
+        mdn.parse_receipt_request("me", options, "")
     assert caught.value.modifier is modifier
--- a/tests/as2/test_receipts.py
+++ b/tests/as2/test_receipts.py
@@ -117,7 +117,7 @@
 )
 def test_names_folded_quoted_and_spaced(encoded: str, name: str) -> None:
     assert mime.as2_name(encoded) == name
-    assert mime.as2_name(mime.shown_name(name)) == name
+    assert mime.as2_name(mime.encode_as2_name(name)) == name
 
 
 @pytest.mark.parametrize("bad", ["", " ", "x" * 129, "a\nb", "a\x00b", "caf\xe9"])
--- a/tests/service/as2_door.py
+++ b/tests/service/as2_door.py
@@ -7,7 +7,7 @@
 
 from brassweir.as2 import mdn, message, mime
 from brassweir.as2.message import Security
-from brassweir.as2.sending import letter, post
+from brassweir.as2.sending import post, prepare_message
 from brassweir.core.offload import Offload
 from brassweir.core.ports import Payload
 from brassweir.lab.models.desk import Manner
@@ -42,7 +42,7 @@
 
     async def good(self, ident: str, wait: int = 5) -> str:
         """A good message still goes through."""
-        sent = letter(
+        sent = prepare_message(
             identity(OFFICE),
             "bank",
             self.hub,
