--- a/brassweir/cli/as2.py
+++ b/brassweir/cli/as2.py
@@ -1,4 +1,4 @@
-"""``brassweir as2``: send one message, receive some, or explain one."""
+"""``brassweir as2``: sends, receives and explains single AS2 messages."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
     payload = Payload(content_type, file.read_bytes(), subject)
     try:
         address = Address.parse(url)
-        sent = letter(ours, receiver, theirs, payload, ident, security=Security(), wait=wait)
+        outgoing = letter(ours, receiver, theirs, payload, ident, security=Security(), wait=wait)
         pool = HttpPool(address, Limits(), 1, 1000.0, 5000.0)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
@@ -92,7 +92,7 @@
     async def work() -> Told:
         offload = Offload(1)
         try:
-            return await post(pool, sent, theirs, asyncio.get_running_loop().time() + wait, offload)
+            return await post(pool, outgoing, theirs, asyncio.get_running_loop().time() + wait, offload)
         except CallFailed as failed:
             return Told("lost", str(failed))
         finally:
@@ -100,21 +100,21 @@
             offload.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        told = runner.run(work())
+        outcome = runner.run(work())
     if as_json:
         click.echo(
             json.dumps(
                 {
                     "message_id": ident,
-                    "answer": told.answer,
-                    "reason": told.reason,
-                    "retry_after": told.retry_after,
+                    "answer": outcome.answer,
+                    "reason": outcome.reason,
+                    "retry_after": outcome.retry_after,
                 }
             )
         )
     else:
-        click.echo(f"{ident}: {told.answer}" + (f" ({told.reason})" if told.reason else ""))
-    sys.exit({"delivered": 0, "accepted": 0, "refused": 2}.get(told.answer, 1))
+        click.echo(f"{ident}: {outcome.answer}" + (f" ({outcome.reason})" if outcome.reason else ""))
+    sys.exit({"delivered": 0, "accepted": 0, "refused": 2}.get(outcome.answer, 1))
 
 
 @as2.command("receive")
@@ -140,24 +140,24 @@
     host, _, port = listen.rpartition(":")
     if not host or not port.isdigit():
         raise click.ClickException("--listen is HOST:PORT")
-    done = 0
+    received_count = 0
 
     async def work() -> None:
-        enough = asyncio.Event()
+        all_received = asyncio.Event()
         offload = Offload(2)
 
         async def handler(request: Request) -> Response:
-            nonlocal done
-            response, line = await offload(lambda: _take(request, ours, trusted, folder))
+            nonlocal received_count
+            response, line = await offload(lambda: _receive(request, ours, trusted, folder))
             click.echo(json.dumps(line))
-            done += 1
-            if done >= count:
-                enough.set()
+            received_count += 1
+            if received_count >= count:
+                all_received.set()
             return response
 
         server = Server(handler, Limits())
         click.echo(json.dumps({"listening": await server.listen(host, int(port))}))
-        await enough.wait()
+        await all_received.wait()
         await asyncio.sleep(0.1)
         server.drain()
         offload.close()
@@ -169,7 +169,7 @@
         raise click.ClickException(f"cannot listen on {listen}: {error.strerror}") from None
 
 
-def _take(
+def _receive(
     request: Request, ours: Identity, trusted: list[Any], folder: Path | None
 ) -> tuple[Response, dict[str, Any]]:
     headers = request.headers
@@ -179,13 +179,15 @@
         headers.first("content-type"), headers.first("content-transfer-encoding"), request.body
     )
     try:
-        got = message.read(entity, ours, trusted, most=100_000_000)
-        receipt = Mdn(ident, Disposition(), got.mic, got.micalg, ours.as2_id, ours.as2_id, "Processed.")
-        line |= {"layers": list(got.layers), "bytes": len(got.payload.content)}
+        received = message.read(entity, ours, trusted, most=100_000_000)
+        receipt = Mdn(
+            ident, Disposition(), received.mic, received.micalg, ours.as2_id, ours.as2_id, "Processed."
+        )
+        line |= {"layers": list(received.layers), "bytes": len(received.payload.content)}
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
             path = folder / f"{secrets.token_hex(8)}.bin"
-            path.write_bytes(got.payload.content)
+            path.write_bytes(received.payload.content)
             line["file"] = str(path)
     except As2Error as error:
         receipt = Mdn(
--- a/brassweir/cli/between.py
+++ b/brassweir/cli/between.py
@@ -1,4 +1,4 @@
-"""``brassweir lab between``: processes with faults between them."""
+"""``brassweir lab between``: runs several processes with network faults between them."""
 
 from __future__ import annotations
 
@@ -96,15 +96,17 @@
         raise click.ClickException(f"{folder} is not empty: each run makes keys and settings of its own")
     names = list(PLANS) if name == "all" else [name]
     outcomes = []
-    for one in names:
-        where = STANDS if one == "configuration" else stands(copies)
-        plan = Plan(seed, seconds, len(where), rate, _schedule(path, where, seconds), without)
-        outcomes.append(_play(one, plan, folder / one if folder and len(names) > 1 else folder, as_json))
+    for plan_name in names:
+        stands_used = STANDS if plan_name == "configuration" else stands(copies)
+        plan = Plan(seed, seconds, len(stands_used), rate, _schedule(path, stands_used, seconds), without)
+        outcomes.append(
+            _play(plan_name, plan, folder / plan_name if folder and len(names) > 1 else folder, as_json)
+        )
     sys.exit(0 if all(outcome.clean for outcome in outcomes) else 1)
 
 
 def _play(name: str, plan: Plan, folder: Path | None, as_json: bool) -> Outcome:
-    """One run, and what came of it."""
+    """Play one plan and print its outcome."""
     console = Console(stderr=True)
 
     def say(text: str) -> None:
@@ -123,15 +125,15 @@
     return outcome
 
 
-def _schedule(path: Path | None, where: Sequence[Stand], seconds: float) -> schedules.Schedule | None:
+def _schedule(path: Path | None, stands_used: Sequence[Stand], seconds: float) -> schedules.Schedule | None:
     if path is None:
         return None
     try:
-        found = schedules.read(path)
-        schedules.known(found, where, seconds, str(path))
+        schedule = schedules.read(path)
+        schedules.known(schedule, stands_used, seconds, str(path))
     except ConfigError as error:
         raise click.ClickException("\n".join(error.problems)) from None
-    return found
+    return schedule
 
 
 def _show(outcome: Outcome, name: str) -> None:
@@ -139,17 +141,17 @@
     table = Table(title=f"between, {name}, seed {outcome.plan.seed}")
     for column in ("property", "put to the test", "broken", "figures"):
         table.add_column(column)
-    for name, found in outcome.findings.items():
+    for name, finding in outcome.findings.items():
         table.add_row(
             name,
-            str(found.tested),
-            str(len(found.broken)),
-            ", ".join(f"{key} {value:g}" for key, value in found.figures.items()),
+            str(finding.tested),
+            str(len(finding.broken)),
+            ", ".join(f"{key} {value:g}" for key, value in finding.figures.items()),
         )
     console.print(table)
-    for name, found in outcome.findings.items():
-        for what in found.broken[:5]:
-            console.print(f"broken: {name}: {what}", highlight=False, soft_wrap=True)
+    for name, finding in outcome.findings.items():
+        for breach in finding.broken[:5]:
+            console.print(f"broken: {name}: {breach}", highlight=False, soft_wrap=True)
     if not outcome.clean:
         console.print(
             "the schedule, to be repeated and shortened:\n" + schedules.to_text(outcome.schedule),
--- a/brassweir/cli/destinations.py
+++ b/brassweir/cli/destinations.py
@@ -1,4 +1,4 @@
-"""``brassweir destinations``: what a running sender knows of its destinations."""
+"""``brassweir destinations``: shows the state of a running sender's destinations."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
         click.echo(json.dumps(tree))
         return
     click.echo(f"{tree['awake']} awake, {tree['asleep']} asleep")
-    for one in tree["top"]:
-        rest = "  ".join(f"{name}={value}" for name, value in one.items() if name != "destination")
-        click.echo(f"{one['destination']:30} {rest}")
+    for destination in tree["top"]:
+        values = "  ".join(f"{name}={value}" for name, value in destination.items() if name != "destination")
+        click.echo(f"{destination['destination']:30} {values}")
 
 
 @destinations.command("show")
--- a/brassweir/cli/importing.py
+++ b/brassweir/cli/importing.py
@@ -1,4 +1,4 @@
-"""``brassweir import``: endpoint lists from other programs' files."""
+"""``brassweir import``: converts other programs' configuration files into endpoint lists."""
 
 from __future__ import annotations
 
@@ -55,9 +55,9 @@
 
     reader = httpd.Reader(files, set(defined))
     nodes = reader.read(file.name, _text(file))
-    made = meaning.of_httpd(nodes)
-    made.complaints = reader.complaints + made.complaints
-    _done(made, kind, out, as_json)
+    imported = meaning.of_httpd(nodes)
+    imported.complaints = reader.complaints + imported.complaints
+    _finish(imported, kind, out, as_json)
 
 
 @importing.command("jk")
@@ -67,7 +67,7 @@
 @_json
 def jk_command(file: Path, kind: str, out: Path | None, as_json: bool) -> None:
     """Read a mod_jk workers FILE. Exits with 1 if something was lost that changes where traffic goes."""
-    _done(meaning.of_jk(jk.read(file.name, _text(file))), kind, out, as_json)
+    _finish(meaning.of_jk(jk.read(file.name, _text(file))), kind, out, as_json)
 
 
 def _text(path: Path) -> str:
@@ -77,32 +77,32 @@
         raise click.ClickException(f"{path}: {error.strerror or error}") from None
 
 
-def _done(made: meaning.Meaning, kind: str, out: Path | None, as_json: bool) -> None:
-    entries = meaning.entries(made, kind)
-    complaints: list[Complaint] = sorted(set(made.complaints))
+def _finish(imported: meaning.Meaning, kind: str, out: Path | None, as_json: bool) -> None:
+    entries = meaning.entries(imported, kind)
+    complaints: list[Complaint] = sorted(set(imported.complaints))
     if out is not None:
-        fresh = out.with_name(out.name + ".new")
-        fresh.write_text("".join(json.dumps(one) + "\n" for one in entries), encoding="utf-8")
-        fresh.replace(out)
+        temporary = out.with_name(out.name + ".new")
+        temporary.write_text("".join(json.dumps(entry) + "\n" for entry in entries), encoding="utf-8")
+        temporary.replace(out)
     tree: dict[str, Any] = {
         "endpoints": entries,
-        "destinations": sorted({str(one["destination"]) for one in entries}),
+        "destinations": sorted({str(entry["destination"]) for entry in entries}),
         "complaints": [
             {
-                "file": one.place.file,
-                "line": one.place.line,
-                "column": one.place.column,
-                "via": one.place.via,
-                "what": one.what,
-                "lost": one.lost,
+                "file": complaint.place.file,
+                "line": complaint.place.line,
+                "column": complaint.place.column,
+                "via": complaint.place.via,
+                "what": complaint.what,
+                "lost": complaint.lost,
             }
-            for one in complaints
+            for complaint in complaints
         ],
     }
     if as_json:
         click.echo(json.dumps(tree))
     else:
-        for one in complaints:
-            click.echo(f"{'lost: ' if one.lost else 'note: '}{one}", err=True)
+        for complaint in complaints:
+            click.echo(f"{'lost: ' if complaint.lost else 'note: '}{complaint}", err=True)
         click.echo(f"{len(entries)} endpoints of {len(tree['destinations'])} destinations")
-    sys.exit(1 if any(one.lost for one in complaints) else 0)
+    sys.exit(1 if any(complaint.lost for complaint in complaints) else 0)
--- a/brassweir/cli/journal.py
+++ b/brassweir/cli/journal.py
@@ -1,4 +1,4 @@
-"""``brassweir journal``: look into a journal, live or damaged, and rewrite one that nobody uses."""
+"""``brassweir journal``: inspects a journal, in use or damaged, and compacts one that is not in use."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from brassweir.journal.storage import DirectoryStorage, StorageLocked
 from brassweir.journal.writer import Writer
 
-ROWS = 50_000  # written at a time
+ROWS_PER_BATCH = 50_000
 
 
 @click.group()
@@ -46,26 +46,26 @@
 @_json
 def verify_command(folder: Path, as_json: bool) -> None:
     """Read every record and name what is damaged. Exits with 1 if anything is."""
-    found = _scan(folder)
+    scanned = _scan(folder)
     tree = {
-        "good": not found.problems,
-        "records": found.records,
-        "bytes": found.size,
-        "torn_bytes": found.torn_bytes,
-        "segments": found.segments,
-        "stale": found.stale,
-        "problems": found.problems,
+        "good": not scanned.problems,
+        "records": scanned.records,
+        "bytes": scanned.size,
+        "torn_bytes": scanned.torn_bytes,
+        "segments": scanned.segments,
+        "stale": scanned.stale,
+        "problems": scanned.problems,
     }
     if as_json:
         click.echo(json.dumps(tree))
     else:
-        for problem in found.problems:
+        for problem in scanned.problems:
             click.echo(problem)
         click.echo(
-            f"{found.records} records in {len(found.segments)} segments, {found.size} bytes, "
-            f"{found.torn_bytes} torn at the end, {len(found.problems)} problems"
+            f"{scanned.records} records in {len(scanned.segments)} segments, {scanned.size} bytes, "
+            f"{scanned.torn_bytes} torn at the end, {len(scanned.problems)} problems"
         )
-    sys.exit(0 if not found.problems else 1)
+    sys.exit(0 if not scanned.problems else 1)
 
 
 @journal.command("stats")
@@ -73,19 +73,19 @@
 @_json
 def stats_command(folder: Path, as_json: bool) -> None:
     """Count messages by class and answer, and what a snapshot would keep."""
-    found = _scan(folder)
+    scanned = _scan(folder)
     counts: Counter[str] = Counter()
-    for life in found.state.by_id.values():
-        name = life.taken.class_name if life.taken is not None else "(lost)"
-        counts[f"{name} {life.final.answer if life.final is not None else 'open'}"] += 1
-    kept = list(compact.live_records(found.state, time.time() * 1000.0, float("inf")))
+    for message_state in scanned.state.by_id.values():
+        name = message_state.taken.class_name if message_state.taken is not None else "(lost)"
+        counts[f"{name} {message_state.final.answer if message_state.final is not None else 'open'}"] += 1
+    live = list(compact.live_records(scanned.state, time.time() * 1000.0, float("inf")))
     tree = {
         "messages": dict(sorted(counts.items())),
-        "runs": found.state.runs,
-        "bytes": found.size,
-        "records": found.records,
-        "records_kept_by_a_snapshot": len(kept),
-        "endpoints_with_trouble": len(found.state.recent_outcomes),
+        "runs": scanned.state.runs,
+        "bytes": scanned.size,
+        "records": scanned.records,
+        "records_kept_by_a_snapshot": len(live),
+        "endpoints_with_trouble": len(scanned.state.recent_outcomes),
     }
     if as_json:
         click.echo(json.dumps(tree))
@@ -103,41 +103,43 @@
 
     Ended messages that a snapshot has passed over keep their name and answer only.
     """
-    found = _scan(folder)
-    wanted = {
-        life.id
-        for life in found.state.by_id.values()
-        if str(life.id) == message
+    scanned = _scan(folder)
+    message_ids = {
+        message_state.id
+        for message_state in scanned.state.by_id.values()
+        if str(message_state.id) == message
         or (
-            life.taken is not None
-            and message in (life.taken.identity, life.taken.identity.partition("\n")[2])
+            message_state.taken is not None
+            and message in (message_state.taken.identity, message_state.taken.identity.partition("\n")[2])
         )
     }
-    lines = [line for name in found.segments for line in _lines(folder / name, wanted)]
+    lines = [line for name in scanned.segments for line in _lines(folder / name, message_ids)]
     if not lines:
         raise click.ClickException(f"{folder}: no record of {message!r}")
     if as_json:
         click.echo(json.dumps(lines))
         return
     for line in lines:
-        rest = "  ".join(f"{name}={value}" for name, value in line.items() if name not in ("record", "where"))
-        click.echo(f"{line['where']:>24}  {line['record']:7} {rest}")
+        values_text = "  ".join(
+            f"{name}={value}" for name, value in line.items() if name not in ("record", "where")
+        )
+        click.echo(f"{line['where']:>24}  {line['record']:7} {values_text}")
 
 
-def _lines(path: Path, wanted: set[int]) -> list[dict[str, Any]]:
-    found: list[dict[str, Any]] = []
-    for part in read_frames(path.read_bytes()):
-        if isinstance(part, Damage) or getattr(part.record, "id", 0) not in wanted:
+def _lines(path: Path, message_ids: set[int]) -> list[dict[str, Any]]:
+    lines: list[dict[str, Any]] = []
+    for frame in read_frames(path.read_bytes()):
+        if isinstance(frame, Damage) or getattr(frame.record, "id", 0) not in message_ids:
             continue
-        record = part.record
+        record = frame.record
         values: dict[str, Any] = {name: getattr(record, name) for name in record.__struct_fields__}
         for name, value in values.items():
             if isinstance(value, bytes):
                 values[name] = f"{len(value)} bytes"
-        found.append(
-            {"where": f"{path.name}:{part.offset}", "record": type(record).__name__.lower(), **values}
+        lines.append(
+            {"where": f"{path.name}:{frame.offset}", "record": type(record).__name__.lower(), **values}
         )
-    return found
+    return lines
 
 
 @journal.command("export")
@@ -160,7 +162,7 @@
         import pyarrow.parquet as pq
     except ImportError:
         raise click.ClickException("Parquet needs the extra: pip install 'brassweir[analysis]'") from None
-    found = _scan(folder)
+    scanned = _scan(folder)
     types = {
         "int64": pa.int64(),
         "int32": pa.int32(),
@@ -176,29 +178,29 @@
         ]
     )
     count = 0
-    fresh = path.with_name(path.name + ".new")
+    temporary = path.with_name(path.name + ".new")
     try:
-        with pq.ParquetWriter(fresh, schema, compression="zstd") as writer:
-            for part in batched(table.rows(found.state, found.holes), ROWS):
-                for row in part:
+        with pq.ParquetWriter(temporary, schema, compression="zstd") as writer:
+            for batch in batched(table.rows(scanned.state, scanned.holes), ROWS_PER_BATCH):
+                for row in batch:
                     for name, (kind, _) in table.COLUMNS.items():
                         if kind == "timestamp" and row[name] is not None:
                             row[name] = round(row[name])
-                writer.write_batch(pa.RecordBatch.from_pylist(part, schema=schema))
-                count += len(part)
-        fresh.replace(path)
+                writer.write_batch(pa.RecordBatch.from_pylist(batch, schema=schema))
+                count += len(batch)
+        temporary.replace(path)
     except OSError as error:
-        fresh.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise click.ClickException(f"{path}: {error.strerror or error}") from None
-    tree = {"rows": count, "bytes": path.stat().st_size, "problems": found.problems}
+    tree = {"rows": count, "bytes": path.stat().st_size, "problems": scanned.problems}
     click.echo(json.dumps(tree) if as_json else f"{count} messages written to {path}")
 
 
 def batched(rows: Iterable[dict[str, Any]], size: int) -> Iterator[list[dict[str, Any]]]:
-    """Rows by so many."""
+    """Yield the rows in lists of up to ``size``."""
     source = iter(rows)
-    while part := list(islice(source, size)):
-        yield part
+    while batch := list(islice(source, size)):
+        yield batch
 
 
 @journal.command("compact")
@@ -219,18 +221,18 @@
     except OSError as error:
         raise click.ClickException(f"{folder}: {error.strerror or error}") from None
     try:
-        found = scan(storage)
-        if found.problems:
+        scanned = scan(storage)
+        if scanned.problems:
             raise click.ClickException(
-                f"{folder} is damaged ({found.problems[0]}): a sender recovers from "
+                f"{folder} is damaged ({scanned.problems[0]}): a sender recovers from "
                 "it as it is; rewriting it would hide what was lost"
             )
-        writer = Writer(storage, found)
+        writer = Writer(storage, scanned)
         writer.open()
         now = time.time() * 1000.0
-        kept = list(compact.live_records(found.state, now, remember_hours * 3_600_000.0))
-        writer.snapshot(kept, writer.close_segment())
-        click.echo(f"{found.size} bytes rewritten as {writer.total_bytes}")
+        live = list(compact.live_records(scanned.state, now, remember_hours * 3_600_000.0))
+        writer.snapshot(live, writer.close_segment())
+        click.echo(f"{scanned.size} bytes rewritten as {writer.total_bytes}")
     except (OSError, FormatError, JournalBroken) as error:
         raise click.ClickException(f"{folder}: {error}") from None
     finally:
--- a/brassweir/cli/kept.py
+++ b/brassweir/cli/kept.py
@@ -1,4 +1,4 @@
-"""``brassweir kept``: what was given up on and waits for the operator."""
+"""``brassweir kept``: lists, shows and removes undelivered messages."""
 
 from __future__ import annotations
 
@@ -44,35 +44,35 @@
 def list_command(folder: Path, destination: str | None, as_json: bool) -> None:
     """List what is kept, oldest first. Exits with 1 if a file is damaged."""
     damaged = 0
-    for path, one in read_all(folder):
-        if isinstance(one, str):
+    for path, item in read_all(folder):
+        if isinstance(item, str):
             damaged += 1
-            click.echo(f"{path}: {one}", err=True)
-        elif destination is None or one.destination == destination:
-            tree = _tree(path, one)
-            words = (
-                f"{tree['name'][:12]} {tree['kept_at']} {one.owner} {one.identity} -> {one.destination} "
-                f"({tree['bytes']} bytes): {one.reason}"
+            click.echo(f"{path}: {item}", err=True)
+        elif destination is None or item.destination == destination:
+            tree = _tree(path, item)
+            line = (
+                f"{tree['name'][:12]} {tree['kept_at']} {item.owner} {item.identity} -> {item.destination} "
+                f"({tree['bytes']} bytes): {item.reason}"
             )
-            click.echo(json.dumps(tree) if as_json else words)
+            click.echo(json.dumps(tree) if as_json else line)
     sys.exit(1 if damaged else 0)
 
 
 def _find(folder: Path, name: str) -> tuple[Path, UndeliveredItem]:
-    found = [
-        (path, one)
-        for path, one in read_all(folder)
-        if path.name.startswith(name) or (isinstance(one, UndeliveredItem) and name == one.identity)
+    matches = [
+        (path, item)
+        for path, item in read_all(folder)
+        if path.name.startswith(name) or (isinstance(item, UndeliveredItem) and name == item.identity)
     ]
-    if len(found) != 1:
+    if len(matches) != 1:
         raise click.ClickException(
-            f"{name!r} names {len(found)} kept messages: use the name that list "
+            f"{name!r} names {len(matches)} kept messages: use the name that list "
             "prints, or an identity that stands once"
         )
-    path, one = found[0]
-    if isinstance(one, str):
-        raise click.ClickException(f"{path}: {one}")
-    return path, one
+    path, item = matches[0]
+    if isinstance(item, str):
+        raise click.ClickException(f"{path}: {item}")
+    return path, item
 
 
 @kept.command("show")
--- a/brassweir/cli/keys.py
+++ b/brassweir/cli/keys.py
@@ -1,4 +1,4 @@
-"""``brassweir keys``: make and show keys and certificates."""
+"""``brassweir keys``: creates and shows keys and certificates."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def show_command(file: Path, as_json: bool) -> None:
     """Show whose certificate FILE holds, until when, and its fingerprint."""
-    shown = asdict(as2_keys.show(read_certificate(file)))
+    certificate = asdict(as2_keys.show(read_certificate(file)))
     if as_json:
-        click.echo(json.dumps(shown))
+        click.echo(json.dumps(certificate))
     else:
-        for name, value in shown.items():
+        for name, value in certificate.items():
             click.echo(f"{name:8} {value}")
 
 
 def read_certificate(file: Path) -> x509.Certificate:
-    """A certificate in PEM; a click error if it cannot be read."""
+    """Read a certificate in PEM. Raises ClickException if it cannot be read."""
     try:
         return x509.load_pem_x509_certificate(file.read_bytes())
     except OSError as error:
--- a/brassweir/cli/lab.py
+++ b/brassweir/cli/lab.py
@@ -107,16 +107,16 @@
     Exits with 1 if anything was lost, doubled or told twice.
     """
     total = steps_of(Script.draw(seed, messages, 2500.0), seed)
-    found = sweep(seed, messages, MODES, range(1, total + 1, every), loops=loops)
+    result = sweep(seed, messages, MODES, range(1, total + 1, every), loops=loops)
     tree = {
         "steps": total,
-        "points": found.points,
-        "crashes": found.crashes,
-        "messages": found.messages,
-        "problems": found.problems[:50],
+        "points": result.points,
+        "crashes": result.crashes,
+        "messages": result.messages,
+        "problems": result.problems[:50],
     }
     click.echo(json.dumps(tree) if as_json else json.dumps(tree, indent=2))
-    sys.exit(1 if found.problems else 0)
+    sys.exit(1 if result.problems else 0)
 
 
 @lab.command("forward-flood")
@@ -172,14 +172,14 @@
     answers = ["delivered", "refused", "failed", "rejected", "unanswered"]
     for column in ("class", *answers, "effects per message"):
         table.add_column(column)
-    for name, found in report.messages.items():
+    for name, answer_counts in report.messages.items():
         counts = ", ".join(f"{count} x {times}" for times, count in report.effects[name].items())
-        table.add_row(name, *(str(found.get(answer, 0)) for answer in answers), counts)
+        table.add_row(name, *(str(answer_counts.get(answer, 0)) for answer in answers), counts)
     console.print(table)
     rules = Table(title="the six rules")
     for column in ("rule", "put to the test", "broken"):
         rules.add_column(column)
-    words = (
+    titles = (
         "one final answer in time",
         "no effect twice",
         "drains kept",
@@ -187,12 +187,12 @@
         "order by key",
         "waits heeded",
     )
-    for rule, word in enumerate(words, 1):
+    for rule, title in enumerate(titles, 1):
         verdict = report.verdict
-        rules.add_row(f"{rule} {word}", str(verdict.tested[rule]), str(len(verdict.broken[rule])))
+        rules.add_row(f"{rule} {title}", str(verdict.tested[rule]), str(len(verdict.broken[rule])))
     console.print(rules)
-    for breaks in report.verdict.broken.values():
-        for what in breaks[:5]:
-            console.print(f"broken: {what}", highlight=False)
+    for breaches in report.verdict.broken.values():
+        for breach in breaches[:5]:
+            console.print(f"broken: {breach}", highlight=False)
     for end in report.drains:
         console.print(f"{end['sender']} drained in {end['seconds']} s, exit {end['exit']}", highlight=False)
--- a/brassweir/cli/lab_idle.py
+++ b/brassweir/cli/lab_idle.py
@@ -1,4 +1,4 @@
-"""``brassweir lab idle``: very many idle destinations beside a few busy ones."""
+"""``brassweir lab idle``: measures many idle destinations beside a few busy ones."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
         mix,
         seed,
         connections=connections,
-        strikes=[Strike(*one) for one in strikes],
+        strikes=[Strike(*strike) for strike in strikes],
         lists=list(lists),
         shortages=list(shortages),
         journaled=journal,
--- a/brassweir/cli/main.py
+++ b/brassweir/cli/main.py
@@ -1,4 +1,4 @@
-"""``brassweir``: every command hangs below this group, and is imported when it is asked for."""
+"""``brassweir``: the group of all commands, each of which is imported only when it is used."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from brassweir import __version__
 
-# Each command's module and its name there. A lean sender must not pay for what it does not use.
+# Module and attribute of each command, imported one by one: a node runs without the other commands' packages.
 COMMANDS = {
     "as2": "as2:as2",
     "check": "serving:check_command",
@@ -24,15 +24,18 @@
 }
 
 
-class Lazy(click.Group):
-    """A group whose commands are imported one at a time."""
+class LazyGroup(click.Group):
+    """A group that imports a command when it is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names."""
+        """Return all command names."""
         return sorted(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import one."""
+        """Import a command; None if there is no such command.
+
+        A command whose packages are not installed is replaced by one that names the missing package.
+        """
         place = COMMANDS.get(cmd_name)
         if place is None:
             return None
@@ -47,7 +50,7 @@
 
 
 def _missing(name: str, package: str) -> click.Command:
-    """Stands for a command whose packages are not installed, as beside a lean ``node``."""
+    """Return a command that fails and names the package that the real one needs."""
 
     @click.command(
         name,
@@ -64,7 +67,7 @@
     return missing
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="brassweir")
 def main() -> None:
     """A delivery service: takes messages and carries each to its destination, or says why not."""
--- a/brassweir/cli/model.py
+++ b/brassweir/cli/model.py
@@ -1,4 +1,4 @@
-"""``brassweir lab``: days drawn from a described deployment, on simulated time."""
+"""``brassweir lab``: draws days from the description of a deployment and plays them on simulated time."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def _day(path: Path, seed: int) -> Day:
-    """A day's file, or a draw from a deployment's."""
+    """Read a day from its JSON file, or draw one from a deployment's file."""
     if path.suffix != ".json":
         return draw(_deployment(path), seed)
     try:
@@ -87,7 +87,7 @@
     tree = runs.summary(run)
     try:
         if bounded:
-            tree |= _bounded(run)
+            tree |= _bound_shares(run)
         if page is not None:
             from brassweir.lab.trials.report import run_page
 
@@ -97,20 +97,20 @@
     if as_json:
         click.echo(json.dumps(tree))
     else:
-        tree["breaks"] = [what for found in run.verdict.broken.values() for what in found][:10]
+        tree["breaks"] = [breach for breaches in run.verdict.broken.values() for breach in breaches][:10]
         tree["rules_tested"] = run.verdict.tested
         click.echo(json.dumps(tree, indent=2))
     sys.exit(0 if run.verdict.clean else 1)
 
 
-def _bounded(run: runs.Run) -> dict[str, Any]:
-    """The best that could be done, as a share of all worth, and the run's worth as a share of that."""
+def _bound_shares(run: runs.Run) -> dict[str, Any]:
+    """Return the upper bound of a run's worth as a share of all worth, and the run's share of that bound."""
     from brassweir.lab.models.bound import best
 
     counted = [row for row in run.rows if row["at_ms"] >= run.day.warm]
-    full, most = sum(row["full_worth"] for row in counted), best(run.day)
-    got = sum(row["worth"] for row in counted)
-    return {"bound": round(most / full, 6), "share_of_bound": round(got / most, 6)} if most else {}
+    full, bound = sum(row["full_worth"] for row in counted), best(run.day)
+    achieved = sum(row["worth"] for row in counted)
+    return {"bound": round(bound / full, 6), "share_of_bound": round(achieved / bound, 6)} if bound else {}
 
 
 @click.command("experiment")
@@ -126,8 +126,8 @@
     Run it again to go on where it was cut off. Exits with 1 if a rule was broken.
     """
     try:
-        found = Experiment(file, folder or file.with_suffix(".results"), jobs)
-        outcome = found.run(_say(as_json))
+        experiment = Experiment(file, folder or file.with_suffix(".results"), jobs)
+        outcome = experiment.run(_say(as_json))
     except ConfigError as error:
         raise click.ClickException("\n".join(error.problems)) from None
     except (RuntimeError, OSError) as error:
@@ -149,9 +149,9 @@
 ) -> None:
     """Look for the worst day of DEPLOYMENT, shrink it, and keep it in OUT."""
     say = _say(as_json)
-    found = shrink(search(_deployment(deployment), seed, draws, steps, jobs, say), say)
-    out.write_bytes(encode(found.day))
-    tree = explained(found)
+    worst = shrink(search(_deployment(deployment), seed, draws, steps, jobs, say), say)
+    out.write_bytes(encode(worst.day))
+    tree = explained(worst)
     click.echo(json.dumps(tree) if as_json else json.dumps(tree, indent=2))
 
 
--- a/brassweir/cli/regions.py
+++ b/brassweir/cli/regions.py
@@ -1,4 +1,4 @@
-"""``brassweir regions``: what head office publishes to all regions, made and shown."""
+"""``brassweir regions``: creates and shows the epochs that are published to all regions."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def _tree(epoch: Epoch, now: float) -> dict[str, Any]:
-    shares = {one.region: 0.0 for one in epoch.regions}
+    shares = {region.region: 0.0 for region in epoch.regions}
     for grant in epoch.grants:
         if grant.begins <= now < grant.ends:
             shares[grant.region] += (grant.high - grant.low) / PLACES
@@ -66,13 +66,13 @@
         "nobody_s_now": round(1.0 - sum(shares.values()), 4),
         "grants": [
             {
-                "region": one.region,
-                "low": one.low,
-                "high": one.high,
-                "begins_in_s": round((one.begins - now) / 1000.0, 1),
-                "ends_in_s": round((one.ends - now) / 1000.0, 1),
+                "region": grant.region,
+                "low": grant.low,
+                "high": grant.high,
+                "begins_in_s": round((grant.begins - now) / 1000.0, 1),
+                "ends_in_s": round((grant.ends - now) / 1000.0, 1),
             }
-            for one in epoch.grants
+            for grant in epoch.grants
         ],
         "past_owners": len(epoch.past),
         "next_by": publisher(epoch).value,
@@ -80,9 +80,9 @@
 
 
 def _write(epoch: Epoch, out: Path, as_json: bool, **more: object) -> None:
-    fresh = out.with_name(out.name + ".new")
-    fresh.write_bytes(msgspec.json.encode(epoch))
-    fresh.replace(out)
+    temporary = out.with_name(out.name + ".new")
+    temporary.write_bytes(msgspec.json.encode(epoch))
+    temporary.replace(out)
     tree = {**_tree(epoch, time.time() * 1000.0), **more}
     click.echo(json.dumps(tree) if as_json else json.dumps(tree, indent=2))
 
@@ -99,8 +99,8 @@
     """Split all messages evenly between regions and write the first epoch to OUT."""
     if out.exists():
         raise click.ClickException(f"{out} exists: a second first epoch would give away what is owned")
-    made = planning.first_epoch(dict(given), time.time() * 1000.0, lease_s * 1000.0)
-    _write(msgspec.structs.replace(made, turn=int(for_log)), out, as_json)
+    epoch = planning.first_epoch(dict(given), time.time() * 1000.0, lease_s * 1000.0)
+    _write(msgspec.structs.replace(epoch, turn=int(for_log)), out, as_json)
 
 
 @regions.command("show")
--- a/brassweir/cli/serving.py
+++ b/brassweir/cli/serving.py
@@ -1,4 +1,4 @@
-"""``brassweir serve`` and ``check``: one sender from a settings file."""
+"""``brassweir serve`` and ``check``: runs one process from a settings file, or checks the file."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def serve_command(file: Path, plain_log: bool) -> None:
     """Run the sender that the settings in FILE describe, until SIGTERM or SIGINT."""
     try:
-        config = check(file, edited=False)  # a bad edit must not keep a copy from starting
+        config = check(file, edited=False)  # an invalid edited list must not prevent a start
         log = configure_logging(config.sender.log_level, plain_log)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(file, log))
@@ -55,7 +55,7 @@
 
 
 def _places(config: CopyConfig) -> str:
-    """Where a process listens, for the words of an error."""
+    """Return the addresses that a process listens on, for an error message."""
     peers = config.peers.listen or "the own address in peers.copies" if config.peers is not None else None
     places = [config.sender.metrics, peers]
     if isinstance(config, Config):
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: help everywhere, plain errors, and messages sent, received and explained by hand."""
+"""The command line: help texts, error messages, and single AS2 messages sent, received and inspected."""
 
 from __future__ import annotations
 
@@ -47,12 +47,14 @@
     assert invoke(main, ["keys", "show", str(tmp_path / "my_office.key.pem")]).exit_code == 1
 
 
-def test_check_tells_scripts_and_people(tmp_path: Path) -> None:
+def test_check_reports_problems_as_json_and_serve_fails(tmp_path: Path) -> None:
     (tmp_path / "s.yaml").write_text("sender: {}\n")
     result = CliRunner().invoke(main, ["check", str(tmp_path / "s.yaml"), "--json"])
-    told = json.loads(result.output)
+    report = json.loads(result.output)
     assert (
-        result.exit_code == 1 and not told["good"] and any("sender.name" in one for one in told["problems"])
+        result.exit_code == 1
+        and not report["good"]
+        and any("sender.name" in one for one in report["problems"])
     )
     assert CliRunner().invoke(main, ["serve", str(tmp_path / "none.yaml")]).exit_code == 1
 
