--- a/brassweir/service/agreed_log.py
+++ b/brassweir/service/agreed_log.py
@@ -1,4 +1,4 @@
-"""The agreed log in one process: its member, its machine, and what this copy does with them."""
+"""One copy's part in the agreed log: its member, its state machine and its periodic maintenance."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     from brassweir.service.configuration import FleetConfiguration
     from brassweir.service.version_follower import Follower
 
-SHOWN = ("term", "last", "agreed", "applied", "waiting", "age_ms")  # of the status, as metrics
+STATUS_METRICS = ("term", "last", "agreed", "applied", "waiting", "age_ms")  # fields of the status
 
 
 class AgreedLog:
-    """One copy's part in the log; the group that its dealings speak to."""
+    """Runs one copy's member of the log, and is the ``LogMember`` that its maintenance proposes through."""
 
     def __init__(
         self,
@@ -41,39 +41,39 @@
         note: Note,
         follower: Follower | None = None,
     ) -> None:
-        """``follower``: what puts versions of the endpoint configuration in force here, if anything does."""
+        """``follower`` puts versions of the endpoint configuration in force here; None if it is a file."""
         assert config.agreed is not None
-        given, names = config.agreed, tuple(one.name for one in copies)
-        folder = agreed_directory(config, base)
+        settings, names = config.agreed, tuple(copy.name for copy in copies)
+        directory = agreed_directory(config, base)
         self.configuration: FleetConfiguration | None = None
         self.machine: Machine
         if config.configuration is None:
             self.machine = Machine()
-            self.member = Member(me.name, folder, self.machine, port, given.voters, names)
+            self.member = Member(me.name, directory, self.machine, port, settings.voters, names)
         else:
             from brassweir.configstream.core import ConfiguredCore
             from brassweir.configstream.machine import ConfiguredMachine
             from brassweir.service.configuration import FleetConfiguration
 
             self.machine = machine = ConfiguredMachine()
-            self.member = Member(me.name, folder, machine, port, given.voters, names, ConfiguredCore)
+            self.member = Member(me.name, directory, machine, port, settings.voters, names, ConfiguredCore)
             self.configuration = FleetConfiguration(self.member, machine, self, follower, base, note)
         self.maintenance = LogMaintenance(
             me,
             self.machine,
             self,
             region if isinstance(region, LogOwnership) else None,
-            given.lease_ms,
-            base / given.first_epoch if given.first_epoch else None,
+            settings.lease_ms,
+            base / settings.first_epoch if settings.first_epoch else None,
             note,
         )
-        self.member.on_apply.append(lambda *_: self.maintenance.hear())
-        self.member.on_restore.append(lambda _: self.maintenance.hear())
+        self.member.on_apply.append(lambda *_: self.maintenance.apply_changes())
+        self.member.on_restore.append(lambda _: self.maintenance.apply_changes())
         self.note, self.port = note, port
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Open the folder and take part."""
+        """Open the log's directory, join the group and start the maintenance loop."""
         await self.member.start()
         self.maintenance.desired.read(False)
         self.task = asyncio.create_task(self.maintenance.run())
@@ -84,12 +84,12 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()) is not None:
             self.note("agreed_ended", {"error": repr(error)})
-            self.give_up()  # one that leads and renews nothing would let all leases lapse
+            self.leave_for_good()  # a leader that renews nothing would let all leases lapse
 
-    def reload(self, config: CopyConfig, copies: tuple[CopyModel, ...], gone: set[str]) -> None:
-        """An operator asks: other copies, other voters, the next epoch."""
-        self.member.reload(tuple(one.name for one in copies))
-        self.maintenance.membership.left |= gone
+    def reload(self, config: CopyConfig, copies: tuple[CopyModel, ...], removed: set[str]) -> None:
+        """Apply changed settings: the copies, the voters, the next epoch and the edited endpoint list."""
+        self.member.reload(tuple(copy.name for copy in copies))
+        self.maintenance.membership.to_remove |= removed
         if config.agreed is not None:
             self.maintenance.membership.want_voters(frozenset(config.agreed.voters))
         self.maintenance.desired.read(True)
@@ -97,42 +97,42 @@
             self.configuration.reload(config.configuration)
 
     async def propose(self, command: bytes, timeout_ms: float) -> Outcome:
-        """Agree on a command."""
+        """Propose a command and wait for its outcome."""
         return await self.member.propose(command, timeout_ms)
 
     async def change(self, name: str, votes: bool, timeout_ms: float) -> Outcome:
-        """Let a copy vote, or no longer; for the leader only."""
+        """Make a copy a voter, or take its vote away. Only the leader can do this."""
         return await self.member.change(name, votes, timeout_ms)
 
     def hand_over(self) -> None:
-        """Let another lead, if this one does."""
+        """Transfer leadership to another member, if this one leads."""
         if self.member.core is not None and self.member.core.role == LEADER:
             self.member.submit(TransferLeadership())
 
     def alive(self) -> frozenset[str]:
-        """Copies that are thought to be there, this one among them."""
+        """Return the names of the copies believed alive, this one included."""
         states = self.port.view().states
         return frozenset(name for name, state in states.items() if state == "alive") | {self.member.name}
 
-    def give_up(self) -> None:
-        """Follow no further: this version cannot. The copy goes on delivering as one that is cut off."""
+    def leave_for_good(self) -> None:
+        """Stop the member; the copy goes on delivering as if it were cut off from the group."""
         self.ending = asyncio.ensure_future(self.member.stop())
 
     def status(self) -> Mapping[str, Any]:
-        """The member's, as a tree."""
+        """Return the member's status as a dictionary."""
         return asdict(self.member.status())
 
     def state(self) -> dict[str, Any]:
-        """What operators are shown."""
+        """Return the state shown at ``/agreed``."""
         return self.maintenance.state()
 
     def counts(self) -> dict[str, float]:
-        """For metrics."""
+        """Return the values of the ``brassweir_agreed`` gauges."""
         status = self.member.status()
-        shown = {name: float(getattr(status, name)) for name in SHOWN}
+        values = {name: float(getattr(status, name)) for name in STATUS_METRICS}
         dropped = {f"dropped_{name.replace(' ', '_')}": count for name, count in status.dropped.items()}
         return {
-            **shown,
+            **values,
             **dropped,
             "leading": status.role == LEADER,
             "in_trouble": bool(status.trouble),
@@ -142,7 +142,7 @@
         }
 
     def abort(self) -> None:
-        """End what this copy does of its own."""
+        """Cancel the maintenance loop and any change of voters; the member keeps running."""
         for task in (self.task, self.maintenance.membership.changing):
             if task is not None:
                 task.cancel()
@@ -150,6 +150,6 @@
             self.configuration.abort()
 
     async def stop(self) -> None:
-        """End taking part."""
+        """Cancel the maintenance loop and stop the member."""
         self.abort()
         await self.member.stop()
--- a/brassweir/service/as2_connector.py
+++ b/brassweir/service/as2_connector.py
@@ -1,4 +1,4 @@
-"""AS2 in a process: its front, its receipts, and its carrier."""
+"""AS2 in a sender process: server, pending receipts and carrier."""
 
 from __future__ import annotations
 
@@ -15,87 +15,87 @@
 from brassweir.core.ports import Carrier, Submission
 from brassweir.net.server import Server
 from brassweir.service.connector import ConnectorContext
-from brassweir.service.wiring import partnerships
+from brassweir.service.wiring import load_partnerships
 
 
 class As2Connector:
-    """Clients and partners over AS2. Raises ConfigError where a key or certificate cannot be read."""
+    """Serves AS2 clients and partners. Raises ConfigError if a key or certificate cannot be read."""
 
-    def __init__(self, parts: ConnectorContext) -> None:
-        sender = parts.config.sender
-        self.parts = parts
-        self.book: Partnerships = replace(
-            partnerships(parts.config, parts.base), listed=parts.endpoints.numbers.listed
+    def __init__(self, context: ConnectorContext) -> None:
+        sender = context.config.sender
+        self.context = context
+        self.partnerships: Partnerships = replace(
+            load_partnerships(context.config, context.base), listed=context.endpoints.numbers.listed
         )
         self.receipts = Receipts()
-        self.owed = Owed(parts.pools, parts.note)
+        self.owed = Owed(context.pools, context.note)
         self.carrier = As2Carrier(
-            self.book,
-            parts.endpoints,
-            parts.pools,
+            self.partnerships,
+            context.endpoints,
+            context.pools,
             self.receipts,
-            parts.offload,
-            parts.note,
+            context.offload,
+            context.note,
             sender.name,
             sender.linger_ms,
         )
-        kinds = ["", *(kind.name for kind in parts.config.kinds if kind.carrier == "as2")]
+        kinds = ["", *(kind.name for kind in context.config.kinds if kind.carrier == "as2")]
         self.carriers: Mapping[str, Carrier] = {name: self.carrier for name in kinds}
         self.front: As2Front | None = None
         self.server: Server | None = None
         self.port = 0
 
     def create_front(self, engine: Engine) -> None:
-        """Make the front."""
-        parts = self.parts
+        """Create the front and its server."""
+        context = self.context
         self.front = As2Front(
-            self.book,
+            self.partnerships,
             engine,
             self.receipts,
             self.owed,
-            parts.offload,
-            parts.note,
-            margin=parts.config.sender.answer_margin_ms,
-            most=parts.limits.body_bytes,
-            told=parts.receipt_delivered,
+            context.offload,
+            context.note,
+            margin=context.config.sender.answer_margin_ms,
+            most=context.limits.body_bytes,
+            told=context.receipt_delivered,
         )
-        self.server = Server(self.front, parts.limits, parts.report_bad_request)
+        self.server = Server(self.front, context.limits, context.report_bad_request)
 
     async def start(self) -> dict[str, object]:
-        """Listen, if the settings say where."""
-        listen = self.parts.config.sender.listen
+        """Listen, if the settings give an address; return fields for the log event ``started``."""
+        listen = self.context.config.sender.listen
         if listen is not None and self.server is not None:
             host, _, port = listen.rpartition(":")
             self.port = await self.server.listen(host, int(port))
         return {
             "listen": listen,
             "port": self.port,
-            "partners": len(self.book.partners),
-            "clients": len(self.book.clients),
+            "partners": len(self.partnerships.partners),
+            "clients": len(self.partnerships.clients),
         }
 
     def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
-        """The client's receipt URL, if it has one still."""
+        """Return a waiter that posts to the client's receipt URL; None if it has none any more."""
         return self.front.owing(message, submission) if self.front is not None else None
 
     def stop_accepting(self) -> None:
-        """Nothing yet: partners bring receipts to the same address, until nothing waits for one."""
+        """Do nothing: the server stays open, because partners post asynchronous receipts to it."""
 
     def drain(self) -> None:
-        """Take no new connection, and close each after its answer."""
+        """Accept no new connection, and close each one after its answer."""
         if self.server is not None:
             self.server.drain()
 
     async def flush(self, span: float) -> None:
-        """Bring the receipts that are owed."""
+        """Wait up to ``span`` seconds for pending receipts to be delivered, then drop them."""
         await self.owed.settle(span)
 
     @property
     def connections(self) -> int:
-        """Connections that stand."""
+        """The number of open client connections."""
         return len(self.server.connections) if self.server is not None else 0
 
     def abort(self) -> None:
-        """Drop every connection."""
+        """Close every connection at once."""
         if self.server is not None:
             self.server.abort()
--- a/brassweir/service/checking.py
+++ b/brassweir/service/checking.py
@@ -1,4 +1,4 @@
-"""``brassweir check``: all that a start would read, read, and every problem told."""
+"""``brassweir check``: reads every file that a start would read, and reports all problems."""
 
 from __future__ import annotations
 
@@ -12,80 +12,83 @@
 from brassweir.config.settings import load_settings
 from brassweir.regions.epochs import EpochError, parse
 from brassweir.service.forward_connector import KeyFiles
-from brassweir.service.keyfiles import credentials, peer_keys, secrets
+from brassweir.service.keyfiles import load_credentials, load_peer_keys, load_signing_keys
 from brassweir.service.listfile import read_list
 from brassweir.service.open_file_limit import descriptors_needed, plan_soft_limit
 from brassweir.service.resolved_list import DestinationNumbers
-from brassweir.service.wiring import partnerships, settings
+from brassweir.service.wiring import load_partnerships, settings
 
 
 def check(path: Path, edited: bool = True) -> Config | ControlConfig:
-    """Read all that a process would read at start; ``edited``: and the list that an operator edits, which is
-    read only when asked to. Raises ConfigError with every problem found."""
+    """Read all files that a process reads at start and return its settings.
+
+    With ``edited``, also check the list that an operator edits, which a process reads only on reload. Raises
+    ConfigError with every problem found.
+    """
     config = load_settings(path)
-    problems = _delivery(path, config) if isinstance(config, Config) else []
-    problems += _together(path, config)
+    problems = _sender_problems(path, config) if isinstance(config, Config) else []
+    problems += _peer_problems(path, config)
     if edited:
-        problems += _edited(path, config)
+        problems += _edited_list_problems(path, config)
     if problems:
         raise ConfigError(problems)
     return config
 
 
-def _delivery(path: Path, config: Config) -> list[str]:
-    """What is wrong with all that only a process that delivers has."""
+def _sender_problems(path: Path, config: Config) -> list[str]:
+    """Return the problems of files and limits that only a sender has."""
     problems: list[str] = []
     try:
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         plan_soft_limit(descriptors_needed(config), 0, hard if hard >= 0 else 1 << 62)
         settings(config)
         if config.identity is not None:
-            partnerships(config, path.parent)
+            load_partnerships(config, path.parent)
     except ConfigError as error:
         problems += [f"{path}: {problem}" for problem in error.problems]
     try:
         for kind in config.kinds:
-            secrets(kind, path.parent)
-            credentials(kind, config.sender.name, path.parent)
+            load_signing_keys(kind, path.parent)
+            load_credentials(kind, config.sender.name, path.parent)
         if config.forward is not None:
             KeyFiles(config.forward, path.parent, lambda *_: None)
     except ConfigError as error:
         problems += error.problems
-    return problems + _endpoints(path, config)
+    return problems + _endpoint_list_problems(path, config)
 
 
-def _endpoints(path: Path, config: Config) -> list[str]:
-    """What is wrong with the file of the endpoint list, unless the list comes from the log."""
+def _endpoint_list_problems(path: Path, config: Config) -> list[str]:
+    """Return the problems of the endpoint list's file, if the list comes from a file."""
     if config.endpoints_in_log:
         return []
-    found = path.parent / config.endpoints
-    if config.endpoints == ENDPOINTS_IN_LOG and not found.exists():
+    list_path = path.parent / config.endpoints
+    if config.endpoints == ENDPOINTS_IN_LOG and not list_path.exists():
         return [f"{path}: endpoints: agreed needs agreed.configuration; and there is no file of that name"]
     try:
-        read_list(found, config, DestinationNumbers(config))
+        read_list(list_path, config, DestinationNumbers(config))
     except ConfigError as error:
         return error.problems
     return []
 
 
-def _edited(path: Path, config: CopyConfig) -> list[str]:
-    """What is wrong with the list that an operator edits here."""
+def _edited_list_problems(path: Path, config: CopyConfig) -> list[str]:
+    """Return the problems of the list that an operator edits here."""
     if config.configuration is None or config.configuration.list is None:
         return []
-    from brassweir.service.editedlist import read_edited  # only where the settings have it
+    from brassweir.service.editedlist import read_edited  # other processes never load it
 
-    found = path.parent / config.configuration.list
+    list_path = path.parent / config.configuration.list
     try:
-        read_edited(found)
+        read_edited(list_path)
         if isinstance(config, Config) and config.endpoints_in_log:
-            read_list(found, config, DestinationNumbers(config))
+            read_list(list_path, config, DestinationNumbers(config))
     except ConfigError as error:
         return error.problems
     return []
 
 
-def _together(path: Path, config: CopyConfig) -> list[str]:
-    """What is wrong with the files that copies share, and with keys between them."""
+def _peer_problems(path: Path, config: CopyConfig) -> list[str]:
+    """Return the problems of the copies' file, of the keys between copies and of the first epoch."""
     if config.peers is None:
         return []
     problems: list[str] = []
@@ -96,13 +99,13 @@
     except ConfigError as error:
         problems += error.problems
     try:
-        peer_keys(config.peers, path.parent)
+        load_peer_keys(config.peers, path.parent)
     except ConfigError as error:
         problems += [f"{path}: {problem}" for problem in error.problems]
-    first = config.agreed.first_epoch if config.agreed is not None else None
-    if first is not None:
+    epoch_path = config.agreed.first_epoch if config.agreed is not None else None
+    if epoch_path is not None:
         try:
-            parse((path.parent / first).read_bytes())
+            parse((path.parent / epoch_path).read_bytes())
         except (OSError, EpochError) as error:
-            problems.append(f"{path}: agreed.first_epoch: {path.parent / first}: {error}")
+            problems.append(f"{path}: agreed.first_epoch: {path.parent / epoch_path}: {error}")
     return problems
--- a/brassweir/service/configuration.py
+++ b/brassweir/service/configuration.py
@@ -1,5 +1,8 @@
-"""The endpoint configuration of the fleet at one copy: follows its versions, tells which is in force here,
-raises the log's level once all members read it, and shows operators what is in force where."""
+"""The fleet's endpoint configuration at one copy.
+
+Follows the versions in the agreed log, acknowledges the one in force here, raises the log's format level once
+all members can read it, and shows operators which version is in force where.
+"""
 
 from __future__ import annotations
 
@@ -15,60 +18,60 @@
 from brassweir.configstream.commands import LEVEL
 from brassweir.configstream.core import ConfiguredCore
 from brassweir.configstream.machine import ConfiguredMachine
-from brassweir.service.configuration_view import counts, shown
+from brassweir.service.configuration_view import counts, state_tree
 from brassweir.service.publisher import Note, Publisher
 from brassweir.service.version_follower import Follower, PassiveFollower
 
-LOOK = 0.1  # seconds between two looks: at the machine, the core, and the members' levels
-RAISING = 3000.0  # ms until a proposal counts as unknown
+CHECK_INTERVAL_SECONDS = 0.1
+PROPOSAL_TIMEOUT_MS = 3000.0
 
 
 class LogProposer(Protocol):
-    """What is needed of the copy's part in the log."""
+    """The operations of the agreed log that this module uses."""
 
     async def propose(self, command: bytes, timeout_ms: float) -> Outcome:
-        """Agree on a command."""
+        """Propose a command and wait for its outcome."""
 
     def alive(self) -> frozenset[str]:
-        """Copies that are thought to be there, this one among them."""
+        """Return the names of the copies believed alive, this one included."""
 
 
 class FleetConfiguration:
-    """One copy's dealings with the versions.
+    """Follows and acknowledges versions, and publishes this copy's edits.
 
-    Without a follower this copy reads its list from a file: it holds the versions, for others and for the day
-    that its settings change, and none is in force here.
+    Without a follower, this copy reads its list from a file: it stores the versions for the others, and none
+    is in force here.
     """
 
     def __init__(
         self,
         member: Member,
         machine: ConfiguredMachine,
-        group: LogProposer,
+        proposer: LogProposer,
         follower: Follower | None,
         base: Path,
         note: Note,
     ) -> None:
-        self.member, self.machine, self.group = member, machine, group
+        self.member, self.machine, self.proposer = member, machine, proposer
         self.follower, self.note = follower, note
-        accepts = follower.check if follower is not None else PassiveFollower().check
-        self.publisher = Publisher(member.name, machine, group.propose, base, note, accepts)
-        self.followed = 0
+        check_list = follower.check if follower is not None else PassiveFollower().check
+        self.publisher = Publisher(member.name, machine, proposer.propose, base, note, check_list)
+        self.followed_version = 0
         self._acknowledged: tuple[object, int] = (None, 0)
         self.task: asyncio.Task[None] | None = None
         if follower is not None:
             follower.on_in_force = lambda _: self._acknowledge()
-        member.on_apply.append(lambda *_: self.hear())
-        member.on_restore.append(lambda _: self.hear())
+        member.on_apply.append(lambda *_: self.apply_changes())
+        member.on_restore.append(lambda _: self.apply_changes())
 
     @property
     def core(self) -> ConfiguredCore | None:
-        """The member's core, while it takes part."""
+        """The member's core; None while the member is not running."""
         core = self.member.core
         return core if isinstance(core, ConfiguredCore) else None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the periodic check."""
         self.task = asyncio.create_task(self._run())
         self.task.add_done_callback(self._stopped)
 
@@ -78,54 +81,56 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK)
-            self.hear()
-            if self._may_raise():
-                await self.group.propose(encode(Format(LEVEL)), RAISING)
-
-    def hear(self) -> None:
-        """The machine has changed, or may have. A machine that is being read anew, or carries out what its
-        folder held, shows older versions meanwhile: they are passed over."""
-        there, core = self.machine.configuration, self.core
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            self.apply_changes()
+            if self._should_raise_level():
+                await self.proposer.propose(encode(Format(LEVEL)), PROPOSAL_TIMEOUT_MS)
+
+    def apply_changes(self) -> None:
+        """Pass the newest version to the follower.
+
+        Versions that the state machine goes through while it replays its stored log are skipped.
+        """
+        current, core = self.machine.configuration, self.core
         recovered = core is None or core.recovered
-        if self.follower is not None and recovered and there.version > self.followed:
-            self.followed = there.version
-            self.follower.follow(there.version, there.catalog)
+        if self.follower is not None and recovered and current.version > self.followed_version:
+            self.followed_version = current.version
+            self.follower.follow(current.version, current.catalog)
         self._acknowledge()
 
     def _acknowledge(self) -> None:
-        """Tell the core what is in force here; a core that is new is told again."""
+        """Report the version in force to the core, at each change and to each new core."""
         core = self.core
         if self.follower is None or core is None:
             return
-        said = (core, self.follower.in_force)
-        if said != self._acknowledged:
-            self._acknowledged = said
+        acknowledgement = (core, self.follower.in_force)
+        if acknowledgement != self._acknowledged:
+            self._acknowledged = acknowledgement
             self.member.submit(VersionInForce(self.follower.in_force))
 
-    def _may_raise(self) -> bool:
-        """Does this copy lead, and do all members, and all that are alive are, read the next level?"""
+    def _should_raise_level(self) -> bool:
+        """Whether this copy leads, all live copies are members, and all members read the next level."""
         state, core = self.machine.state, self.core
         if core is None or core.role != LEADER or state.level >= LEVEL:
             return False
-        all_read = all(one.reads >= LEVEL for one in state.copies.values())
-        return bool(state.copies) and all_read and self.group.alive() <= state.copies.keys()
+        all_read = all(copy.reads >= LEVEL for copy in state.copies.values())
+        return bool(state.copies) and all_read and self.proposer.alive() <= state.copies.keys()
 
-    def reload(self, given: ConfigurationModel | None) -> None:
-        """An operator asks: the edited list is to be in force."""
-        if given is not None:
-            self.publisher.publish(given)
+    def reload(self, configuration: ConfigurationModel | None) -> None:
+        """Publish the edited list, if the settings name one."""
+        if configuration is not None:
+            self.publisher.publish(configuration)
 
     def state(self) -> dict[str, Any]:
-        """What operators are shown."""
-        return shown(self.machine, self.core, self.follower, self.publisher.edit)
+        """Return the state shown at ``/configuration``."""
+        return state_tree(self.machine, self.core, self.follower, self.publisher.edit)
 
     def counts(self) -> dict[str, float]:
-        """For metrics."""
+        """Return the values of the ``brassweir_configuration`` gauges."""
         return counts(self.machine, self.core, self.follower)
 
     def abort(self) -> None:
-        """End what this copy does of its own."""
+        """Cancel the periodic check and any edit in progress."""
         self.publisher.abort()
         if self.task is not None:
             self.task.cancel()
--- a/brassweir/service/configuration_view.py
+++ b/brassweir/service/configuration_view.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the endpoint configuration, as a tree and as metrics."""
+"""The endpoint configuration's state for operators, as a dictionary and as metrics."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from brassweir.service.publisher import Edit
 from brassweir.service.version_follower import Follower
 
-NEVER = 1e15  # ms: an age above this means that nothing was ever known
+NEVER_MS = 1e15  # an age this high means that nothing was ever known
 
 
-def shown(
+def state_tree(
     machine: ConfiguredMachine, core: ConfiguredCore | None, follower: Follower | None, edit: Edit
 ) -> dict[str, Any]:
-    """This copy's own state; at the leader the fleet's as well."""
-    there = machine.configuration
+    """Return this copy's state and, at the leader, the fleet's."""
+    current = machine.configuration
     view = core.fleet_view(_now()) if core is not None else None
     return {
         "level": machine.state.level,
-        "version": there.version,
-        "by": there.by,
-        "endpoints": there.catalog.size,
-        "digest": there.catalog.digest(),
+        "version": current.version,
+        "by": current.by,
+        "endpoints": current.catalog.size,
+        "digest": current.catalog.digest(),
         "source": "agreed" if follower is not None else "file",
         "in_force": follower.in_force if follower is not None else 0,
         "refused": follower.refused if follower is not None else "",
@@ -41,9 +41,9 @@
 def counts(
     machine: ConfiguredMachine, core: ConfiguredCore | None, follower: Follower | None
 ) -> dict[str, float]:
-    """The same as numbers; the fleet's only at its leader."""
+    """Return the state as gauge values; the fleet's only at the leader."""
     age = _age(core)
-    found = {
+    values = {
         "version": float(machine.configuration.version),
         "endpoints": float(machine.configuration.catalog.size),
         "in_force": float(follower.in_force if follower is not None else 0),
@@ -52,15 +52,15 @@
     }
     view = core.fleet_view(_now()) if core is not None else None
     if view is not None and view.leading:
-        found |= {
+        values |= {
             "fleet_newest": float(view.newest),
             "fleet_copies": float(view.copies),
             "fleet_in_force": float(view.in_force),
             "fleet_behind": float(len(view.behind)),
             "fleet_unheard": float(len(view.unreported)),
-            "fleet_longest_behind_ms": max((one.lag_ms for one in view.behind), default=0.0),
+            "fleet_longest_behind_ms": max((copy.lag_ms for copy in view.behind), default=0.0),
         }
-    return found
+    return values
 
 
 def _fleet(view: FleetView) -> dict[str, Any]:
@@ -69,18 +69,18 @@
         "copies": view.copies,
         "in_force": view.in_force,
         "behind": [
-            {"copy": one.name, "version": one.version, "for_ms": round(one.lag_ms)} for one in view.behind
+            {"copy": copy.name, "version": copy.version, "for_ms": round(copy.lag_ms)} for copy in view.behind
         ],
         "unheard": list(view.unreported),
     }
 
 
 def _age(core: ConfiguredCore | None) -> float | None:
-    """Ms; None if nothing was ever known."""
-    age = core.staleness_ms(_now()) if core is not None else NEVER
-    return round(age, 1) if age < NEVER else None
+    """Return the age (ms) of the newest knowledge of the group; None if nothing was ever known."""
+    age = core.staleness_ms(_now()) if core is not None else NEVER_MS
+    return round(age, 1) if age < NEVER_MS else None
 
 
 def _now() -> float:
-    """The member's clock: the loop's monotonic ms."""
+    """Return the member's clock: the loop's monotonic time in ms."""
     return asyncio.get_running_loop().time() * 1000.0
--- a/brassweir/service/connector.py
+++ b/brassweir/service/connector.py
@@ -1,6 +1,6 @@
-"""What a protocol brings to a process, and what it is given: the seam that a new front is written against.
+"""The interface between a process and the protocols it serves: what a connector provides and receives.
 
-docs/write-a-front.md goes through one from the first byte to the last.
+docs/write-a-front.md explains how to write a front.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectorContext:
-    """What all connectors of one process share. Paths of the settings count from ``base``."""
+    """What all connectors of one process share; paths in the settings are relative to ``base``."""
 
     config: Config
     base: Path
@@ -38,35 +38,35 @@
     metrics: Metrics
     note: Note
     report_bad_request: Callable[[str, int, str], None]  # peer, status, reason
-    receipt_delivered: Callable[[int], None]  # the receipt owed for a message was brought
+    receipt_delivered: Callable[[int], None]  # message whose asynchronous receipt was delivered
 
 
 class Connector(Protocol):
-    """One protocol: the carriers of its kinds of destinations, and its front if clients come over it."""
+    """One protocol: the carriers of its kinds of destinations, and its front if clients use the protocol."""
 
     carriers: Mapping[str, Carrier]  # by kind of destination
 
     def create_front(self, engine: Engine) -> None:
-        """The engine is there: make the front. Nothing is listened to yet."""
+        """Create the front, if there is one; it does not listen yet."""
 
     async def start(self) -> dict[str, object]:
-        """Listen; returns what the log is to say of it. Raises OSError."""
+        """Listen; return fields for the log event ``started``. Raises OSError."""
 
     def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
-        """Who waits for the answer of a message of this connector from before a restart."""
+        """Return the waiter for the answer of a message recovered from the journal; None if nobody waits."""
 
     def stop_accepting(self) -> None:
-        """The drain begins: nothing new from now on, as far as that can be told here."""
+        """Begin the drain: accept no new messages, as far as the front can tell them apart."""
 
     def drain(self) -> None:
-        """All is answered: close every connection as soon as its answer is written."""
+        """Close each connection as soon as its answers are written; all messages have their answer by now."""
 
     async def flush(self, span: float) -> None:
-        """Wait up to so many seconds for what is still owed, then drop it."""
+        """Wait up to ``span`` seconds for pending receipts to be delivered, then drop them."""
 
     @property
     def connections(self) -> int:
-        """Clients' connections that stand."""
+        """The number of open client connections."""
 
     def abort(self) -> None:
-        """End everything at once."""
+        """Close all client connections at once."""
--- a/brassweir/service/controlmachine.py
+++ b/brassweir/service/controlmachine.py
@@ -1,4 +1,4 @@
-"""A control machine: a process that takes part in the agreed log, and delivers nothing."""
+"""A control machine: a process that is a member of the agreed log but delivers nothing."""
 
 from __future__ import annotations
 
@@ -22,56 +22,56 @@
 
 
 class ControlMachine:
-    """A running control machine. Made inside the loop that it will run on."""
+    """A control machine. Must be created inside the event loop that it runs on."""
 
-    waiting_for_list = False  # for a first endpoint list
+    waiting_for_list = False
 
     def __init__(self, config: ControlConfig, base: Path, log: Any) -> None:
-        """Wire everything together; paths count from ``base``. Raises ConfigError."""
+        """Create all components; paths in the settings are relative to ``base``. Raises ConfigError."""
         loop = asyncio.get_running_loop()
         self.config, self.log = config, log.bind(sender=config.sender.name)
         self.metrics = Metrics()
         self.observer = Observer(self.log, self.metrics, LoopClock(loop), lambda _: "")
         self.region = create_ownership(config, base, {}, self.metrics, self.observer.note)
         self.peer_group = PeerGroup(
-            config, base, self.region, self.metrics, self.observer.note, self._follower()
+            config, base, self.region, self.metrics, self.observer.note, self._create_follower()
         )
         self.stopping = False
         operations = Operations(
             self.metrics, self.peer_group.states, lambda: "draining" if self.stopping else ""
         )
-        self.server = Server(operations.answer, limits(config), self._complain)
+        self.server = Server(operations.answer, limits(config), self._report_bad_request)
         self.journal_failure: asyncio.Future[BaseException] = (
             loop.create_future()
-        )  # there is no journal to break
+        )  # never set: there is no journal
         self.tasks: list[asyncio.Task[None]] = []
 
-    def _follower(self) -> Follower | None:
-        """Imported only where the settings have it."""
+    def _create_follower(self) -> Follower | None:
+        """Return a follower if the settings use versions of the endpoint list; imported only then."""
         if self.config.configuration is None:
             return None
         from brassweir.service.version_follower import PassiveFollower
 
         return PassiveFollower()
 
-    def _complain(self, peer: str, status: int, reason: str) -> None:
+    def _report_bad_request(self, peer: str, status: int, reason: str) -> None:
         self.observer.note("bad_request", {"peer": peer, "status": status, "reason": reason})
 
     async def start(self) -> None:
-        """Listen and take part. Raises ConfigError and OSError."""
-        said: dict[str, object] = {"metrics_port": 0}
+        """Listen and join the peer group. Raises ConfigError and OSError."""
+        fields: dict[str, object] = {"metrics_port": 0}
         if self.config.sender.metrics:
             host, _, port = self.config.sender.metrics.rpartition(":")
-            said["metrics_port"] = await self.server.listen(host, int(port))
-        said.update(await self.peer_group.start())
+            fields["metrics_port"] = await self.server.listen(host, int(port))
+        fields.update(await self.peer_group.start())
         self.tasks.append(asyncio.create_task(measure_stalls(self.metrics.loop_stall)))
         if self.region is not None:
-            self.region.look()
+            self.region.poll()
             self.tasks.append(asyncio.create_task(self.region.watch()))
-        self.log.info("started", **said)
+        self.log.info("started", **fields)
 
     async def drain(self) -> None:
-        """Let another lead, and end."""
+        """Transfer leadership of the agreed log and stop."""
         self.stopping = True
         self.peer_group.hand_over()
         await self.peer_group.stop()
@@ -79,7 +79,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections at once."""
         for task in self.tasks:
             task.cancel()
         self.server.abort()
--- a/brassweir/service/endpointsource.py
+++ b/brassweir/service/endpointsource.py
@@ -1,4 +1,4 @@
-"""What a sender needs of its endpoint list, wherever that comes from: a file, or the agreed log."""
+"""The interface of an endpoint list's source, a file or the agreed log."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class EndpointSource(Protocol):
-    """Tells the decision module of the endpoints, and knows where each one is."""
+    """Passes endpoints to the decision module, and knows their URLs."""
 
     numbers: DestinationNumbers
-    scale: Callable[[], float]  # the part of each listed rate that is ours
+    scale: Callable[[], float]  # share of each listed rate that this sender may use
 
     def url(self, endpoint: str) -> str | None:
-        """Where an endpoint is."""
+        """Return the URL of an endpoint; None if it is unknown."""
 
     async def open(self) -> None:
-        """Tell the first list, before anything runs. Raises ConfigError."""
+        """Apply the first list, before anything runs. Raises ConfigError."""
 
     async def watch(self) -> None:
-        """Tell each change, for ever."""
+        """Apply each change until cancelled."""
 
-    def again(self) -> None:
-        """What is made of the list has changed: tell it anew."""
+    def reapply(self) -> None:
+        """Apply the list again, because ``scale`` now returns another value."""
--- a/brassweir/service/file_ownership.py
+++ b/brassweir/service/file_ownership.py
@@ -1,4 +1,4 @@
-"""The epochs that head office publishes: a file that is looked at again and again."""
+"""Ownership from a file of epochs that an operator publishes to every region, polled for changes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FileOwnership(RegionOwnership):
-    """Ownership fed by head office's file."""
+    """Ownership from a published file."""
 
     source = Source.FILE
 
@@ -21,17 +21,17 @@
         self,
         region: str,
         path: Path,
-        state: Path,
+        state_path: Path,
         assumed: Assumptions,
         classes: dict[str, MessageClass],
         note: Callable[[str, dict[str, object]], None],
-        counted: Callable[[str], None] = lambda _: None,
+        count_refusal: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """Raises ConfigError where what was known cannot be read."""
-        super().__init__(region, state, assumed, classes, note, counted)
+        """Load the saved epoch. Raises ConfigError if it cannot be read."""
+        super().__init__(region, state_path, assumed, classes, note, count_refusal)
         self.path = path
 
-    def look(self) -> None:
-        """Read the file once."""
-        super().look()
-        self.take(lambda: parse(self.path.read_bytes()), str(self.path))
+    def poll(self) -> None:
+        """Compare the clocks and read the file."""
+        super().poll()
+        self.adopt(lambda: parse(self.path.read_bytes()), str(self.path))
--- a/brassweir/service/forward_connector.py
+++ b/brassweir/service/forward_connector.py
@@ -1,4 +1,4 @@
-"""Forward in a process: its front, its shared keys, its undelivered store, and its carriers."""
+"""The forward protocol in a sender process: server, shared keys, undelivered messages and carriers."""
 
 from __future__ import annotations
 
@@ -17,29 +17,35 @@
 from brassweir.forward.ports import Source
 from brassweir.observe.metrics import Metrics
 from brassweir.service.connector import ConnectorContext, Note
-from brassweir.service.keyfiles import credentials, secret_line
+from brassweir.service.keyfiles import load_credentials, read_secret
 from brassweir.service.wiring import bounds, tag_rules
 from brassweir.undelivered.item import UndeliveredItem
 from brassweir.undelivered.store import UndeliveredStore
 
 
 class KeyFiles:
-    """Shared keys and passwords as files, read again when they change: connections that stand keep standing,
-    new ones need the new key. A file that cannot be read keeps its last good content."""
+    """Shared keys and passwords in files, read again when they change.
+
+    Open connections stay open; new ones need the new key. While a file cannot be read, its last content
+    counts.
+    """
 
     def __init__(self, config: ForwardModel, base: Path, note: Note) -> None:
-        """Raises ConfigError where one cannot be read at start."""
+        """Read all files. Raises ConfigError with all files that cannot be read."""
         self.note = note
-        self.files: dict[Path, tuple[tuple[int, int, int], bytes]] = {}
-        self.of: dict[str, tuple[Path, ...]] = {}
-        self.users: dict[str, dict[str, Path]] = {}
+        self.contents: dict[Path, tuple[tuple[int, int, int], bytes]] = {}
+        self.key_paths: dict[str, tuple[Path, ...]] = {}
+        self.password_paths: dict[str, dict[str, Path]] = {}
         problems: list[str] = []
         for source in config.sources:
-            self.of[source.name] = tuple(base / path for path in source.shared_keys)
-            self.users[source.name] = {user.username: base / user.password for user in source.users}
-            for path in (*self.of[source.name], *self.users[source.name].values()):
+            self.key_paths[source.name] = tuple(base / path for path in source.shared_keys)
+            self.password_paths[source.name] = {user.username: base / user.password for user in source.users}
+            for path in (*self.key_paths[source.name], *self.password_paths[source.name].values()):
                 try:
-                    self.files[path] = (self._identity(path), secret_line(path, f"forward: {source.name}"))
+                    self.contents[path] = (
+                        self._file_identity(path),
+                        read_secret(path, f"forward: {source.name}"),
+                    )
                 except ConfigError as error:
                     problems += error.problems
                 except OSError as error:
@@ -48,94 +54,97 @@
             raise ConfigError(problems)
 
     @staticmethod
-    def _identity(path: Path) -> tuple[int, int, int]:
+    def _file_identity(path: Path) -> tuple[int, int, int]:
         stat = path.stat()
         return stat.st_ino, stat.st_mtime_ns, stat.st_size
 
     def _content(self, path: Path) -> bytes:
-        seen, content = self.files[path]
+        last_identity, content = self.contents[path]
         try:
-            now = self._identity(path)
-            if now != seen:
-                content = secret_line(path, "forward")
-                self.files[path] = (now, content)
+            identity = self._file_identity(path)
+            if identity != last_identity:
+                content = read_secret(path, "forward")
+                self.contents[path] = (identity, content)
                 self.note("key_changed", {"path": str(path)})
         except (OSError, ConfigError) as error:
             self.note("key_unreadable", {"path": str(path), "error": str(error)})
         return content
 
     def keys(self, source: str) -> tuple[bytes, ...]:
-        """The shared keys of a source, as they are now."""
-        return tuple(self._content(path) for path in self.of.get(source, ()))
+        """Return the current shared keys of a source."""
+        return tuple(self._content(path) for path in self.key_paths.get(source, ()))
 
     def password(self, source: str, username: str) -> bytes | None:
-        """The password of a user of a source."""
-        path = self.users.get(source, {}).get(username)
+        """Return the current password of a user of a source; None if there is no such user."""
+        path = self.password_paths.get(source, {}).get(username)
         return self._content(path) if path is not None else None
 
     def needs_user(self) -> bool:
-        """The settings give all sources users, or none."""
-        return any(self.users.values())
+        """Whether sources log in with a user name; the settings give users to all sources or to none."""
+        return any(self.password_paths.values())
 
 
 class ThreadedUndeliveredStore:
-    """The undelivered store on a thread of its own."""
+    """Writes undelivered messages on a thread of its own, so that fsync does not block the loop."""
 
-    def __init__(self, kept: UndeliveredStore) -> None:
-        self.kept = kept
+    def __init__(self, store: UndeliveredStore) -> None:
+        self.store = store
         self.pool = ThreadPoolExecutor(1, thread_name_prefix="kept")
 
     async def __call__(self, item: UndeliveredItem) -> None:
-        """Keep a message. Raises OSError."""
-        await asyncio.get_running_loop().run_in_executor(self.pool, self.kept.save, item)
+        """Store a message durably. Raises OSError."""
+        await asyncio.get_running_loop().run_in_executor(self.pool, self.store.save, item)
 
     def close(self) -> None:
-        """End the thread, once all is written."""
+        """Wait until all messages are written, then end the thread."""
         self.pool.shutdown(wait=True)
 
 
-class _Counts:
-    """The front's metrics."""
+class _FrontMetrics:
+    """Counts the front's events in the metrics."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
 
     def chunk(self, mode: str, entries: int, size: int) -> None:
-        """A chunk was read."""
+        """Count a chunk that was read."""
         self.metrics.chunks.labels(mode).inc()
         self.metrics.chunk_events.inc(entries)
         self.metrics.chunk_bytes.inc(size)
 
     def told(self, what: str) -> None:
-        """A source was told so."""
+        """Count an answer to a source."""
         self.metrics.forward_answers.labels(what).inc()
 
     def held(self, held: int, waiting: int, connections: int) -> None:
-        """What the front holds."""
+        """Set the gauges of buffered bytes, waiting chunks and connections."""
         self.metrics.forward_buffered.set(held)
         self.metrics.forward_waiting.set(waiting)
         self.metrics.forward_connections.set(connections)
 
 
 def undelivered_directory(config: ForwardModel, sender: str, base: Path) -> Path:
-    """Where undelivered chunks are."""
+    """Return the directory of undelivered chunks."""
     return base / (config.kept or Path(f"{sender}.kept"))
 
 
 class ForwardConnector:
-    """Sources and destinations over forward. Raises ConfigError where a key or directory cannot be used."""
+    """Serves sources and destinations of the forward protocol.
+
+    Raises ConfigError if a key cannot be read or the directory of undelivered chunks cannot be used.
+    """
 
-    def __init__(self, parts: ConnectorContext) -> None:
-        config = parts.config
+    def __init__(self, context: ConnectorContext) -> None:
+        config = context.config
         sender = config.sender
-        self.parts = parts
+        self.context = context
         self.carriers: Mapping[str, Carrier] = {
             kind.name: ForwardCarrier(
-                parts.endpoints,
-                parts.pools,
-                credentials(kind, sender.name, parts.base),
-                parts.offload,
-                parts.note,
+                context.endpoints,
+                context.pools,
+                load_credentials(kind, sender.name, context.base),
+                context.offload,
+                context.note,
                 batch=kind.batch,
                 tag=kind.tag,
                 compress=kind.compress,
@@ -145,20 +154,22 @@
             if kind.carrier == "forward"
         }
         self.front: ForwardFront | None = None
-        self.keeps: ThreadedUndeliveredStore | None = None
+        self.undelivered: ThreadedUndeliveredStore | None = None
         self.port = 0
         if config.forward is not None:
-            self.files = KeyFiles(config.forward, parts.base, parts.note)
-            folder = undelivered_directory(config.forward, sender.name, parts.base)
+            self.key_files = KeyFiles(config.forward, context.base, context.note)
+            directory = undelivered_directory(config.forward, sender.name, context.base)
             try:
-                self.keeps = ThreadedUndeliveredStore(UndeliveredStore(folder, config.forward.kept_bytes))
+                self.undelivered = ThreadedUndeliveredStore(
+                    UndeliveredStore(directory, config.forward.kept_bytes)
+                )
             except OSError as error:
-                raise ConfigError([f"forward.kept: {folder}: {error.strerror or error}"]) from None
+                raise ConfigError([f"forward.kept: {directory}: {error.strerror or error}"]) from None
 
     def create_front(self, engine: Engine) -> None:
-        """Make the front, if there is one."""
-        config = self.parts.config.forward
-        if config is None or self.keeps is None:
+        """Create the front, if the settings have one."""
+        config = self.context.config.forward
+        if config is None or self.undelivered is None:
             return
         sources = {
             source.name: Source(source.name, tag_rules(source), source.acks == "required")
@@ -166,22 +177,22 @@
         }
         self.front = ForwardFront(
             sources,
-            self.files,
-            config.hostname or self.parts.config.sender.name,
-            self.parts.classes,
-            self.parts.endpoints.numbers.number,
+            self.key_files,
+            config.hostname or self.context.config.sender.name,
+            self.context.classes,
+            self.context.endpoints.numbers.number,
             engine,
-            self.parts.offload,
-            self.keeps,
-            self.parts.note,
+            self.context.offload,
+            self.undelivered,
+            self.context.note,
             bounds(config),
-            margin=self.parts.config.sender.answer_margin_ms,
-            counts=_Counts(self.parts.metrics),
+            margin=self.context.config.sender.answer_margin_ms,
+            counts=_FrontMetrics(self.context.metrics),
         )
 
     async def start(self) -> dict[str, object]:
-        """Listen."""
-        config = self.parts.config.forward
+        """Listen, if there is a front; return fields for the log event ``started``."""
+        config = self.context.config.forward
         if config is None or self.front is None:
             return {}
         host, _, port = config.listen.rpartition(":")
@@ -193,11 +204,11 @@
         }
 
     def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
-        """Nobody: a source that heard nothing sends its chunk again, and is told then."""
+        """Return None: a source without an ack sends its chunk again, and gets its answer then."""
         return None
 
     def stop_accepting(self) -> None:
-        """Read no new chunk."""
+        """Read no new chunks."""
         if self.front is not None:
             self.front.stop_taking()
 
@@ -207,16 +218,16 @@
             self.front.drain()
 
     async def flush(self, span: float) -> None:
-        """Nothing is owed beyond the connections."""
+        """Do nothing: acks are written on the connections, before :meth:`drain` closes them."""
 
     @property
     def connections(self) -> int:
-        """Connections that stand."""
+        """The number of open client connections."""
         return len(self.front.connections) if self.front is not None else 0
 
     def abort(self) -> None:
-        """Drop every connection."""
+        """Close every connection at once and end the thread of undelivered messages."""
         if self.front is not None:
             self.front.abort()
-        if self.keeps is not None:
-            self.keeps.close()
+        if self.undelivered is not None:
+            self.undelivered.close()
--- a/brassweir/service/keyfiles.py
+++ b/brassweir/service/keyfiles.py
@@ -1,4 +1,4 @@
-"""Files that hold keys, certificates and passwords: read, with errors that name the field."""
+"""Reads keys, certificates and passwords from files; every error names the setting and the file."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 from brassweir.forward.link import Credentials
 from brassweir.webhook import codec
 
-SHORTEST_KEY = 16  # bytes of a key between copies: a shorter one can be guessed
+MIN_PEER_KEY_BYTES = 16
 
 
-def certificate(path: Path, field: str, problems: list[str]) -> x509.Certificate | None:
+def load_certificate(path: Path, field: str, problems: list[str]) -> x509.Certificate | None:
+    """Read a PEM certificate; on failure add a problem and return None."""
     try:
         certificate = x509.load_pem_x509_certificate(path.read_bytes())
-        certificate.public_key()  # read only now, and may be anything
+        certificate.public_key()  # parsed only here; raises for an unsupported key
         return certificate
     except OSError as error:
         problems.append(f"{field}: {path}: {error.strerror or error}")
@@ -30,7 +31,8 @@
     return None
 
 
-def private_key(path: Path, field: str, problems: list[str]) -> PrivateKey | None:
+def load_private_key(path: Path, field: str, problems: list[str]) -> PrivateKey | None:
+    """Read an unencrypted RSA or EC key in PEM; on failure add a problem and return None."""
     try:
         key = load_pem_private_key(path.read_bytes(), None)
     except OSError as error:
@@ -45,21 +47,21 @@
     return key
 
 
-def secrets(kind: KindModel, base: Path) -> tuple[bytes, ...]:
-    """The signing keys of a kind of webhooks. Raises ConfigError."""
-    found, problems = [], []
+def load_signing_keys(kind: KindModel, base: Path) -> tuple[bytes, ...]:
+    """Read the signing keys of a kind of webhooks. Raises ConfigError with all problems."""
+    keys, problems = [], []
     for path in kind.secrets:
         try:
-            found.append(codec.parse_secret((base / path).read_text(encoding="ascii").strip()))
+            keys.append(codec.parse_secret((base / path).read_text(encoding="ascii").strip()))
         except (OSError, ValueError) as error:
             problems.append(f"kind {kind.name}: secrets: {path}: {error}")
     if problems:
         raise ConfigError(problems)
-    return tuple(found)
+    return tuple(keys)
 
 
-def secret_line(path: Path, field: str) -> bytes:
-    """A shared key or password: a file's one line, without the blanks at its ends. Raises ConfigError."""
+def read_secret(path: Path, field: str) -> bytes:
+    """Read a shared key or password: a file's only line, without surrounding blanks. Raises ConfigError."""
     try:
         data = path.read_bytes().strip()
     except OSError as error:
@@ -69,26 +71,29 @@
     return data
 
 
-def credentials(kind: KindModel, name: str, base: Path) -> Credentials:
-    """How a sender names itself to a kind of forward destinations. Raises ConfigError."""
+def load_credentials(kind: KindModel, name: str, base: Path) -> Credentials:
+    """Read a sender's credentials for a kind of forward destinations. Raises ConfigError."""
     field = f"kind {kind.name}"
-    key = secret_line(base / kind.shared_key, f"{field}: shared_key") if kind.shared_key else b""
-    password = secret_line(base / kind.password, f"{field}: password") if kind.password else b""
+    key = read_secret(base / kind.shared_key, f"{field}: shared_key") if kind.shared_key else b""
+    password = read_secret(base / kind.password, f"{field}: password") if kind.password else b""
     return Credentials(kind.hostname or name, key, kind.username, password)
 
 
-def peer_keys(peers: PeersModel, base: Path) -> list[bytes]:
-    """The keys that seal messages between copies, newest first. Raises ConfigError, all at once."""
-    found: list[bytes] = []
+def load_peer_keys(peers: PeersModel, base: Path) -> list[bytes]:
+    """Read the keys that authenticate messages between copies, newest first.
+
+    Raises ConfigError with all problems; a key of fewer than 16 bytes could be guessed and is one.
+    """
+    keys: list[bytes] = []
     problems: list[str] = []
     for number, path in enumerate(peers.keys):
         field = f"peers.keys[{number}]"
         try:
-            found.append(secret_line(base / path, field))
-            if len(found[-1]) < SHORTEST_KEY:
-                problems.append(f"{field}: {base / path}: a key has {SHORTEST_KEY} bytes or more")
+            keys.append(read_secret(base / path, field))
+            if len(keys[-1]) < MIN_PEER_KEY_BYTES:
+                problems.append(f"{field}: {base / path}: a key has {MIN_PEER_KEY_BYTES} bytes or more")
         except ConfigError as error:
             problems += error.problems
     if problems:
         raise ConfigError(problems)
-    return found
+    return keys
--- a/brassweir/service/listfile.py
+++ b/brassweir/service/listfile.py
@@ -1,8 +1,8 @@
 """The endpoint list as a file that is read again when it changes.
 
-The file's identity is looked at every tenth of a second: that works alike for files replaced by rename,
-rewritten in place and on file systems that tell no changes, and costs one system call. A changed file is read
-on a thread and told to the engine in bounded steps, drains first: no list stalls anything, however long.
+The file's identity is polled: one system call finds files replaced by rename, rewritten in place, and changed
+on file systems without notifications. A changed file is parsed on a thread and passed to the engine in
+bounded steps, drains first, so that a long list does not stall the event loop.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
     scale_rates,
 )
 
-LOOK = 0.1  # seconds between two looks: drains are to be known well within any grace
+POLL_INTERVAL_SECONDS = 0.1  # a drained endpoint must be known well within its grace period
 
 
 def read_entries(path: Path) -> Sequence[ListEntry]:
-    """Read a list as it stands, YAML or JSON lines by its name. Raises ConfigError."""
+    """Read a list's entries: JSON lines if the name ends on ``.jsonl``, else YAML. Raises ConfigError."""
     return lines.read(path) if path.suffix == ".jsonl" else load(path, EndpointList).endpoints
 
 
@@ -38,77 +38,76 @@
 
 
 class ListFile:
-    """Keeps the last good list; a bad version is complained of and changes nothing."""
+    """Applies the list in a file; an invalid version is logged and the last valid one stays in force."""
 
     def __init__(
         self,
         path: Path,
         config: Config,
-        tell: Callable[[api.ListUpdate], None],
+        send_update: Callable[[api.ListUpdate], None],
         note: Callable[[str, dict[str, object]], None],
     ) -> None:
-        self.path, self.config, self.tell, self.note = path, config, tell, note
+        self.path, self.config, self.send_update, self.note = path, config, send_update, note
         self.numbers = DestinationNumbers(config)
         self.urls: dict[str, str] = {}
-        self.intake = ListUpdateQueue()
-        self.seen: object = None
-        self.scale: Callable[[], float] = lambda: 1.0  # the part of each listed rate that is ours
+        self.updates = ListUpdateQueue()
+        self.last_identity: object = None
+        self.scale: Callable[[], float] = lambda: 1.0  # share of each listed rate that this sender may use
 
     def url(self, endpoint: str) -> str | None:
-        """Where an endpoint is."""
+        """Return the URL of an endpoint; None if it is unknown."""
         return self.urls.get(endpoint)
 
     def read(self) -> None:
-        """Read the file before anything runs: told at once. Raises ConfigError."""
-        self.seen = self._identity()
-        self._take(read_list(self.path, self.config, self.numbers))
-        while (news := self.intake.next_update()) is not None:
-            self.tell(news)
+        """Read the file and pass it on in one go, before anything runs. Raises ConfigError."""
+        self.last_identity = self._identity()
+        self._apply(read_list(self.path, self.config, self.numbers))
+        while (update := self.updates.next_update()) is not None:
+            self.send_update(update)
 
     async def open(self) -> None:
-        """Tell the first list, before anything runs. Raises ConfigError."""
+        """Apply the first list, before anything runs. Raises ConfigError."""
         self.read()
 
     async def watch(self) -> None:
-        """Read again at each change, for ever."""
+        """Apply each changed version until cancelled."""
         while True:
-            await asyncio.sleep(LOOK)
-            now = self._identity()
-            if now == self.seen:
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            identity = self._identity()
+            if identity == self.last_identity:
                 continue
-            self.seen = now
+            self.last_identity = identity
             try:
-                # Read and compared on a thread: only the telling needs the loop.
-                await asyncio.to_thread(lambda: self._take(read_list(self.path, self.config, self.numbers)))
+                await asyncio.to_thread(lambda: self._apply(read_list(self.path, self.config, self.numbers)))
             except ConfigError as error:
                 self.note("list_refused", {"path": str(self.path), "problems": error.problems[:20]})
                 continue
-            while (news := self.intake.next_update()) is not None:
-                self.tell(news)
-                await asyncio.sleep(0)  # one step a turn: all else goes on between
-
-    def _take(self, found: ResolvedList) -> None:
-        count = self.intake.replace_all(scale_rates(found.infos, self.scale()))
-        # Removed endpoints keep their address while an attempt that is out may need it: until the next list.
-        gone = {
+            while (update := self.updates.next_update()) is not None:
+                self.send_update(update)
+                await asyncio.sleep(0)  # one step per turn of the loop
+
+    def _apply(self, resolved: ResolvedList) -> None:
+        count = self.updates.replace_all(scale_rates(resolved.infos, self.scale()))
+        # Removed endpoints keep their URL until the next list, for attempts in flight.
+        removed_urls = {
             name: self.urls[name]
-            for name in self.urls.keys() & self.intake.known.keys()
-            if name not in found.urls
+            for name in self.urls.keys() & self.updates.known.keys()
+            if name not in resolved.urls
         }
-        self.urls = found.urls | gone
+        self.urls = resolved.urls | removed_urls
         self.note(
             "list_taken",
             {
                 "path": str(self.path),
-                "endpoints": len(found.infos),
+                "endpoints": len(resolved.infos),
                 "to_tell": count,
-                "first_off": len(self.intake.unusable),
+                "first_off": len(self.updates.unusable),
             },
         )
 
-    def again(self) -> None:
-        """Read the list again at the next look: what is made of it has changed."""
-        self.seen = None
+    def reapply(self) -> None:
+        """Apply the list again at the next poll, with the new scale."""
+        self.last_identity = None
 
     def _identity(self) -> object:
         try:
--- a/brassweir/service/log_maintenance.py
+++ b/brassweir/service/log_maintenance.py
@@ -1,7 +1,4 @@
-"""What this copy does with the agreed log: takes part, renews leases while it leads, feeds its own ownership.
-
-Membership and the operator's desired epoch stand in modules of their own.
-"""
+"""The periodic work of one copy on the agreed log: renewing leases while it leads, membership, and epochs."""
 
 from __future__ import annotations
 
@@ -20,44 +17,50 @@
 from brassweir.service.log_ownership import LogOwnership
 from brassweir.service.membership import Membership
 
-LOOK = 0.1  # seconds between two looks: well within a tenth of the shortest lease
+CHECK_INTERVAL_SECONDS = 0.1  # well within a tenth of the shortest lease
 
 
 class LogMaintenance:
-    """One copy's dealings with the log. ``region`` is there where epochs come from it."""
+    """Keeps this copy a member, its leases renewed and its ownership up to date.
+
+    ``region`` is None where epochs come from a file or the settings have no regions. ``lease`` is in ms.
+    """
 
     def __init__(
         self,
         me: CopyModel,
         machine: Machine,
-        group: LogMember,
+        member: LogMember,
         region: LogOwnership | None,
         lease: float,
         first: Path | None,
         note: Note,
     ) -> None:
-        self.me, self.machine, self.group, self.region = me, machine, group, region
+        self.me, self.machine, self.member, self.region = me, machine, member, region
         self.lease, self.note = lease, note
-        self.membership = Membership(me, machine, group, note)
-        self.desired = DesiredEpoch(machine, group, region, lease, first, note)
+        self.membership = Membership(me, machine, member, note)
+        self.desired = DesiredEpoch(machine, member, region, lease, first, note)
         self.renewing = LeaseRenewal()
-        self.said = self.refused = ""
+        self.reported_beyond = self.last_refusal = ""
+
+    def apply_changes(self) -> None:
+        """Pass the state machine's epoch to the ownership.
 
-    def hear(self) -> None:
-        """The machine has changed, or may have."""
+        Leaves the log if it holds commands that this version of the program cannot apply.
+        """
         if self.region is not None:
             self.region.applied(self.machine.state.epoch)
-        if self.machine.unsupported and self.said != self.machine.unsupported:
-            self.said = self.machine.unsupported
-            self.note("agreed_beyond", {"error": self.said})
-            self.group.give_up()
+        if self.machine.unsupported and self.reported_beyond != self.machine.unsupported:
+            self.reported_beyond = self.machine.unsupported
+            self.note("agreed_beyond", {"error": self.reported_beyond})
+            self.member.leave_for_good()
 
     async def run(self) -> None:
-        """Go on for ever."""
+        """Check at a fixed interval until cancelled."""
         while True:
-            await asyncio.sleep(LOOK)
-            self.hear()  # nothing may have been applied, and a disk may have room again
-            leader = self.group.status()["leader"]
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            self.apply_changes()  # also retries an epoch that could not be saved
+            leader = self.member.status()["leader"]
             if leader and not self.machine.unsupported:
                 await self._renew(leader == self.me.name)
                 await self.membership.join()
@@ -69,38 +72,38 @@
     async def _renew(self, leading: bool) -> None:
         if self.region is None:
             return
-        state, wall, own = self.machine.state, self.region.wall(), self.region.ownership
+        state, wall, ownership = self.machine.state, self.region.wall(), self.region.ownership
         step = self.renewing.step(
             time.monotonic() * 1000.0,
             RenewalInputs(
                 leading,
                 wall,
-                own.clock_trusted(wall),
+                ownership.clock_trusted(wall),
                 state.epoch,
                 state.granted,
                 self.lease,
-                own.assumed,
+                ownership.assumed,
                 self.desired.waiting,
                 lost_regions(state) if leading else frozenset(),
             ),
         )
         if isinstance(step, GiveUpLeadership):
             self.note("lead_given_away", {"why": step.why})
-            self.group.hand_over()
+            self.member.hand_over()
         elif isinstance(step, ProposeRenewal):
-            result = await propose(self.group, Publish(step.epoch, step.after))
+            result = await propose(self.member, Publish(step.epoch, step.after))
             error = f"{result.field}: {result.why}" if result and result.field not in ("", "after") else ""
-            if error != self.refused:
-                self.refused = error  # complained of once
+            if error != self.last_refusal:
+                self.last_refusal = error  # logged once for each new error
                 if error:
                     self.note("renewal_refused", {"error": error})
 
     def state(self) -> dict[str, Any]:
-        """What operators are shown."""
+        """Return the state shown at ``/agreed``."""
         state = self.machine.state
         epoch = state.epoch
         return {
-            **self.group.status(),
+            **self.member.status(),
             "level": state.level,
             "index": state.index,
             "digest": self.machine.digest(),
@@ -110,12 +113,12 @@
             if epoch is None
             else {"number": epoch.number, "issued": epoch.issued, "turn": epoch.turn},
             "members": {
-                name: {"site": one.site, "region": one.region, "reads": one.reads}
-                for name, one in sorted(state.copies.items())
+                name: {"site": copy.site, "region": copy.region, "reads": copy.reads}
+                for name, copy in sorted(state.copies.items())
             },
             "sites": {
-                name: {"standing": one.standing, "since": one.since, "by": one.by, "version": one.version}
-                for name, one in sorted(state.sites.items())
+                name: {"standing": site.standing, "since": site.since, "by": site.by, "version": site.version}
+                for name, site in sorted(state.sites.items())
             },
             "pins": self.machine.pins,
             "wish_waiting": self.desired.waiting,
--- a/brassweir/service/log_member.py
+++ b/brassweir/service/log_member.py
@@ -1,4 +1,4 @@
-"""What this copy's dealings with the agreed log need of its member: to propose, and to change who votes."""
+"""The interface to this copy's member of the agreed log, and how commands are proposed through it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from brassweir.agreed import commands
 from brassweir.agreed.commands import Command, CommandError, Result
 
-PROPOSAL_TIMEOUT = 3000.0  # ms until a proposal counts as unknown: a new leader is there by then
+PROPOSAL_TIMEOUT_MS = 3000.0  # longer than the election of a new leader takes
 
 Note = Callable[[str, dict[str, object]], None]
 
@@ -27,31 +27,34 @@
 
 
 class LogMember(Protocol):
-    """What is needed of the member."""
+    """The operations of a log member that membership, renewal and epoch proposals use."""
 
     async def propose(self, command: bytes, timeout_ms: float) -> ProposalOutcome:
-        """Agree on a command."""
+        """Propose a command and wait until it is agreed, refused, or the timeout has passed."""
 
     def status(self) -> Mapping[str, Any]:
-        """Role, term, leader, commit, applied, voters, learners."""
+        """Return role, term, leader, commit and applied index, voters and learners."""
 
     def hand_over(self) -> None:
-        """Let another lead, if this one does."""
+        """Transfer leadership to another member, if this one leads."""
 
     def alive(self) -> frozenset[str]:
-        """Copies that are thought to be there, this one among them."""
+        """Return the names of the copies believed alive, this one included."""
 
-    def give_up(self) -> None:
-        """Follow no further: this version cannot."""
+    def leave_for_good(self) -> None:
+        """Leave the log for good, because this version of the program cannot apply its commands."""
 
     async def change(self, name: str, votes: bool, timeout_ms: float) -> ProposalOutcome:
-        """Let a copy vote, or no longer; for the leader only."""
+        """Make a copy a voter, or take its vote away. Only the leader can do this."""
 
 
-async def propose(group: LogMember, command: Command) -> Result | None:
-    """The result of a command; None if it is not known, or was not taken."""
+async def propose(member: LogMember, command: Command) -> Result | None:
+    """Propose a command and return its result; None if it was not agreed, or its outcome is unknown.
+
+    A command that cannot be encoded gives a failed result instead of an exception.
+    """
     try:
-        outcome = await group.propose(commands.encode(command), PROPOSAL_TIMEOUT)
+        outcome = await member.propose(commands.encode(command), PROPOSAL_TIMEOUT_MS)
     except CommandError as error:
         return Result(False, 0, "command", str(error))
     if outcome.how != "agreed":
--- a/brassweir/service/log_ownership.py
+++ b/brassweir/service/log_ownership.py
@@ -1,7 +1,6 @@
-"""The epochs that the agreed log carries: fed as this copy applies them, and kept like those of a file.
+"""Ownership from the epochs in the agreed log, adopted as this copy applies them.
 
-A copy cut off from the group applies nothing: its leases run out here as they do for a file that is no longer
-brought.
+A copy that is cut off from the group applies nothing, so its leases expire here.
 """
 
 from __future__ import annotations
@@ -12,16 +11,16 @@
 
 
 class LogOwnership(RegionOwnership):
-    """Ownership fed by the agreed log."""
+    """Ownership from the agreed log."""
 
     source = Source.AGREED
-    latest: Epoch | None = None  # the newest that was applied here
+    latest: Epoch | None = None  # the newest epoch that was applied here
 
     def applied(self, epoch: Epoch | None) -> None:
-        """What the agreed machine holds now. After a restart it goes through what is known here already."""
+        """Take the state machine's epoch, unless it is older than the known one, as in a replay at start."""
         if epoch is not None and epoch != self.latest and not self._behind(epoch):
             self.latest = epoch
-            self.look()
+            self.poll()
 
     def _behind(self, epoch: Epoch) -> bool:
         known = self.ownership.epoch
@@ -31,9 +30,9 @@
             known.issued,
         )
 
-    def look(self) -> None:
-        """Take the newest: again at each look, for a disk that was full may have room now."""
-        super().look()
+    def poll(self) -> None:
+        """Adopt the newest epoch; each poll retries one that could not be saved."""
+        super().poll()
         latest = self.latest
         if latest is not None and latest != self.ownership.epoch:
-            self.take(lambda: latest, "agreed log")
+            self.adopt(lambda: latest, "agreed log")
--- a/brassweir/service/observer.py
+++ b/brassweir/service/observer.py
@@ -1,4 +1,4 @@
-"""Turns what passes in the engine into log lines and metrics; every line of a message carries its id."""
+"""Writes the engine's events to the log and the metrics; every log line of a message carries its id."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 class Observer(EngineObserver):
-    """The engine's watcher of one sender."""
+    """Logs and counts the events of one sender's engine."""
 
     def __init__(self, log: Any, metrics: Metrics, clock: Clock, endpoint_kind: Callable[[str], str]) -> None:
         self.log, self.metrics, self.clock, self.endpoint_kind = log, metrics, clock, endpoint_kind
 
     def submitted(self, record: MessageRecord, how: SubmitStatus) -> None:
-        """A hand-in."""
-        given = record.submission
-        self.metrics.submissions.labels(given.class_name, how.name.lower()).inc()
+        """A message was submitted."""
+        submission = record.submission
+        self.metrics.submissions.labels(submission.class_name, how.name.lower()).inc()
         if how is SubmitStatus.NEW:
             self.metrics.open.inc()
         self.log.info(
             "taken",
             message=record.id,
             how=how.name.lower(),
-            owner=given.owner,
-            identity=given.identity.partition("\n")[2] or given.identity,
-            class_name=given.class_name,
-            destination=given.destination,
-            left_ms=round(given.time_left),
+            owner=submission.owner,
+            identity=submission.identity.partition("\n")[2] or submission.identity,
+            class_name=submission.class_name,
+            destination=submission.destination,
+            left_ms=round(submission.time_left),
         )
 
     def sent(self, attempt: Attempt) -> None:
-        """An attempt goes out."""
+        """An attempt starts."""
         self.metrics.in_flight.inc()
         self.log.info(
             "sent",
@@ -63,7 +63,7 @@
         )
 
     def late_outcome(self, record: MessageRecord, number: int, outcome: Outcome) -> None:
-        """Something came for an attempt that had its outcome."""
+        """An outcome arrived for an attempt that already had one."""
         self.metrics.late_outcomes.inc()
         self.log.warning(
             "late_outcome",
@@ -75,7 +75,7 @@
         )
 
     def final(self, record: MessageRecord) -> None:
-        """A message has its answer."""
+        """A message got its final answer."""
         answer = record.answer
         assert answer is not None
         age = record.answered_at - record.accepted_at
@@ -94,12 +94,12 @@
         )
 
     def turn(self, events: int, actions: int, spent: float) -> None:
-        """One call of the module."""
+        """The decision module was called once, for ``spent`` seconds of CPU."""
         self.metrics.decision_cpu.inc(spent)
         self.metrics.turns.inc()
         self.metrics.events.inc(events)
 
     def note(self, event: str, details: dict[str, object]) -> None:
-        """Something else worth a line."""
+        """Any other event: logged as a warning and counted by name."""
         self.metrics.notes.labels(event).inc()
         self.log.warning(event, **details)
--- a/brassweir/service/open_file_limit.py
+++ b/brassweir/service/open_file_limit.py
@@ -1,4 +1,4 @@
-"""The limit on open files: read at start, raised as far as a user may, or refused."""
+"""Raises the limit on open files (RLIMIT_NOFILE) at start as far as the settings need."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from brassweir.config.load import ConfigError
 from brassweir.config.model import Config
 
-SPARE = 64  # descriptors for files, the loop, threads and logs
+RESERVED_DESCRIPTORS = 64  # for files, the event loop, threads and logs
 
 
 def descriptors_needed(config: Config) -> int:
-    """Descriptors that the settings can come to use."""
+    """Return the most descriptors that a process with these settings can use."""
     sources = config.forward.connections if config.forward is not None else 0
-    return config.limits.connections + config.sender.connections + sources + SPARE
+    return config.limits.connections + config.sender.connections + sources + RESERVED_DESCRIPTORS
 
 
-def plan_soft_limit(need: int, soft: int, hard: int) -> int:
-    """The soft limit to set. Raises ConfigError if even the hard limit is too low."""
-    if need <= soft:
+def plan_soft_limit(needed: int, soft: int, hard: int) -> int:
+    """Return the soft limit to set. Raises ConfigError if even the hard limit is too low."""
+    if needed <= soft:
         return soft
-    if need <= hard:
-        return need
+    if needed <= hard:
+        return needed
     raise ConfigError(
         [
-            f"limits.connections, sender.connections and forward.connections need {need} open files and "
-            f"this process may have {hard}: set the limit to {need} (ulimit -n {need}) or lower them by "
-            f"{need - hard}"
+            f"limits.connections, sender.connections and forward.connections need {needed} open files and "
+            f"this process may have {hard}: set the limit to {needed} (ulimit -n {needed}) or lower them by "
+            f"{needed - hard}"
         ]
     )
 
 
 def raise_soft_limit(config: Config) -> None:
-    """Make sure that the settings can be carried. Raises ConfigError."""
+    """Raise the soft limit as far as the settings need. Raises ConfigError if the hard limit is too low."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     unlimited = 1 << 62
-    wanted = plan_soft_limit(
+    new_soft = plan_soft_limit(
         descriptors_needed(config), unlimited if soft < 0 else soft, unlimited if hard < 0 else hard
     )
-    if soft >= 0 and wanted != soft:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
+    if soft >= 0 and new_soft != soft:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (new_soft, hard))
--- a/brassweir/service/operations.py
+++ b/brassweir/service/operations.py
@@ -1,4 +1,4 @@
-"""What every process shows to its operators over plain HTTP: metrics, health, and states as JSON."""
+"""The HTTP pages for operators that every process serves: metrics, health, and states as JSON."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 from brassweir.net.server import Request, Response
 from brassweir.observe.metrics import Metrics
 
-States = Mapping[str, Callable[[], dict[str, Any]]]  # by path: what is shown there
+States = Mapping[str, Callable[[], dict[str, Any]]]  # state by path
 
 
 class Operations:
-    """Answers each request from what is there now. ``states`` holds what only some processes have;
-    ``health`` says why this one takes nothing now, "" if it does."""
+    """Answers operators' requests.
 
-    also = ""  # what else is shown, in the words for an unknown path
+    ``states`` holds the pages that only some processes have, by path. ``health`` returns why this process
+    accepts no messages now, or an empty string if it does.
+    """
+
+    also = ""  # further paths, for the text of a 404
 
     def __init__(self, metrics: Metrics, states: States, health: Callable[[], str]) -> None:
         self.metrics, self.states, self.health = metrics, states, health
 
     async def answer(self, request: Request) -> Response:
-        """One request."""
+        """Answer one request."""
         if request.path == "/metrics":
             return Response(
                 200,
@@ -36,14 +39,14 @@
         state_of = self.states.get(request.path)
         if state_of is not None:
             return as_json(state_of())
-        return self.other(request)
+        return self.other_path(request)
 
-    def other(self, request: Request) -> Response:
-        """A path that not every process has."""
+    def other_path(self, request: Request) -> Response:
+        """Answer a path that not every process has; a subclass adds its own."""
         paths = ", ".join(("/metrics", "/healthz", *self.states))
         return Response(404, body=f"only {paths}{self.also}\n".encode())
 
 
 def as_json(tree: dict[str, Any]) -> Response:
-    """A state as it is shown."""
+    """Return a JSON response."""
     return Response(200, Headers([("Content-Type", "application/json")]), json.dumps(tree).encode())
--- a/brassweir/service/ownership_factory.py
+++ b/brassweir/service/ownership_factory.py
@@ -1,4 +1,4 @@
-"""The ownership of a sender, from its settings: fed by head office's file, by the agreed log, or none."""
+"""Creates the ownership that the settings ask for: from a file, from the agreed log, or none."""
 
 from __future__ import annotations
 
@@ -21,17 +21,21 @@
     metrics: Metrics,
     note: Callable[[str, dict[str, object]], None],
 ) -> RegionOwnership | None:
-    """Raises ConfigError where what was known cannot be read."""
-    given = config.region
-    if given is None:
+    """Return the ownership, or None without regions. Raises ConfigError if the saved epoch cannot be read."""
+    settings = config.region
+    if settings is None:
         return None
-    longest = max((cls.deadline for cls in classes.values()), default=given.longest_deadline_ms or 0.0)
-    assumed = Assumptions(given.clock_error_ms, longest, given.asks_on_ms)
-    state = base / f"{config.sender.name}.epoch"
+    longest_deadline_ms = max(
+        (cls.deadline for cls in classes.values()), default=settings.longest_deadline_ms or 0.0
+    )
+    assumed = Assumptions(settings.clock_error_ms, longest_deadline_ms, settings.asks_on_ms)
+    state_path = base / f"{config.sender.name}.epoch"
 
-    def counted(why: str) -> None:
+    def count_refusal(why: str) -> None:
         metrics.ownership_refusals.labels(why).inc()
 
-    if given.epochs is None:
-        return LogOwnership(given.name, state, assumed, classes, note, counted)
-    return FileOwnership(given.name, base / given.epochs, state, assumed, classes, note, counted)
+    if settings.epochs is None:
+        return LogOwnership(settings.name, state_path, assumed, classes, note, count_refusal)
+    return FileOwnership(
+        settings.name, base / settings.epochs, state_path, assumed, classes, note, count_refusal
+    )
--- a/brassweir/service/peer_group.py
+++ b/brassweir/service/peer_group.py
@@ -1,7 +1,6 @@
-"""What copies share, in one process: the port to the others, and the agreed log where the settings have it.
+"""Connects one copy with its peers: the UDP port between copies and, if configured, the agreed log.
 
-Imported only where the settings name peers: all others pay nothing for it. It has no say in delivery: what
-fails here lets leases run out, and no more.
+Imported only where the settings name peers. A failure here never stops delivery; it only lets leases expire.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 from brassweir.observe.metrics import Metrics
 from brassweir.peers.copies import Copy
 from brassweir.peers.port import PeerPort
-from brassweir.service.keyfiles import peer_keys
+from brassweir.service.keyfiles import load_peer_keys
 from brassweir.service.region_ownership import RegionOwnership
 
 if TYPE_CHECKING:
@@ -26,7 +25,7 @@
 
 
 class PeerGroup:
-    """One copy among others."""
+    """One copy's connection to its peers."""
 
     def __init__(
         self,
@@ -37,13 +36,17 @@
         note: Callable[[str, dict[str, object]], None],
         follower: Follower | None = None,
     ) -> None:
-        """``follower``: what puts versions of the endpoint configuration in force here, if anything does.
-        Raises ConfigError with all that is wrong with the files that copies share."""
+        """``follower`` puts versions of the endpoint configuration in force here, if the settings use them.
+
+        Raises ConfigError with all problems of the copies' file and the keys.
+        """
         assert config.peers is not None
         self.config, self.base, self.note = config, base, note
-        self.copies, keys = self._read(config)
+        self.copies, keys = self._read_files(config)
         self.me = own_entry(self.copies, config)
-        self.port = PeerPort(self.me.name, _told(self.copies), keys, config.peers.listen or self.me.address)
+        self.port = PeerPort(
+            self.me.name, _peer_copies(self.copies), keys, config.peers.listen or self.me.address
+        )
         self.states: dict[str, Callable[[], dict[str, Any]]] = {"/peers": self.state}
         metrics.add_gauges(
             "brassweir_peers", "Messages between copies, and copies by what is known of them", self.counts
@@ -62,8 +65,8 @@
                     "brassweir_configuration", "The endpoint configuration as seen here", configuration.counts
                 )
 
-    def _read(self, config: CopyConfig) -> tuple[tuple[CopyModel, ...], list[bytes]]:
-        """The copies' file and the keys. Raises ConfigError, all problems at once."""
+    def _read_files(self, config: CopyConfig) -> tuple[tuple[CopyModel, ...], list[bytes]]:
+        """Read the copies' file and the shared keys. Raises ConfigError with all problems at once."""
         assert config.peers is not None
         problems: list[str] = []
         copies: tuple[CopyModel, ...] = ()
@@ -74,7 +77,7 @@
         except ConfigError as error:
             problems += error.problems
         try:
-            keys = peer_keys(config.peers, self.base)
+            keys = load_peer_keys(config.peers, self.base)
         except ConfigError as error:
             problems += error.problems
         if problems:
@@ -82,33 +85,35 @@
         return copies, keys
 
     async def start(self) -> dict[str, object]:
-        """Listen, and take part. Returns what the log is to say. Raises OSError and ConfigError."""
+        """Listen and join the agreed log; return fields for the log event ``started``.
+
+        Raises OSError and ConfigError.
+        """
         await self.port.start()
-        said: dict[str, object] = {"peers_port": self.port.listen[1]}
+        fields: dict[str, object] = {"peers_port": self.port.listen[1]}
         if self.agreed is not None:
             await self.agreed.start()
-        return said
+        return fields
 
     def reload(self, config: CopyConfig) -> None:
-        """An operator asks: copies, keys, voters and the next epoch are read again. What is bad changes
-        nothing."""
+        """Read copies, keys, voters and the next epoch again. Bad files are logged and change nothing."""
         if config.sender.name != self.me.name or config.peers is None:
             self.note("peers_refused", {"problems": ["sender.name or peers: another one needs a restart"]})
             return
         try:
-            copies, keys = self._read(config)
+            copies, keys = self._read_files(config)
         except ConfigError as error:
             self.note("peers_refused", {"problems": error.problems[:20]})
             return
-        gone = {one.name for one in self.copies} - {one.name for one in copies}
+        removed = {copy.name for copy in self.copies} - {copy.name for copy in copies}
         self.copies = copies
-        self.port.reload(_told(copies), keys)
-        self.note("peers_taken", {"copies": len(copies), "gone": sorted(gone)})
+        self.port.reload(_peer_copies(copies), keys)
+        self.note("peers_taken", {"copies": len(copies), "gone": sorted(removed)})
         if self.agreed is not None:
-            self.agreed.reload(config, copies, gone)
+            self.agreed.reload(config, copies, removed)
 
     def state(self) -> dict[str, Any]:
-        """Who is thought to be there, for operators."""
+        """Return the state shown at ``/peers``: this copy and what it believes of the others."""
         view = self.port.view()
         return {
             "name": self.me.name,
@@ -122,7 +127,7 @@
         }
 
     def counts(self) -> dict[str, float]:
-        """What passed, and how many copies are in which state, for metrics."""
+        """Return the values of the ``brassweir_peers`` gauges: traffic, and copies by state."""
         view = self.port.view()
         states = Counter(view.states.values())
         copies = {f"copies_{name}": states[name] for name in ("alive", "suspected", "dead")}
@@ -135,23 +140,23 @@
         }
 
     def hand_over(self) -> None:
-        """This process is about to stop: let another lead. It goes on following."""
+        """Transfer leadership of the agreed log before this process stops; it goes on following."""
         if self.agreed is not None:
             self.agreed.hand_over()
 
     def abort(self) -> None:
-        """End at once, without a word to anybody."""
+        """Stop at once, without telling the other copies."""
         if self.agreed is not None:
             self.agreed.abort()
         if self.port.transport is not None:
             self.port.transport.abort()
 
     async def stop(self) -> None:
-        """End taking part."""
+        """Leave the agreed log and close the port."""
         if self.agreed is not None:
             await self.agreed.stop()
         await self.port.stop()
 
 
-def _told(copies: tuple[CopyModel, ...]) -> list[Copy]:
-    return [Copy(one.name, one.site, one.region, one.address) for one in copies]
+def _peer_copies(copies: tuple[CopyModel, ...]) -> list[Copy]:
+    return [Copy(copy.name, copy.site, copy.region, copy.address) for copy in copies]
--- a/brassweir/service/process.py
+++ b/brassweir/service/process.py
@@ -1,4 +1,4 @@
-"""One sender: its parts, their start, the drain and the end."""
+"""One sender process: creates its components, starts, drains and stops them."""
 
 from __future__ import annotations
 
@@ -38,23 +38,23 @@
     from brassweir.service.peer_group import PeerGroup
     from brassweir.service.versionedlist import VersionedList
 
-_ANSWERS = 0.2  # share of the drain's grace kept for answers to be written and receipts to be brought
+_FLUSH_SHARE = 0.2  # of the drain's grace, reserved for writing answers and delivering receipts
 
 
 class SenderProcess:
-    """A running sender. Made inside the loop that it will run on."""
+    """A sender process. Must be created inside the event loop that it runs on."""
 
     def __init__(self, config: Config, base: Path, log: Any) -> None:
-        """Wire everything together; paths count from ``base``. Raises ConfigError."""
+        """Create all components; paths in the settings are relative to ``base``. Raises ConfigError."""
         loop = asyncio.get_running_loop()
         sender = config.sender
         self.config, self.log = config, log.bind(sender=sender.name)
         raise_soft_limit(config)
-        given = settings(config)
-        classes = {cls.name: cls for cls in given.classes}
+        engine_settings = settings(config)
+        classes = {cls.name: cls for cls in engine_settings.classes}
         self.clock = LoopClock(loop)
         self.metrics = Metrics()
-        self.observer = Observer(self.log, self.metrics, self.clock, self._kind)
+        self.observer = Observer(self.log, self.metrics, self.clock, self._endpoint_kind)
         bounds = limits(config)
         self.pools = PoolManager(
             bounds,
@@ -66,8 +66,8 @@
         )
         self.offload = Offload(sender.crypto_threads)
         note = self.observer.note
-        self.endpoints = self._endpoints(base)
-        parts = ConnectorContext(
+        self.endpoints = self._create_endpoint_source(base)
+        context = ConnectorContext(
             config,
             base,
             classes,
@@ -77,22 +77,22 @@
             bounds,
             self.metrics,
             note,
-            self._complain,
-            self._told,
+            self._report_bad_request,
+            self._receipt_delivered,
         )
-        self.as2 = As2Connector(parts) if config.identity is not None else None
-        self.forward = ForwardConnector(parts)
-        self.connectors: list[Connector] = [WebhookConnector(parts), self.forward]
+        self.as2 = As2Connector(context) if config.identity is not None else None
+        self.forward = ForwardConnector(context)
+        self.connectors: list[Connector] = [WebhookConnector(context), self.forward]
         if self.as2 is not None:
             self.connectors.append(self.as2)
         self.carriers: dict[str, Carrier] = {}
         for connector in self.connectors:
             self.carriers.update(connector.carriers)
         self.journal_failure: asyncio.Future[BaseException] = loop.create_future()
-        self.journal = self._journal(base, classes) if sender.journaled else None
+        self.journal = self._open_journal(base, classes) if sender.journaled else None
         seed = sender.seed if sender.seed is not None else random.SystemRandom().getrandbits(48)
         self.engine = Engine(
-            given,
+            engine_settings,
             seed,
             self.clock,
             lambda info: self.carriers[info.kind],
@@ -103,28 +103,28 @@
         )
         self.region = create_ownership(config, base, classes, self.metrics, note)
         if self.region is not None:
-            self.engine.admission_check = self.region.admits
+            self.engine.admission_check = self.region.check_admission
         for connector in self.connectors:
             connector.create_front(self.engine)
-        self.peer_group = self._together(base)
+        self.peer_group = self._create_peer_group(base)
         states = self.peer_group.states if self.peer_group is not None else {}
-        self.waiting_for_list = False  # for a first endpoint list
+        self.waiting_for_list = False
         self.starting = "starting" if config.endpoints_in_log else ""
-        plain = SenderOperations(
+        pages = SenderOperations(
             self.engine, self.endpoints.numbers, self.metrics, self.clock, states, lambda: self.starting
         )
-        self.operations_server = Server(plain.answer, bounds, self._complain)
+        self.operations_server = Server(pages.answer, bounds, self._report_bad_request)
         self.tasks: list[asyncio.Task[None]] = []
         self.metrics_port = 0
 
-    def _journal(self, base: Path, classes: dict[str, api.MessageClass]) -> ProcessJournal:
-        keeping = journal_settings(self.config.sender, base, classes)
+    def _open_journal(self, base: Path, classes: dict[str, api.MessageClass]) -> ProcessJournal:
+        setup = journal_settings(self.config.sender, base, classes)
         try:
-            return ProcessJournal(keeping, self.endpoints.numbers.name, self._broken, self.observer.note)
+            return ProcessJournal(setup, self.endpoints.numbers.name, self._journal_error, self.observer.note)
         except JournalUnusable as error:
             raise ConfigError([str(error)]) from None
 
-    def _together(self, base: Path) -> PeerGroup | None:
+    def _create_peer_group(self, base: Path) -> PeerGroup | None:
         if self.config.peers is None:
             return None
         from brassweir.service.peer_group import PeerGroup  # other processes never load it
@@ -132,64 +132,64 @@
         versions = self.endpoints if not isinstance(self.endpoints, ListFile) else None
         return PeerGroup(self.config, base, self.region, self.metrics, self.observer.note, versions)
 
-    def _endpoints(self, base: Path) -> ListFile | VersionedList:
+    def _create_endpoint_source(self, base: Path) -> ListFile | VersionedList:
         if not self.config.endpoints_in_log:
-            return ListFile(base / self.config.endpoints, self.config, self._news, self.observer.note)
+            return ListFile(base / self.config.endpoints, self.config, self._update_list, self.observer.note)
         from brassweir.service.versionedlist import VersionedList  # other processes never load it
 
-        return VersionedList(self.config, self._news, self.observer.note)
+        return VersionedList(self.config, self._update_list, self.observer.note)
 
     @property
     def port(self) -> int:
-        """Where AS2 clients come."""
+        """The port of the AS2 server; 0 without AS2."""
         return self.as2.port if self.as2 is not None else 0
 
-    def _kind(self, endpoint: str) -> str:
+    def _endpoint_kind(self, endpoint: str) -> str:
         info = self.engine.endpoints.get(endpoint)
         return info.kind if info is not None else ""
 
-    def _news(self, news: api.ListUpdate) -> None:
-        self.engine.update_list(news)
+    def _update_list(self, update: api.ListUpdate) -> None:
+        self.engine.update_list(update)
 
-    def _told(self, message: int) -> None:
+    def _receipt_delivered(self, message: int) -> None:
         if self.journal is not None:
             self.journal.store.receipt_delivered(message)
 
-    def _broken(self, error: BaseException) -> None:
-        """The journal's disk can no longer be trusted: nothing may be answered or sent as if it could."""
+    def _journal_error(self, error: BaseException) -> None:
+        """Close all connections once the journal fails: no unstored answer or attempt may go out."""
         self.log.error("journal_broken", error=str(error))
         for connector in self.connectors:
             connector.abort()
         if not self.journal_failure.done():
             self.journal_failure.set_result(error)
 
-    def _owing(self, message: int, submission: Submission) -> Waiter | None:
+    def _restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
         """The connector that took a message knows who waits for it."""
         waiters = (connector.restored_waiter(message, submission) for connector in self.connectors)
         return next((waiter for waiter in waiters if waiter), None)
 
-    def _complain(self, peer: str, status: int, reason: str) -> None:
+    def _report_bad_request(self, peer: str, status: int, reason: str) -> None:
         self.observer.note("bad_request", {"peer": peer, "status": status, "reason": reason})
 
     async def start(self) -> None:
-        """Take in the list, then listen. Raises ConfigError and OSError."""
+        """Load the endpoint list, recover from the journal, then listen. Raises ConfigError and OSError."""
         if self.region is not None:
-            self.region.look()
-            self.region.part_changed()
-            self.endpoints.scale = self.region.part
-        said: dict[str, object] = {}
-        first = self.config.endpoints_in_log  # then the log is what the list comes from
-        if first:
-            said.update(await self._take_part())
+            self.region.poll()
+            self.region.refresh_rate_share()
+            self.endpoints.scale = self.region.rate_share
+        fields: dict[str, object] = {}
+        list_from_log = self.config.endpoints_in_log  # the list then needs the agreed log to be running
+        if list_from_log:
+            fields.update(await self._start_operations())
         self.waiting_for_list = True
         await self.endpoints.open()
         self.waiting_for_list = False
         if self.journal is not None:
-            await recover(self.journal, self.endpoints.numbers, self.engine, self._owing, self.log)
+            await recover(self.journal, self.endpoints.numbers, self.engine, self._restored_waiter, self.log)
         for connector in self.connectors:
-            said.update(await connector.start())
-        if not first:
-            said.update(await self._take_part())
+            fields.update(await connector.start())
+        if not list_from_log:
+            fields.update(await self._start_operations())
         freeze_heap()
         loop = asyncio.get_running_loop()
         self.tasks = [
@@ -197,19 +197,19 @@
             loop.create_task(measure_stalls(self.metrics.loop_stall)),
         ]
         if self.region is not None:
-            self.tasks.append(loop.create_task(self.region.watch(self.endpoints.again)))
+            self.tasks.append(loop.create_task(self.region.watch(self.endpoints.reapply)))
         self.starting = ""
-        self.log.info("started", metrics_port=self.metrics_port, **said)
+        self.log.info("started", metrics_port=self.metrics_port, **fields)
 
-    async def _take_part(self) -> dict[str, object]:
-        """Show operators what there is, and take part in what copies share."""
+    async def _start_operations(self) -> dict[str, object]:
+        """Listen for operators and start the peer group; return fields for the log event ``started``."""
         if self.config.sender.metrics:
             host, _, port = self.config.sender.metrics.rpartition(":")
             self.metrics_port = await self.operations_server.listen(host, int(port))
         return await self.peer_group.start() if self.peer_group is not None else {}
 
     async def drain(self) -> None:
-        """Take nothing new, let open work end, answer what is left, and close: all within the grace."""
+        """Reject new messages, wait for open ones, fail those left and close, all within the grace period."""
         loop = asyncio.get_running_loop()
         grace = self.config.sender.drain_grace_ms / 1000.0
         end = loop.time() + grace
@@ -219,24 +219,24 @@
         if self.peer_group is not None:
             self.peer_group.hand_over()
         self.log.info("draining", open=len(self.engine.ledger.open_messages()), grace_ms=round(grace * 1000))
-        # Partners bring receipts to our own address: it stays open until nothing waits for one.
-        while self.engine.ledger.open_messages() and loop.time() < end - _ANSWERS * grace:
+        # The AS2 server stays open meanwhile, because partners post asynchronous receipts to it.
+        while self.engine.ledger.open_messages() and loop.time() < end - _FLUSH_SHARE * grace:
             await asyncio.sleep(0.02)
-        cut = self.engine.close()
-        await asyncio.sleep(0.02)  # answers reach their waiters in the next turns
+        unfinished = self.engine.close()
+        await asyncio.sleep(0.02)  # answers reach their waiters in the loop's next turns
         for connector in self.connectors:
             connector.drain()
         for connector in self.connectors:
             await connector.flush(max(0.0, end - loop.time() - 0.1))
         while (left := sum(connector.connections for connector in self.connectors)) and loop.time() < end:
             await asyncio.sleep(0.02)
-        self.log.info("stopped", answered_at_the_end=cut, connections_left=left)
+        self.log.info("stopped", answered_at_the_end=unfinished, connections_left=left)
         if self.peer_group is not None:
             await self.peer_group.stop()
         self.stop()
 
     def stop(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections at once."""
         for task in self.tasks:
             task.cancel()
         for connector in self.connectors:
--- a/brassweir/service/publisher.py
+++ b/brassweir/service/publisher.py
@@ -1,8 +1,8 @@
-"""The operator's copy: reads the edited list when asked to, and brings the difference into the agreed log.
+"""Publishes the list that an operator edits: computes the delta to the version in force and proposes it.
 
-The list was made from the version that this copy's operator last brought in, or saw refused. If another copy
-has brought in a newer one since, the edit would silently take that back: it is refused and told why, and what
-is in force is written beside the list. Asked once more, the operator has seen it.
+An edit is based on the version that this copy last published or showed to its operator. If another copy has
+published a newer one since, applying the edit would silently undo it: the edit is refused once, and the
+entries in force are written to a file beside the list. Publishing again then counts as based on that version.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
 from brassweir.configstream.validation import Confirmation, InvalidChange
 from brassweir.service.editedlist import read_edited, write_list
 
-PROPOSING = 3000.0  # ms until a proposal counts as unknown: a new leader is there by then
+PROPOSAL_TIMEOUT_MS = 3000.0  # longer than the election of a new leader takes
 
 Note = Callable[[str, dict[str, object]], None]
-Ask = Callable[[bytes, float], Awaitable[Outcome]]  # a command and its time-out (ms)
+ProposeCommand = Callable[[bytes, float], Awaitable[Outcome]]  # proposes a command, with a timeout (ms)
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """How the last edit of the list ended, as operators are shown it."""
+    """The last edit of the list and how it ended, as shown to operators."""
 
     state: str  # none, proposing, agreed, unchanged, refused
     number: int = 0  # counts the edits of this process
@@ -56,171 +56,179 @@
 
 
 class Publisher:
-    """One edit at a time."""
+    """Publishes one edit at a time."""
 
     def __init__(
         self,
         name: str,
         machine: ConfiguredMachine,
-        ask: Ask,
+        propose: ProposeCommand,
         base: Path,
         note: Note,
-        accepts: Callable[[Sequence[Entry]], None] = lambda _: None,
+        check_list: Callable[[Sequence[Entry]], None] = lambda _: None,
     ) -> None:
-        """``base``: what paths of the settings count from; ``accepts`` raises ConfigError for a list that
-        this copy itself could not use."""
-        self.accepts = accepts
-        self.name, self.machine, self.ask, self.base, self.note = name, machine, ask, base, note
-        self.remembered = base / f"{name}.configuration"
+        """``base`` is the directory that paths in the settings are relative to.
+
+        ``check_list`` raises ConfigError for a list that this copy itself could not use.
+        """
+        self.check_list = check_list
+        self.name, self.machine, self.propose, self.base, self.note = name, machine, propose, base, note
+        self.base_version_path = base / f"{name}.configuration"
         self.edit = Edit("none")
         self.task: asyncio.Task[None] | None = None
         self._ended: list[ProposalEnded] = []
-        self._news = asyncio.Event()
-        self._asking: set[asyncio.Task[None]] = set()
+        self._wakeup = asyncio.Event()
+        self._proposals: set[asyncio.Task[None]] = set()
 
-    def publish(self, given: ConfigurationModel) -> None:
-        """An operator asks: the list is to be in force."""
-        if given.list is None:
+    def publish(self, configuration: ConfigurationModel) -> None:
+        """Start publishing the edited list; refused while another edit is in progress."""
+        if configuration.list is None:
             return
         if self.task is not None and not self.task.done():
             self.note("configuration_refused", {"field": "list", "error": "an edit is still on its way"})
             return
         self.edit = Edit("proposing", self.edit.number + 1)
-        confirmation = Confirmation(given.confirm_removed, given.confirm_destinations)
-        self.task = asyncio.create_task(self._publish(self.base / given.list, confirmation))
+        confirmation = Confirmation(configuration.confirm_removed, configuration.confirm_destinations)
+        self.task = asyncio.create_task(self._publish(self.base / configuration.list, confirmation))
         self.task.add_done_callback(self._stopped)
 
     def _stopped(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()) is not None:
-            self._ended_as("refused", 0, "list", repr(error))
+            self._set_edit("refused", 0, "list", repr(error))
             self.note("configuration_refused", {"field": "list", "error": repr(error)})
 
     async def _publish(self, path: Path, confirmation: Confirmation) -> None:
-        there = self.machine.configuration
-        version, catalog = there.version, there.catalog
+        current = self.machine.configuration
+        version, catalog = current.version, current.catalog
         try:
             entries = await asyncio.to_thread(self._read, path)
-            if self._made_from() == version:
-                made = await asyncio.to_thread(make_plan, version, catalog, entries, self.name, confirmation)
+            if self._base_version() == version:
+                planned = await asyncio.to_thread(
+                    make_plan, version, catalog, entries, self.name, confirmation
+                )
             elif await asyncio.to_thread(diff_entries, catalog, entries):
-                return await self._outdated(path)
+                return await self._refuse_outdated(path)
             else:
-                made = None
+                planned = None
         except ConfigError as error:
             return self._refuse(path, "list", "; ".join(error.problems[:20]))
         except InvalidChange as error:
             return self._refuse(path, error.field, error.reason)
-        if made is None:
-            return self._unchanged(path, version)
-        await self._propose(path, made)
+        if planned is None:
+            return self._finish_unchanged(path, version)
+        await self._propose(path, planned)
 
     def _read(self, path: Path) -> list[Entry]:
-        """On a thread. Raises ConfigError."""
+        """Read and check the edited list. Runs on a thread. Raises ConfigError."""
         entries = read_edited(path)
-        self.accepts(entries)
+        self.check_list(entries)
         return entries
 
-    def _unchanged(self, path: Path, version: int) -> None:
-        self._remember(version)
-        self._ended_as("unchanged", version)
+    def _finish_unchanged(self, path: Path, version: int) -> None:
+        self._save_base_version(version)
+        self._set_edit("unchanged", version)
         self.note("configuration_unchanged", {"path": str(path), "version": version})
 
-    async def _outdated(self, path: Path) -> None:
-        """Another version came since the list was made."""
-        before = self._made_from()
-        words = f"version {before}" if before is not None else "a version that is not known here"
-        there = self.machine.configuration
-        shown = path.with_name(f"{path.stem}.in-force.jsonl")
-        await asyncio.to_thread(write_list, shown, there.catalog)
-        self._remember(there.version)
+    async def _refuse_outdated(self, path: Path) -> None:
+        """Refuse an edit of an older version, and write the entries in force beside the list."""
+        before = self._base_version()
+        based_on = f"version {before}" if before is not None else "a version that is not known here"
+        current = self.machine.configuration
+        exported = path.with_name(f"{path.stem}.in-force.jsonl")
+        await asyncio.to_thread(write_list, exported, current.catalog)
+        self._save_base_version(current.version)
         self._refuse(
             path,
             "after",
-            f"the list was made from {words}, and version {there.version} by {there.by} is in force, written "
-            f"to {shown}: bring its changes into the list, and ask again",
+            f"the list was made from {based_on}, and version {current.version} by {current.by} is in force, "
+            f"written to {exported}: bring its changes into the list, and ask again",
         )
 
-    async def _propose(self, path: Path, made: PublishPlan) -> None:
-        publishing = Publication(made, _now())
+    async def _propose(self, path: Path, planned: PublishPlan) -> None:
+        publishing = Publication(planned, _now())
         self._ended = []
         while True:
-            self._news.clear()
+            self._wakeup.clear()
             ended, self._ended = tuple(self._ended), []
-            there = self.machine.configuration
-            facts = PublishInputs(self.machine.state.level, there.version, there.catalog.digest(), ended)
+            current = self.machine.configuration
+            facts = PublishInputs(self.machine.state.level, current.version, current.catalog.digest(), ended)
             for step in publishing.step(_now(), facts):
                 if isinstance(step, Superseded):
-                    await self._outdated(path)
-                if self._end(path, made, step):
+                    await self._refuse_outdated(path)
+                if self._finish(path, planned, step):
                     return
                 await self._carry_out(step)
 
     async def _carry_out(self, step: Action) -> None:
         match step:
             case Propose():
-                self._start(self._propose_one(step))
+                self._start(self._propose_command(step))
             case ProposeAbandon():
                 self._start(self._forget(step))
             case Wait():
                 try:
-                    await asyncio.wait_for(self._news.wait(), step.wait_ms / 1000.0)
+                    await asyncio.wait_for(self._wakeup.wait(), step.wait_ms / 1000.0)
                 except TimeoutError:
                     pass
 
     def _start(self, work: Any) -> None:
         task = asyncio.create_task(work)
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        self._proposals.add(task)
+        task.add_done_callback(self._proposals.discard)
 
-    async def _propose_one(self, step: Propose) -> None:
-        told = await self.ask(step.command, PROPOSING)
-        result = commands.decode_result(told.result) if told.how is OutcomeKind.AGREED else None
-        self._ended.append(ProposalEnded(step.number, told.how, result, told.why))
-        self._news.set()
+    async def _propose_command(self, step: Propose) -> None:
+        outcome = await self.propose(step.command, PROPOSAL_TIMEOUT_MS)
+        result = commands.decode_result(outcome.result) if outcome.how is OutcomeKind.AGREED else None
+        self._ended.append(ProposalEnded(step.number, outcome.how, result, outcome.why))
+        self._wakeup.set()
 
     async def _forget(self, step: ProposeAbandon) -> None:
-        await self.ask(step.command, PROPOSING)
+        await self.propose(step.command, PROPOSAL_TIMEOUT_MS)
 
-    def _end(self, path: Path, made: PublishPlan, step: Action) -> bool:
+    def _finish(self, path: Path, planned: PublishPlan, step: Action) -> bool:
         match step:
             case Published():
-                self._remember(step.version)
-                self._ended_as("agreed", step.version)
-                said = {"path": str(path), "version": step.version}
-                self.note("configuration_agreed", {**said, "changed": made.changed, "removed": made.removed})
+                self._save_base_version(step.version)
+                self._set_edit("agreed", step.version)
+                fields = {"path": str(path), "version": step.version}
+                self.note(
+                    "configuration_agreed", {**fields, "changed": planned.changed, "removed": planned.removed}
+                )
             case Rejected():
                 self._refuse(path, step.field, step.reason)
         return isinstance(step, Published | Rejected | Superseded)
 
     def _refuse(self, path: Path, field: str, why: str) -> None:
-        self._ended_as("refused", 0, field, why)
+        self._set_edit("refused", 0, field, why)
         self.note("configuration_refused", {"path": str(path), "field": field, "error": why})
 
-    def _ended_as(self, state: str, version: int, field: str = "", why: str = "") -> None:
+    def _set_edit(self, state: str, version: int, field: str = "", why: str = "") -> None:
         self.edit = Edit(state, self.edit.number, version, field, why)
 
-    def _made_from(self) -> int | None:
-        """The version that the list was made from; None if that is not known, 0 before there is any."""
+    def _base_version(self) -> int | None:
+        """Return the version that the edit is based on; 0 before there is any, None if it is unknown."""
         try:
-            kept = json.loads(self.remembered.read_bytes())
+            saved = json.loads(self.base_version_path.read_bytes())
         except FileNotFoundError:
             return None if self.machine.configuration.version else 0
         except (OSError, ValueError):
             return None
-        version = kept.get("version") if isinstance(kept, dict) else None
+        version = saved.get("version") if isinstance(saved, dict) else None
         return version if isinstance(version, int) else None
 
-    def _remember(self, version: int) -> None:
-        fresh = self.remembered.with_suffix(".configuration.new")
+    def _save_base_version(self, version: int) -> None:
+        temporary = self.base_version_path.with_suffix(".configuration.new")
         try:
-            fresh.write_text(json.dumps({"version": version}))
-            fresh.replace(self.remembered)
-        except OSError as error:  # the next edit is refused once, and told why
-            self.note("configuration_not_remembered", {"path": str(self.remembered), "error": str(error)})
+            temporary.write_text(json.dumps({"version": version}))
+            temporary.replace(self.base_version_path)
+        except OSError as error:  # the next edit is refused once as outdated
+            self.note(
+                "configuration_not_remembered", {"path": str(self.base_version_path), "error": str(error)}
+            )
 
     def abort(self) -> None:
-        """End what is on its way; it may still come into the log."""
-        for task in (self.task, *self._asking):
+        """Cancel the edit in progress; its commands may still reach the log."""
+        for task in (self.task, *self._proposals):
             if task is not None:
                 task.cancel()
 
--- a/brassweir/service/recovery.py
+++ b/brassweir/service/recovery.py
@@ -1,4 +1,4 @@
-"""How a sender goes on where the process before it was, whatever ended that one."""
+"""Recovery of a sender's open messages from the journal at start."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def journal_settings(sender: SenderModel, base: Path, classes: Mapping[str, MessageClass]) -> JournalSettings:
-    """Where a sender keeps its journal, and what it has to know for that."""
+    """Return the journal's directory and parameters from a sender's settings."""
     return JournalSettings(
         base / (sender.journal or Path(f"{sender.name}.journal")),
         sender.name,
@@ -32,24 +32,27 @@
     journal: ProcessJournal,
     numbers: DestinationNumbers,
     engine: Engine,
-    owing: Callable[[int, Submission], Waiter | None],
+    restored_waiter: Callable[[int, Submission], Waiter | None],
     log: Any,
 ) -> None:
-    """Carry out what the journal leaves to do; the endpoint list has been told before."""
+    """Resume the messages that the journal holds open; the endpoint list must be loaded before.
+
+    Sleeps first if an ordered message of the previous process had an attempt in flight.
+    """
     plan = journal.plan(numbers.number)
-    found = journal.scan
+    scan = journal.scan
     log.info(
         "recovered",
         again=len(plan.resumed),
         answered=len(plan.answered),
         dropped=plan.dropped,
-        owed=sum(one.receipt_pending for one in plan.answered),
-        records=found.records,
-        bytes=found.size,
-        torn_bytes=found.torn_bytes,
-        holes=len(found.holes),
+        owed=sum(answered.receipt_pending for answered in plan.answered),
+        records=scan.records,
+        bytes=scan.size,
+        torn_bytes=scan.torn_bytes,
+        holes=len(scan.holes),
         pause_ms=plan.pause,
     )
     if plan.pause:
         await asyncio.sleep(plan.pause / 1000.0)
-    apply_plan(plan, engine, journal.store, numbers.number, owing)
+    apply_plan(plan, engine, journal.store, numbers.number, restored_waiter)
--- a/brassweir/service/region_ownership.py
+++ b/brassweir/service/region_ownership.py
@@ -1,7 +1,7 @@
-"""One sender's ownership, whichever source its epochs come from: kept on disk, and never gone back on.
+"""Which messages one sender's region owns, from epochs of a file or of the agreed log.
 
-What was learned is written to disk before it counts, so that a restart does not forget a newer epoch for an
-older one. What cannot be read, or contradicts what is known, changes nothing and is complained of once.
+An epoch is saved and synced to disk before it takes effect, so that a restart never returns to an older one.
+An epoch that cannot be read, or contradicts the known one, is logged once and changes nothing.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from brassweir.regions.shares import LimitShare
 from brassweir.regions.sources import Source, check_source
 
-LEAST = 0.001  # of a limit: a rate of nothing would read as no limit
-LOOK = 0.25  # seconds between two looks
-WORDS = {
+MIN_RATE_SHARE = 0.001  # a rate of 0 would mean no limit
+POLL_INTERVAL_SECONDS = 0.25
+REFUSAL_TEXTS = {
     Reason.ELSEWHERE: "not here: this message belongs to region {region}, {url}",
     Reason.MOVING: "not yet: this message's place is moving to this region",
     Reason.LAPSED: "not here: this region cannot show that the message is still its own",
@@ -35,104 +35,119 @@
 
 
 class RegionOwnership:
-    """One sender's ownership; a source feeds :meth:`take`."""
+    """Ownership of one sender's region; a subclass passes the epochs of its source to :meth:`adopt`."""
 
     source: Source
 
     def __init__(
         self,
         region: str,
-        state: Path,
+        state_path: Path,
         assumed: Assumptions,
         classes: dict[str, MessageClass],
         note: Callable[[str, dict[str, object]], None],
-        counted: Callable[[str], None] = lambda _: None,
+        count_refusal: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """Raises ConfigError where what was known cannot be read."""
-        self.state, self.classes, self.note, self.counted = state, classes, note, counted
+        """Load the epoch saved in ``state_path``. Raises ConfigError if it cannot be read.
+
+        ``count_refusal`` is called with the reason of each refusal.
+        """
+        self.state_path, self.classes, self.note, self.count_refusal = (
+            state_path,
+            classes,
+            note,
+            count_refusal,
+        )
         try:
-            known = parse(state.read_bytes()) if state.exists() else None
+            known = parse(state_path.read_bytes()) if state_path.exists() else None
         except (OSError, EpochError) as error:
             raise ConfigError(
                 [
-                    f"region: {state}: {error}; without it an older epoch could be taken for the "
+                    f"region: {state_path}: {error}; without it an older epoch could be taken for the "
                     "newest: put it back, or remove it once the source is known to be new"
                 ]
             ) from None
         self.ownership = Ownership(region, assumed, known)
-        self.complained = ""
+        self.last_error = ""
         self.shares = LimitShare(region, assumed)
 
-    def part(self) -> float:
-        """The part of every partner's limit that this region may use now."""
+    def rate_share(self) -> float:
+        """Return the share (0 to 1) of every destination's rate limit that this region may use now."""
         return self.shares.reported
 
-    def part_changed(self) -> bool:
-        """Is that part to be told anew? The least part keeps a told limit told: none would mean no limit."""
+    def refresh_rate_share(self) -> bool:
+        """Recompute the share and return whether it changed; it stays above 0, which would mean no limit."""
         wall = self.wall()
         changed = self.shares.changed(
             self.ownership.epoch, wall, time.monotonic() * 1000.0, self.ownership.clock_trusted(wall)
         )
-        self.shares.reported = max(LEAST, self.shares.reported)
+        self.shares.reported = max(MIN_RATE_SHARE, self.shares.reported)
         return changed
 
-    def look(self) -> None:
-        """What is done at each look: the clocks are compared; a source adds its own."""
+    def poll(self) -> None:
+        """Compare the clocks; a subclass also reads its source."""
         self.wall()
 
     def wall(self) -> float:
-        """The wall clock (ms), compared with the monotonic one first: a step is seen before it is used."""
+        """Return the wall clock (ms), after comparing it with the monotonic clock to detect a step."""
         wall = time.time() * 1000.0
         self.ownership.check_clocks(wall, time.monotonic() * 1000.0)
         return wall
 
-    def take(self, read: Callable[[], Epoch], where: str) -> None:
-        """Take an epoch on, on disk first; what may not be taken is complained of."""
+    def adopt(self, read: Callable[[], Epoch], where: str) -> None:
+        """Adopt the epoch that ``read`` returns, once it is on disk.
+
+        An epoch that is invalid, contradictory or cannot be saved is logged once and leaves the old one in
+        force.
+        """
         try:
             epoch = read()
-            before = self.ownership.epoch
-            check_source(self.source, epoch, before)
+            previous = self.ownership.epoch
+            check_source(self.source, epoch, previous)
             if self.ownership.accept(epoch):
                 try:
-                    self._keep(epoch)
+                    self._save(epoch)
                 except OSError:
-                    self.ownership.epoch = before  # not on disk: it does not count
+                    self.ownership.epoch = previous  # not on disk, so not in force
                     raise
                 self.note("epoch", {"number": epoch.number, "issued": epoch.issued})
-            self.complained = ""
+            self.last_error = ""
         except (OSError, EpochError) as error:
-            if str(error) != self.complained:
-                self.complained = str(error)
+            if str(error) != self.last_error:
+                self.last_error = str(error)
                 self.note("epoch_refused", {"path": where, "error": str(error)})
 
-    def _keep(self, epoch: Epoch) -> None:
-        fresh = self.state.with_suffix(".new")
-        with fresh.open("wb") as file:
+    def _save(self, epoch: Epoch) -> None:
+        temporary = self.state_path.with_suffix(".new")
+        with temporary.open("wb") as file:
             file.write(msgspec.json.encode(epoch))
             file.flush()
             os.fsync(file.fileno())
-        fresh.replace(self.state)
-        folder = os.open(self.state.parent, os.O_RDONLY)
+        temporary.replace(self.state_path)
+        directory = os.open(self.state_path.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
-    async def watch(self, part_changed: Callable[[], None] = lambda: None) -> None:
-        """Look again and again, for ever; ``part_changed`` is called when limits are to be told anew."""
+    async def watch(self, on_share_change: Callable[[], None] = lambda: None) -> None:
+        """Poll until cancelled; ``on_share_change`` is called whenever the share of rate limits changes."""
         while True:
-            await asyncio.sleep(LOOK)
-            self.look()
-            if self.part_changed():
-                part_changed()
-
-    def admits(self, given: Submission) -> FinalAnswer | None:
-        """The refusal of a message that is not to be taken here, with where and when to come back; else
-        None."""
-        effect = self.classes[given.class_name].effect
-        found = self.ownership.refusal(effect, given.owner, given.identity, self.wall(), given.created_at)
-        if found is None:
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            self.poll()
+            if self.refresh_rate_share():
+                on_share_change()
+
+    def check_admission(self, submission: Submission) -> FinalAnswer | None:
+        """Return None if this region may accept the message, else a refusal with where and when to retry."""
+        effect = self.classes[submission.class_name].effect
+        refusal = self.ownership.refusal(
+            effect, submission.owner, submission.identity, self.wall(), submission.created_at
+        )
+        if refusal is None:
             return None
-        self.counted(found.reason.name.lower())
-        words = WORDS[found.reason].format(region=found.region, url=self.ownership.url(found.region))
-        return FinalAnswer(Answer.REFUSED, words, found.retry_after_ms)
+        self.count_refusal(refusal.reason.name.lower())
+        text = REFUSAL_TEXTS[refusal.reason].format(
+            region=refusal.region, url=self.ownership.url(refusal.region)
+        )
+        return FinalAnswer(Answer.REFUSED, text, refusal.retry_after_ms)
--- a/brassweir/service/resolved_list.py
+++ b/brassweir/service/resolved_list.py
@@ -1,4 +1,4 @@
-"""What an endpoint list says, checked against the settings, and the numbers of destinations."""
+"""Checks an endpoint list against the settings, and assigns numbers to destinations."""
 
 from __future__ import annotations
 
@@ -13,27 +13,30 @@
 
 
 class DestinationNumbers:
-    """The number that the decisions know a destination by: partners in the order of the settings, others as
-    they are first listed. A number is never given to another."""
+    """The numbers that the decision module identifies destinations by.
+
+    Partners are numbered in the order of the settings, other destinations as they are first listed. A number
+    is never reused.
+    """
 
     def __init__(self, config: Config) -> None:
         self.partners = {partner.as2_id: number for number, partner in enumerate(config.partners, 1)}
         self.listed: dict[str, int] = {}
         self.names: list[str] = []
 
-    def give(self, name: str) -> int:
-        """The number of a destination that the list names."""
+    def assign(self, name: str) -> int:
+        """Return the number of a listed destination; assign the next one if it is new."""
         number = self.listed.get(name)
         if number is None:
             number = self.listed[name] = len(self.partners) + len(self.listed) + 1
         return number
 
     def number(self, name: str) -> int | None:
-        """The number of a destination that there is; None if it is in no settings and no list."""
+        """Return the number of a destination; None if no settings and no list have named it."""
         return self.partners.get(name) or self.listed.get(name)
 
     def name(self, number: int) -> str:
-        """The name behind a number."""
+        """Return the name of the destination with this number; empty if there is none."""
         while len(self.names) < len(self.partners) + len(self.listed):
             # Both maps only grow, in the order of their numbers.
             self.names = [*self.partners, *self.listed]
@@ -41,7 +44,7 @@
 
 
 class ListEntry(Protocol):
-    """What both forms of the list say of an endpoint."""
+    """An entry of an endpoint list, from a file or from the agreed log."""
 
     @property
     def name(self) -> str: ...
@@ -63,39 +66,45 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolvedList:
-    """A list as the module is told it, and the URL of each endpoint."""
+    """The entries as the decision module takes them, and the URL of each endpoint by name."""
 
     infos: list[api.EndpointInfo]
     urls: dict[str, str]
 
 
 def scale_rates(infos: Iterable[api.EndpointInfo], scale: float) -> list[api.EndpointInfo]:
-    """Endpoints with this part of their rates."""
+    """Return the endpoints with their rate limits multiplied by ``scale``; no limit stays none."""
     return [replace(info, rate=info.rate * scale) if info.rate else info for info in infos]
 
 
 def resolve_list(
     entries: Sequence[ListEntry], config: Config, numbers: DestinationNumbers, name: str
 ) -> ResolvedList:
-    """Check a list against the settings. Raises ConfigError, and then numbers nothing."""
+    """Check a list against the settings and number its destinations.
+
+    Raises ConfigError, which names up to 20 problems, and then numbers nothing. ``name`` stands for the list
+    in the problems.
+    """
     carriers = {kind.name: kind.carrier for kind in config.kinds}
     problems: list[str] = []
-    for one in entries:
-        carrier = carriers.get(one.kind, "as2" if not one.kind else "")
+    for entry in entries:
+        carrier = carriers.get(entry.kind, "as2" if not entry.kind else "")
         if not carrier:
-            problems.append(f"{name}: endpoint {one.name}: kind {one.kind!r} is not in the settings")
-        elif one.partner is not None and one.partner not in numbers.partners:
-            problems.append(f"{name}: endpoint {one.name}: partner {one.partner!r} is not in the settings")
-        elif (one.partner is None) != (carrier != "as2"):
-            problems.append(f"{name}: endpoint {one.name}: kind {one.kind!r} carries by {carrier}")
-        elif one.destination in numbers.partners:
-            problems.append(f"{name}: endpoint {one.name}: {one.destination!r} is an AS2 partner")
-        if one.url.startswith("https:"):
-            problems.append(f"{name}: endpoint {one.name}: https is not served by this version")
-        elif carrier and one.url.startswith("forward:") != (carrier == "forward"):
+            problems.append(f"{name}: endpoint {entry.name}: kind {entry.kind!r} is not in the settings")
+        elif entry.partner is not None and entry.partner not in numbers.partners:
+            problems.append(
+                f"{name}: endpoint {entry.name}: partner {entry.partner!r} is not in the settings"
+            )
+        elif (entry.partner is None) != (carrier != "as2"):
+            problems.append(f"{name}: endpoint {entry.name}: kind {entry.kind!r} carries by {carrier}")
+        elif entry.destination in numbers.partners:
+            problems.append(f"{name}: endpoint {entry.name}: {entry.destination!r} is an AS2 partner")
+        if entry.url.startswith("https:"):
+            problems.append(f"{name}: endpoint {entry.name}: https is not served by this version")
+        elif carrier and entry.url.startswith("forward:") != (carrier == "forward"):
             problems.append(
-                f"{name}: endpoint {one.name}: kind {one.kind!r} carries by {carrier}, and its "
-                f"URL is {one.url.partition(':')[0]}"
+                f"{name}: endpoint {entry.name}: kind {entry.kind!r} carries by {carrier}, and its "
+                f"URL is {entry.url.partition(':')[0]}"
             )
         if len(problems) >= 20:
             break
@@ -104,13 +113,15 @@
     states = {state.value: state for state in api.EntryState}
     infos = [
         api.EndpointInfo(
-            one.name,
-            numbers.partners[one.partner] if one.partner is not None else numbers.give(one.destination or ""),
-            sys.intern(one.kind),
-            sys.intern(one.zone),
-            states[one.state],
-            one.rate,
+            entry.name,
+            numbers.partners[entry.partner]
+            if entry.partner is not None
+            else numbers.assign(entry.destination or ""),
+            sys.intern(entry.kind),
+            sys.intern(entry.zone),
+            states[entry.state],
+            entry.rate,
         )
-        for one in entries
+        for entry in entries
     ]
-    return ResolvedList(infos, {info.name: one.url for info, one in zip(infos, entries, strict=True)})
+    return ResolvedList(infos, {info.name: entry.url for info, entry in zip(infos, entries, strict=True)})
--- a/brassweir/service/runtime.py
+++ b/brassweir/service/runtime.py
@@ -1,4 +1,4 @@
-"""The interpreter under a sender: its collector, its threads' turns, and the longest delay of its loop."""
+"""Interpreter settings of a sender (garbage collection, thread switching), and a gauge of loop stalls."""
 
 from __future__ import annotations
 
@@ -8,36 +8,35 @@
 
 from prometheus_client import Gauge
 
-# Net new objects before a young collection, young ones before a middle one, middle ones before a full one.
-# A full one walks every remembered answer, for a tenth of a second and more; what is no longer used goes
-# without it, and the few cycles there are (tasks, errors) die young.
-COLLECT = (10_000, 5, 100_000)
-SWITCH = 0.001  # seconds until a busy thread yields: lists and keys are worked on beside the loop
-STALL_LOOK = 0.01  # seconds between two looks at the loop's delay
-STALL_SPAN = 10.0  # seconds that the longest delay is told of, or more
+# Thresholds of the three generations. Full collections are rare because each one walks all remembered answers
+# and stalls the loop; nearly all cycles (tasks, exceptions) are short-lived.
+GC_THRESHOLDS = (10_000, 5, 100_000)
+SWITCH_INTERVAL_SECONDS = 0.001  # threads that parse lists and keys compete with the loop
+STALL_CHECK_SECONDS = 0.01
+STALL_WINDOW_SECONDS = 10.0
 
 
 def freeze_heap() -> None:
-    """What stands now stands for good: the collector need not walk the whole list again and again."""
+    """Exclude all present objects from garbage collection, and make full collections rare."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT)
+    gc.set_threshold(*GC_THRESHOLDS)
     shorten_switch_interval()
 
 
 def shorten_switch_interval() -> None:
-    """Threads that work on lists let the loop go on soon, each time that it lets go of the interpreter."""
-    sys.setswitchinterval(SWITCH)
+    """Shorten the interpreter's thread switch interval, so that busy threads delay the loop less."""
+    sys.setswitchinterval(SWITCH_INTERVAL_SECONDS)
 
 
 async def measure_stalls(gauge: Gauge) -> None:
-    """Keep the longest delay of the loop over the last ten seconds or more, for ever."""
+    """Set the gauge to the longest delay of the loop (s) in each window, until cancelled."""
     loop = asyncio.get_running_loop()
     worst, since = 0.0, loop.time()
     while True:
         before = loop.time()
-        await asyncio.sleep(STALL_LOOK)
-        worst = max(worst, loop.time() - before - STALL_LOOK)
-        if loop.time() - since > STALL_SPAN:
+        await asyncio.sleep(STALL_CHECK_SECONDS)
+        worst = max(worst, loop.time() - before - STALL_CHECK_SECONDS)
+        if loop.time() - since > STALL_WINDOW_SECONDS:
             gauge.set(worst)
             worst, since = 0.0, loop.time()
--- a/brassweir/service/sender_operations.py
+++ b/brassweir/service/sender_operations.py
@@ -1,4 +1,4 @@
-"""What the plain HTTP server of a sender shows to its operators besides: its destinations, as JSON."""
+"""The HTTP pages for operators that a sender serves in addition: its destinations, as JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SenderOperations(Operations):
-    """Answers each request from what is there now."""
+    """Adds ``/destinations`` to the common pages."""
 
     also = " and /destinations"
 
@@ -28,34 +28,36 @@
         states: States,
         starting: Callable[[], str] = lambda: "",
     ) -> None:
-        """``starting`` says what a start still waits for; "" once it is over."""
+        """``starting`` returns a health text while the process starts, and an empty string afterwards."""
         super().__init__(metrics, states, lambda: "draining" if engine.stopping else starting())
         self.engine, self.numbers, self.clock = engine, numbers, clock
 
-    def other(self, request: Request) -> Response:
-        """The destinations."""
+    def other_path(self, request: Request) -> Response:
+        """Answer ``/destinations`` and below."""
         if request.path.startswith("/destinations"):
             return self._destinations(request.path)
-        return super().other(request)
+        return super().other_path(request)
 
-    def _destinations(self, target: str) -> Response:
-        path, _, query = target.partition("?")
+    def _destinations(self, request_target: str) -> Response:
+        path, _, query = request_target.partition("?")
         name = unquote(path.removeprefix("/destinations").lstrip("/"))
         now, numbers = self.clock.now(), self.numbers
         if name:
             number = numbers.number(name)
-            found = inspection.show(self.engine.sender, number, now) if number is not None else None
-            if found is None:
+            state = inspection.show(self.engine.sender, number, now) if number is not None else None
+            if state is None:
                 return Response(404, body=f"no destination {name[:128]!r} is known here\n".encode())
-            return as_json({"destination": name, **found})
-        given = dict(parse_qsl(query))
-        count = given.get("count", "10")
+            return as_json({"destination": name, **state})
+        parameters = dict(parse_qsl(query))
+        count = parameters.get("count", "10")
         if (
-            given.get("by", "open") not in inspection.ORDERS
+            parameters.get("by", "open") not in inspection.ORDERS
             or not count.isdigit()
             or not 0 < int(count) <= 100
         ):
             return Response(
                 400, body=f"by is one of {', '.join(inspection.ORDERS)}; count is 1 to 100\n".encode()
             )
-        return as_json(inspection.top(self.engine.sender, numbers.name, given.get("by", "open"), int(count)))
+        return as_json(
+            inspection.top(self.engine.sender, numbers.name, parameters.get("by", "open"), int(count))
+        )
--- a/brassweir/service/serving.py
+++ b/brassweir/service/serving.py
@@ -1,4 +1,4 @@
-"""``brassweir serve``: one process from its settings, from its start to the end of its drain."""
+"""``brassweir serve``: runs one process from its settings until a signal has drained it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 if TYPE_CHECKING:
     from brassweir.service.controlmachine import ControlMachine
 
-LOOK = 0.05  # seconds between two looks at a start that is to end
+START_CHECK_SECONDS = 0.05
 
 
 def create_process(path: Path, log: Any) -> SenderProcess | ControlMachine:
-    """What the settings are of: a sender or a control machine. Raises ConfigError."""
+    """Create the sender or the control machine that the settings describe. Raises ConfigError."""
     config = load_settings(path)
     if isinstance(config, Config):
         return SenderProcess(config, path.parent, log)
@@ -31,39 +31,41 @@
 
 
 async def serve(path: Path, log: Any) -> None:
-    """Run a process until SIGTERM or SIGINT, then drain it. Raises ConfigError and OSError, and Broken once
-    the journal's disk can no longer be trusted."""
-    shorten_switch_interval()  # from the start on: the first list is the longest
+    """Run a process until SIGTERM or SIGINT, then drain it; SIGHUP reloads the settings that copies share.
+
+    Raises ConfigError and OSError, and JournalBroken as soon as the journal fails.
+    """
+    shorten_switch_interval()  # before the first list, which is the longest, is parsed
     process = create_process(path, log)
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     if process.peer_group is not None:
         loop.add_signal_handler(signal.SIGHUP, reload, process, path)
-    stop = loop.create_task(told.wait())
-    await _started(process, stop)
-    either: set[asyncio.Future[Any]] = {stop, process.journal_failure}
-    await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+    stop = loop.create_task(stop_requested.wait())
+    await _run_start(process, stop)
+    ends: set[asyncio.Future[Any]] = {stop, process.journal_failure}
+    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
     if process.journal_failure.done():
         raise JournalBroken(str(process.journal_failure.result()))
     await process.drain()
 
 
-async def _started(process: SenderProcess | ControlMachine, stop: asyncio.Task[Any]) -> None:
-    """Start; an operator's stop does not wait for a first endpoint list, and for all else of a start."""
+async def _run_start(process: SenderProcess | ControlMachine, stop: asyncio.Task[Any]) -> None:
+    """Wait for the start; a stop cancels it only while it waits for a first endpoint list."""
     start = asyncio.ensure_future(process.start())
     await asyncio.wait({start, stop, process.journal_failure}, return_when=asyncio.FIRST_COMPLETED)
     while not start.done():
         if process.waiting_for_list:
             start.cancel()
-        await asyncio.wait({start}, timeout=LOOK)
+        await asyncio.wait({start}, timeout=START_CHECK_SECONDS)
     if not start.cancelled():
         start.result()
 
 
 def reload(process: SenderProcess | ControlMachine, path: Path) -> None:
-    """SIGHUP: what copies share is read again, by the settings as they are now; all else needs a restart."""
+    """Handle SIGHUP: reload the settings of peers and the agreed log. All other settings need a restart."""
     assert process.peer_group is not None
     try:
         config = load_settings(path)
--- a/brassweir/service/version_follower.py
+++ b/brassweir/service/version_follower.py
@@ -1,4 +1,4 @@
-"""What follows the versions of the endpoint configuration at one copy."""
+"""The interface of what puts versions of the endpoint configuration in force at one copy."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Follower(Protocol):
-    """Puts versions in force here, the newest in the end."""
+    """Puts the newest usable version in force; versions in between may be skipped."""
 
-    in_force: int  # the version that is in force here; 0: none
-    refused: str  # why a newer version cannot be used here; empty if none was refused
-    on_in_force: Callable[[int], None]
+    in_force: int  # version; 0: none
+    refused: str  # why the newest version cannot be used here; empty: it can
+    on_in_force: Callable[[int], None]  # called with each version put in force
 
     def follow(self, version: int, catalog: Catalog) -> None:
-        """This is the newest version now."""
+        """Take over the newest version."""
 
     def check(self, entries: Sequence[Entry]) -> None:
-        """Could these be in force here? On a thread. Raises ConfigError."""
+        """Check whether these entries could be in force here. Runs on a thread. Raises ConfigError."""
 
 
 class PassiveFollower:
-    """Follows where nothing is delivered: a version is in force once it is held."""
+    """Follower of a process that delivers nothing: every version is in force as soon as it is stored."""
 
     def __init__(self) -> None:
         self.in_force = 0
@@ -32,9 +32,9 @@
         self.on_in_force: Callable[[int], None] = lambda _: None
 
     def follow(self, version: int, catalog: Catalog) -> None:
-        """In force at once."""
+        """Put the version in force at once."""
         self.in_force = version
         self.on_in_force(version)
 
     def check(self, entries: Sequence[Entry]) -> None:
-        """Any could."""
+        """Accept any entries."""
--- a/brassweir/service/versionedlist.py
+++ b/brassweir/service/versionedlist.py
@@ -1,8 +1,8 @@
-"""The endpoint list as versions of the agreed log, told to the decision module as differences.
+"""The endpoint list as versions of the agreed log, passed to the decision module as deltas.
 
-A version that this sender's settings cannot use is refused whole, and the last good one stays. The difference
-is computed on a thread and told in bounded steps, drains first; a version that comes meanwhile is compared
-with what was told so far.
+A version that this sender's settings cannot use is rejected as a whole, and the last usable one stays in
+force. The delta is computed on a thread and passed on in bounded steps, drains first. A version that arrives
+meanwhile is compared with the one being passed on.
 """
 
 from __future__ import annotations
@@ -21,87 +21,96 @@
 from brassweir.destinations.list_updates import ListUpdateQueue
 from brassweir.service.resolved_list import DestinationNumbers, resolve_list, scale_rates
 
-KEEP_URL = 60.0  # seconds that a removed endpoint keeps its address, for attempts that are out
+KEEP_URL_SECONDS = 60.0  # a removed endpoint keeps its URL for attempts in flight
 Note = Callable[[str, dict[str, object]], None]
 
 
 class VersionedList:
-    """Keeps the last good version."""
+    """Applies the newest version of the list that this sender's settings can use."""
 
-    def __init__(self, config: Config, tell: Callable[[api.ListUpdate], None], note: Note) -> None:
-        self.config, self.tell, self.note = config, tell, note
+    def __init__(self, config: Config, send_update: Callable[[api.ListUpdate], None], note: Note) -> None:
+        self.config, self.send_update, self.note = config, send_update, note
         self.numbers = DestinationNumbers(config)
         self.scale: Callable[[], float] = lambda: 1.0
-        self.intake = ListUpdateQueue()
+        self.updates = ListUpdateQueue()
         self.in_force = 0
         self.refused = ""
         self.on_in_force: Callable[[int], None] = lambda _: None
         self._urls: dict[str, str] = {}
-        self._leaving: dict[str, float] = {}  # removed endpoints, and since when (s)
+        self._removed_at: dict[str, float] = {}  # removed endpoints, and when (monotonic seconds)
         self._newest: tuple[int, Catalog] = (0, EMPTY)
-        self._taken: tuple[int, Catalog] = (0, EMPTY)  # what the intake holds: told, or to be told
+        self._current: tuple[int, Catalog] = (0, EMPTY)  # applied, or still being passed on
         self._rescaled = False
         self._changed = asyncio.Event()
 
     def url(self, endpoint: str) -> str | None:
-        """Where an endpoint is."""
+        """Return the URL of an endpoint; None if it is unknown."""
         return self._urls.get(endpoint)
 
     def follow(self, version: int, catalog: Catalog) -> None:
-        """This is the newest version now."""
+        """Take over the newest version; :meth:`watch` applies it."""
         self._newest = (version, catalog)
         self._changed.set()
 
     def check(self, entries: Sequence[Entry]) -> None:
-        """Could these be in force here? On a thread. Raises ConfigError."""
+        """Check whether these entries could be in force here. Runs on a thread. Raises ConfigError."""
         resolve_list(
-            [_home(entry) for entry in entries], self.config, DestinationNumbers(self.config), "the list"
+            [_list_entry(entry) for entry in entries],
+            self.config,
+            DestinationNumbers(self.config),
+            "the list",
         )
 
-    def again(self) -> None:
-        """The part of each rate that is ours has changed."""
+    def reapply(self) -> None:
+        """Apply the list again, because ``scale`` now returns another value."""
         self._rescaled = True
         self._changed.set()
 
     async def open(self) -> None:
-        """Wait for the first version that can be used, and tell it."""
+        """Wait for the first usable version and apply it."""
         while not self.in_force:
             await self._advance()
 
     async def watch(self) -> None:
-        """Tell each version, for ever."""
+        """Apply each version until cancelled."""
         while True:
             await self._advance()
 
     async def _advance(self) -> None:
-        """Wait for a change and take it; go on telling what was taken, until something else has changed."""
+        """Wait for a change and apply it; stop early when another change arrives.
+
+        If the newest version is unusable, continue passing on the last usable one.
+        """
         await self._changed.wait()
         self._changed.clear()
         version, catalog = self._newest
         rescaled, self._rescaled = self._rescaled, False
         try:
-            await asyncio.to_thread(self._take, version, catalog, rescaled)
+            await asyncio.to_thread(self._apply, version, catalog, rescaled)
         except ConfigError as error:
             self.refused = f"version {version}: {error.problems[0]}"
             self.note("configuration_unusable", {"version": version, "problems": error.problems[:20]})
         else:
             self.refused = ""
-        await self._tell()
+        await self._send_updates()
+
+    def _apply(self, version: int, catalog: Catalog, rescaled: bool) -> None:
+        """Queue the delta to the current version. Runs on a thread, while no updates are passed on.
 
-    def _take(self, version: int, catalog: Catalog, rescaled: bool) -> None:
-        """Compare with what was taken last. On a thread, while the loop tells nothing. Raises ConfigError."""
-        delta = diff_catalogs(self._taken[1], catalog)
+        Raises ConfigError.
+        """
+        delta = diff_catalogs(self._current[1], catalog)
         changed = tuple(catalog.entries()) if rescaled else delta.changed
-        found = resolve_list(
-            [_home(entry) for entry in changed], self.config, self.numbers, f"version {version}"
+        resolved = resolve_list(
+            [_list_entry(entry) for entry in changed], self.config, self.numbers, f"version {version}"
         )
-        count = self.intake.apply(scale_rates(found.infos, self.scale()), delta.removed)
-        self._keep_urls(found.urls, delta.removed)
-        self._taken = (version, catalog)
-        self._say(delta, count)
+        count = self.updates.apply(scale_rates(resolved.infos, self.scale()), delta.removed)
+        self._retain_urls(resolved.urls, delta.removed)
+        self._current = (version, catalog)
+        self._log_taken(delta, count)
 
-    def _say(self, delta: Delta, count: int) -> None:
-        version, catalog = self._taken
+    def _log_taken(self, delta: Delta, count: int) -> None:
+        version, catalog = self._current
         self.note(
             "configuration_taken",
             {
@@ -110,35 +119,35 @@
                 "changed": len(delta.changed),
                 "removed": len(delta.removed),
                 "to_tell": count,
-                "first_off": len(self.intake.unusable),
+                "first_off": len(self.updates.unusable),
             },
         )
 
-    def _keep_urls(self, fresh: dict[str, str], removed: Iterable[str]) -> None:
+    def _retain_urls(self, urls: dict[str, str], removed: Iterable[str]) -> None:
         now = time.monotonic()
-        for name in fresh:
-            self._leaving.pop(name, None)
-        self._leaving.update(dict.fromkeys(removed, now))
-        old = [name for name, since in self._leaving.items() if now - since > KEEP_URL]
-        for name in old:
-            del self._leaving[name]
+        for name in urls:
+            self._removed_at.pop(name, None)
+        self._removed_at.update(dict.fromkeys(removed, now))
+        expired = [name for name, since in self._removed_at.items() if now - since > KEEP_URL_SECONDS]
+        for name in expired:
+            del self._removed_at[name]
             self._urls.pop(name, None)
-        self._urls.update(fresh)
+        self._urls.update(urls)
 
-    async def _tell(self) -> None:
-        """Tell what the intake holds, one step a turn: all else goes on between."""
-        while (news := self.intake.next_update()) is not None:
-            self.tell(news)
+    async def _send_updates(self) -> None:
+        """Pass on the queued updates, one step per turn of the loop."""
+        while (update := self.updates.next_update()) is not None:
+            self.send_update(update)
             await asyncio.sleep(0)
             if self._changed.is_set():
                 return
-        if self.in_force != self._taken[0]:
-            self.in_force = self._taken[0]
+        if self.in_force != self._current[0]:
+            self.in_force = self._current[0]
             self.on_in_force(self.in_force)
 
 
-def _home(entry: Entry) -> lines.Entry:
-    """An entry as a list file has it."""
+def _list_entry(entry: Entry) -> lines.Entry:
+    """Convert an entry of the log to an entry of a list file."""
     return lines.Entry(
         entry.name,
         entry.url,
--- a/brassweir/service/webhook_connector.py
+++ b/brassweir/service/webhook_connector.py
@@ -1,4 +1,4 @@
-"""Webhooks in a process: carriers only, nobody hands anything in over them."""
+"""Webhooks in a sender process: carriers only, since no client submits messages over this protocol."""
 
 from __future__ import annotations
 
@@ -8,49 +8,49 @@
 from brassweir.core.ledger import Waiter
 from brassweir.core.ports import Carrier, Submission
 from brassweir.service.connector import ConnectorContext
-from brassweir.service.keyfiles import secrets
+from brassweir.service.keyfiles import load_signing_keys
 from brassweir.webhook.carrier import WebhookCarrier
 
 
 class WebhookConnector:
-    """Raises ConfigError where a secret cannot be read."""
+    """Carriers of webhook destinations. Raises ConfigError if a signing key cannot be read."""
 
     connections = 0
 
-    def __init__(self, parts: ConnectorContext) -> None:
-        sender = parts.config.sender
+    def __init__(self, context: ConnectorContext) -> None:
+        sender = context.config.sender
         self.carriers: Mapping[str, Carrier] = {
             kind.name: WebhookCarrier(
-                parts.endpoints,
-                parts.pools,
-                secrets(kind, parts.base),
-                parts.note,
+                context.endpoints,
+                context.pools,
+                load_signing_keys(kind, context.base),
+                context.note,
                 sender.name,
                 sender.linger_ms,
             )
-            for kind in parts.config.kinds
+            for kind in context.config.kinds
             if kind.carrier == "webhook"
         }
 
     def create_front(self, engine: Engine) -> None:
-        """Nothing to make."""
+        """Do nothing: there is no front."""
 
     async def start(self) -> dict[str, object]:
-        """Nothing to listen to."""
+        """Do nothing: there is no server."""
         return {}
 
     def restored_waiter(self, message: int, submission: Submission) -> Waiter | None:
-        """Nobody."""
+        """Return None: nobody waits."""
         return None
 
     def stop_accepting(self) -> None:
-        """Nothing to stop."""
+        """Do nothing: there is no front."""
 
     def drain(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there are no client connections."""
 
     async def flush(self, span: float) -> None:
-        """Nothing is owed."""
+        """Do nothing: there are no receipts."""
 
     def abort(self) -> None:
-        """Nothing to drop."""
+        """Do nothing: there are no client connections."""
--- a/brassweir/service/wiring.py
+++ b/brassweir/service/wiring.py
@@ -1,4 +1,4 @@
-"""From checked settings to the objects of a sender. Facts only: nothing here decides on delivery."""
+"""Converts checked settings into the objects that a sender's components take."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from brassweir.forward.decide.rules import Body, TagRule
 from brassweir.forward.ports import Bounds
 from brassweir.net.limits import Limits
-from brassweir.service.keyfiles import certificate, private_key
+from brassweir.service.keyfiles import load_certificate, load_private_key
 
 
 def settings(config: Config) -> api.Settings:
-    """What the decision module is told at start. Raises ConfigError."""
+    """Return the settings of the decision module. Raises ConfigError."""
     sender = config.sender
     try:
         return api.Settings(
@@ -56,58 +56,61 @@
 
 
 def limits(config: CopyConfig) -> Limits:
-    """Bounds of sizes and times at the sockets."""
-    given = config.limits
+    """Return the limits of sizes and times at HTTP sockets."""
+    model = config.limits
     return Limits(
-        head_bytes=given.head_bytes,
-        max_headers=given.headers,
-        body_bytes=given.body_bytes,
-        buffered_bytes=given.buffered_bytes,
-        connections=given.connections,
-        head_ms=given.head_ms,
-        body_ms=given.body_ms,
-        idle_ms=given.idle_ms,
-        write_ms=given.write_ms,
+        head_bytes=model.head_bytes,
+        max_headers=model.headers,
+        body_bytes=model.body_bytes,
+        buffered_bytes=model.buffered_bytes,
+        connections=model.connections,
+        head_ms=model.head_ms,
+        body_ms=model.body_ms,
+        idle_ms=model.idle_ms,
+        write_ms=model.write_ms,
     )
 
 
-def partnerships(config: Config, base: Path) -> Partnerships:
-    """All agreements with their keys loaded; paths count from ``base``. Raises ConfigError, all at once."""
+def load_partnerships(config: Config, base: Path) -> Partnerships:
+    """Load all partnerships with their keys; ``base`` is the directory that paths are relative to.
+
+    Raises ConfigError with all problems at once.
+    """
     if config.identity is None:
         raise ConfigError(["identity is not given, and AS2 needs one"])
     problems: list[str] = []
-    key = private_key(base / config.identity.key, "identity.key", problems)
-    own = certificate(base / config.identity.certificate, "identity.certificate", problems)
+    key = load_private_key(base / config.identity.key, "identity.key", problems)
+    own_certificate = load_certificate(base / config.identity.certificate, "identity.certificate", problems)
     clients: dict[str, Client] = {}
-    for one in config.clients:
-        field = f"client {one.as2_id}: certificates"
-        found = [certificate(base / path, field, problems) for path in one.certificates]
-        clients[one.as2_id] = Client(
-            one.as2_id,
-            tuple(cert for cert in found if cert is not None),
-            frozenset(one.may_send_to),
-            tuple(Rule(re.compile(rule.subject), rule.class_name) for rule in one.rules),
-            one.receipt_url or "",
-            one.signed,
-            one.encrypted,
-            one.legacy,
-            one.dated,
+    for client in config.clients:
+        field = f"client {client.as2_id}: certificates"
+        certificates = [load_certificate(base / path, field, problems) for path in client.certificates]
+        clients[client.as2_id] = Client(
+            client.as2_id,
+            tuple(cert for cert in certificates if cert is not None),
+            frozenset(client.may_send_to),
+            tuple(Rule(re.compile(rule.subject), rule.class_name) for rule in client.rules),
+            client.receipt_url or "",
+            client.signed,
+            client.encrypted,
+            client.legacy,
+            client.dated,
         )
     partners: dict[str, Partner] = {}
-    for number, other in enumerate(config.partners, 1):
-        field = f"partner {other.as2_id}: certificates"
-        found = [certificate(base / path, field, problems) for path in other.certificates]
-        certs = tuple(cert for cert in found if cert is not None)
-        if other.encrypt != "none" and certs and not isinstance(certs[0].public_key(), rsa.RSAPublicKey):
+    for number, partner in enumerate(config.partners, 1):
+        field = f"partner {partner.as2_id}: certificates"
+        certificates = [load_certificate(base / path, field, problems) for path in partner.certificates]
+        certs = tuple(cert for cert in certificates if cert is not None)
+        if partner.encrypt != "none" and certs and not isinstance(certs[0].public_key(), rsa.RSAPublicKey):
             problems.append(f"{field}: encryption needs an RSA certificate, and the first is none")
-        partners[other.as2_id] = _partner(other, number, certs)
-    if key is not None and own is not None and key.public_key() != own.public_key():
+        partners[partner.as2_id] = _partner(partner, number, certs)
+    if key is not None and own_certificate is not None and key.public_key() != own_certificate.public_key():
         problems.append("identity: the certificate does not belong to the key")
-    if problems or key is None or own is None:
+    if problems or key is None or own_certificate is None:
         raise ConfigError(problems)
     classes = {cls.name: cls for cls in settings(config).classes}
     return Partnerships(
-        Identity(config.identity.as2_id, key, own),
+        Identity(config.identity.as2_id, key, own_certificate),
         clients,
         partners,
         classes,
@@ -115,24 +118,30 @@
     )
 
 
-def _partner(one: PartnerModel, number: int, certs: tuple[x509.Certificate, ...]) -> Partner:
-    def named(value: str) -> str:
+def _partner(model: PartnerModel, number: int, certs: tuple[x509.Certificate, ...]) -> Partner:
+    def none_as_empty(value: str) -> str:
         return "" if value == "none" else value
 
     return Partner(
-        one.as2_id,
+        model.as2_id,
         number,
         certs,
-        Security(named(one.sign), named(one.encrypt), named(one.compress), one.pss, one.oaep),
-        one.receipt == "async",
-        one.signed_receipt,
-        one.legacy,
-        frozenset(one.busy_statuses),
+        Security(
+            none_as_empty(model.sign),
+            none_as_empty(model.encrypt),
+            none_as_empty(model.compress),
+            model.pss,
+            model.oaep,
+        ),
+        model.receipt == "async",
+        model.signed_receipt,
+        model.legacy,
+        frozenset(model.busy_statuses),
     )
 
 
 def tag_rules(source: ForwardSourceModel) -> tuple[TagRule, ...]:
-    """The rules of a source; the model has checked them."""
+    """Return the tag rules of a source."""
     return tuple(
         TagRule(rule.tag, rule.class_name, rule.destination, Body(rule.body), rule.key)
         for rule in source.rules
@@ -140,7 +149,7 @@
 
 
 def bounds(config: ForwardModel) -> Bounds:
-    """What forward sources can make us hold."""
+    """Return the limits of sizes and times for forward sources."""
     return Bounds(
         config.chunk_bytes,
         config.unpacked_bytes,
--- a/tests/service/as2_door.py
+++ b/tests/service/as2_sender.py
@@ -1,4 +1,4 @@
-"""A sender with an AS2 partner, and posts to it as a client would make them or would not."""
+"""A running sender with one AS2 partner, and helpers that post valid and invalid messages to it."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 OFFICE = "office 1"
 
 
-class Door:
-    """A running sender and a way to knock."""
+class RunningSender:
+    """A running sender, with methods to post to it."""
 
     def __init__(self, fleet: Fleet, sender: LocalSender) -> None:
         self.fleet, self.sender = fleet, sender
@@ -31,7 +31,7 @@
         self.hub = identity(HUB).certificate
         self.offload = Offload(1)
 
-    async def knock(self, fields: dict[str, str], body: bytes = b"x", url: str = "") -> Reply:
+    async def post(self, fields: dict[str, str], body: bytes = b"x", url: str = "") -> Reply:
         pool = HttpPool(Address.parse(url or self.url), Limits(), 1, 100.0, 1000.0)
         try:
             return await pool.post(
@@ -40,8 +40,8 @@
         finally:
             pool.close_idle()
 
-    async def good(self, ident: str, wait: int = 5) -> str:
-        """A good message still goes through."""
+    async def send_valid(self, ident: str, wait: int = 5) -> str:
+        """Post a valid message and return the answer in its receipt."""
         sent = letter(
             identity(OFFICE),
             "bank",
@@ -52,20 +52,20 @@
         )
         pool = HttpPool(Address.parse(self.url), Limits(), 1, 100.0, 1000.0)
         try:
-            told = await post(pool, sent, self.hub, asyncio.get_running_loop().time() + 5.0, self.offload)
-            return told.answer
+            outcome = await post(pool, sent, self.hub, asyncio.get_running_loop().time() + 5.0, self.offload)
+            return outcome.answer
         finally:
             pool.close_idle()
 
-    async def said(self, reply: Reply, signed: bool = True) -> str:
-        """The modifier of a receipt, signed unless no common digest was to be found."""
+    async def receipt_modifier(self, reply: Reply, signed: bool = True) -> str:
+        """Return the error modifier of a receipt, which is signed unless there is no common digest."""
         assert reply.status == 200
         got = mdn.parse(mime.of_http(reply.headers.first("content-type"), "", reply.body), [self.hub])
         assert (got.signer is not None) == signed and got.disposition.severity in ("error", "failure")
         return got.disposition.modifier
 
 
-async def opened(folder: Path) -> Door:
+async def start_sender(folder: Path) -> RunningSender:
     fleet = Fleet(
         folder,
         FleetPlan(clients=1, async_clients=0, partners={"bank": Manner()}, drain_grace=1.0),
@@ -75,7 +75,7 @@
     await fleet.set_up()
     sender = fleet.senders[0]
     assert isinstance(sender, LocalSender)
-    return Door(fleet, sender)
+    return RunningSender(fleet, sender)
 
 
 def fields(**more: str) -> dict[str, str]:
@@ -92,7 +92,9 @@
     return {**base, **{name.replace("_", "-"): value for name, value in more.items()}}
 
 
-def built(payload: bytes = b"{}", *, who: str = OFFICE, security: Security | None = None) -> message.Built:
+def build_message(
+    payload: bytes = b"{}", *, who: str = OFFICE, security: Security | None = None
+) -> message.Built:
     return message.build(
         Payload("application/json", payload), security or Security(), identity(who), identity(HUB).certificate
     )
--- a/tests/service/processes.py
+++ b/tests/service/processes.py
@@ -1,4 +1,4 @@
-"""Real ``brassweir serve`` processes on loopback, each in a folder of its own, and what they show."""
+"""Runs ``brassweir serve`` processes on loopback, each in a directory of its own, and reads their state."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 from brassweir.lab.rigs.handle import free_port
 
-WAIT = 30.0  # seconds that any condition may take, on a machine with other work
+WAIT_SECONDS = 30.0  # for any condition, on a loaded machine
 
 
 class Processes:
-    """Copies by name; each finds its copies' file and key in its folder."""
+    """Processes by copy name; each directory holds the copies' file and the shared key."""
 
     def __init__(self, home: Path, sites: dict[str, tuple[str, str]]) -> None:
-        """``sites``: site and region of each copy."""
+        """``sites`` gives site and region of each copy."""
         self.home, self.names = home, tuple(sites)
         self.metrics = {name: free_port(socket.SOCK_STREAM) for name in sites}
         self.ports = {name: free_port(socket.SOCK_DGRAM) for name in sites}
@@ -37,23 +37,23 @@
             (home / name / "peers.key").write_text("a key of this fleet\n")
 
     def settings(self, name: str) -> Path:
-        """Where a copy's settings are."""
+        """Return the path of a copy's settings."""
         return self.home / name / "s.yaml"
 
     def start(self, name: str) -> None:
-        """Start a copy; its log goes on where it was."""
+        """Start a copy; its log file is appended to."""
         with (self.home / name / "log").open("ab") as log:
             self.running[name] = subprocess.Popen(
                 [sys.executable, "-m", "brassweir", "serve", str(self.settings(name))], stderr=log
             )
 
     def kill(self, name: str) -> None:
-        """End a copy at once."""
+        """Kill a copy and wait for it."""
         self.running[name].kill()
         self.running[name].wait()
 
     def shown(self, name: str, path: str) -> Any:
-        """What a copy shows to operators; nothing while it cannot be asked."""
+        """Return a copy's state at an HTTP path; empty while it does not answer."""
         try:
             with urllib.request.urlopen(
                 f"http://127.0.0.1:{self.metrics[name]}{path}", timeout=2.0
@@ -63,26 +63,26 @@
             return {}
 
     def log(self, name: str) -> str:
-        """All that a copy has logged, over all its runs."""
+        """Return a copy's log over all its runs."""
         return (self.home / name / "log").read_text()
 
-    def until(self, what: Callable[[], bool], words: str, path: str = "/agreed") -> None:
-        """Wait for a condition; a failure shows what each copy shows and said last."""
-        end = time.monotonic() + WAIT
-        while not what():
+    def until(self, condition: Callable[[], bool], words: str, path: str = "/agreed") -> None:
+        """Wait for a condition; a failure shows each copy's state and the end of its log."""
+        end = time.monotonic() + WAIT_SECONDS
+        while not condition():
             assert time.monotonic() < end, (
                 words,
                 {name: (self.shown(name, path), self.log(name)[-2000:]) for name in self.running},
             )
             time.sleep(0.05)
 
-    def agreed(self, what: Callable[[dict[str, Any]], Any], names: tuple[str, ...] = ()) -> bool:
-        """Do all show the same, and something?"""
-        found = [what(self.shown(name, "/agreed")) for name in names or self.names]
+    def agreed(self, value_of: Callable[[dict[str, Any]], Any], names: tuple[str, ...] = ()) -> bool:
+        """Whether all copies show the same value, and one that is not empty."""
+        found = [value_of(self.shown(name, "/agreed")) for name in names or self.names]
         return bool(found[0]) and all(one == found[0] for one in found)
 
     def end(self) -> None:
-        """End all that run."""
+        """Kill all running processes."""
         for one in self.running.values():
             if one.poll() is None:
                 one.kill()
--- a/tests/service/test_asked.py
+++ b/tests/service/test_asked.py
@@ -1,4 +1,4 @@
-"""A running sender asked about its destinations, and one that meets a want of descriptors."""
+"""The destinations shown by a running sender, and a sender that runs out of file descriptors."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 async def running(folder: Path, count: int = 30) -> tuple[SenderProcess, hooks.Receivers]:
-    """A sender and its receivers in this process."""
+    """Start a sender and its receivers in this process."""
     receivers = hooks.Receivers(count, KEY, 0.01, [], 1)
     port = await receivers.server.listen("127.0.0.1", 0)
     path = write(folder, Plan(Mix(1.0, 1.0, 0, count)), port)
@@ -53,7 +53,7 @@
     return await got
 
 
-def test_destinations_are_shown_asleep_and_awake_and_the_leading_ones_on_top(tmp_path: Path) -> None:
+def test_idle_and_active_destinations_are_shown_and_ranked(tmp_path: Path) -> None:
     async def work() -> list[Any]:
         sender, receivers = await running(tmp_path)
         at = ["--at", f"127.0.0.1:{sender.metrics_port}"]
@@ -84,7 +84,7 @@
     assert "1 awake, 29 asleep" in plain.output
 
 
-def test_a_want_of_descriptors_sheds_connections_and_loses_nothing(
+def test_a_shortage_of_descriptors_closes_connections_and_loses_no_message(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> tuple[list[FinalAnswer], SenderProcess]:
@@ -110,11 +110,11 @@
     answers, sender = run(work())
     assert [answer.answer for answer in answers] == [Answer.DELIVERED] * 30
     assert sender.pools.budget.max_connections < sender.pools.budget.configured, (
-        "it lives with less from then on"
+        "the connection limit stays lowered"
     )
 
 
-def test_ten_dead_wakes_do_not_hold_up_the_living() -> None:
+def test_unreachable_endpoints_do_not_delay_connections_to_others() -> None:
     async def work() -> list[float]:
         blackhole = socket.socket()
         blackhole.bind(("127.0.0.1", 0))
@@ -152,4 +152,4 @@
     async def post(pools: PoolManager, url: str) -> Reply:
         return await pools.http_pool(url).post(Headers(), b"", asyncio.get_running_loop().time() + 3.0)
 
-    assert run(work())[0] < 1.0, "one place is held by the dead, three serve the living"
+    assert run(work())[0] < 1.0, "dead endpoints hold one setup slot, the others serve live ones"
--- a/tests/service/test_configuration.py
+++ b/tests/service/test_configuration.py
@@ -1,4 +1,4 @@
-"""The endpoint configuration between processes: two control machines and two senders over loopback."""
+"""The endpoint configuration between processes: two control machines and two senders on loopback."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.config.test_forward import VALID_SETTINGS, write_settings
-from tests.service.processes import WAIT, Processes
+from tests.service.processes import WAIT_SECONDS, Processes
 
 NAMES = ("c1", "c2", "s1", "s2")
 SENDERS = ("s1", "s2")
@@ -23,7 +23,7 @@
 
 
 class Fleet(Processes):
-    """The operator edits at c1; c1, c2 and s1 vote."""
+    """Two control machines and two senders; the operator edits at c1, and c1, c2 and s1 vote."""
 
     def __init__(self, home: Path) -> None:
         super().__init__(home, {name: (f"x{name}", "r1") for name in NAMES})
@@ -43,30 +43,30 @@
                 (home / name / "list.yaml").write_text(endpoints("a"))
 
     def configuration(self, name: str) -> dict[str, Any]:
-        """What a copy shows of it."""
+        """Return the state that a copy shows at ``/configuration``."""
         found = self.shown(name, "/configuration")
         return found if isinstance(found, dict) else {}
 
     def publish(self, text: str, at: str = "c1") -> None:
-        """The operator edits the list and says so."""
+        """Write the edited list and send SIGHUP."""
         self.ended_before = len(self.said(at, *ENDS))
         (self.home / at / "list.yaml").write_text(text)
         self.running[at].send_signal(signal.SIGHUP)
 
     def edit(self, at: str = "c1") -> dict[str, Any]:
-        """How the last edit ended."""
+        """Return the last edit and how it ended."""
         found = self.configuration(at).get("edit", {})
         return found if isinstance(found, dict) else {}
 
     def wait_edit(self, state: str, at: str = "c1") -> dict[str, Any]:
-        """Wait until the last edit has ended: so, and not otherwise."""
+        """Wait until the last edit has ended, and check its state."""
         self.until(lambda: len(self.said(at, *ENDS)) > self.ended_before, f"an edit's end at {at}")
         edit = self.edit(at)
         assert edit["state"] == state, edit
         return edit
 
     def wait_in_force(self, version: int, names: tuple[str, ...] = NAMES) -> None:
-        """Wait until a version is in force at these copies."""
+        """Wait until a version is in force at the copies named."""
         self.until(
             lambda: all(self.configuration(name).get("in_force") == version for name in names),
             f"version {version} in force at {names}",
@@ -74,21 +74,21 @@
         )
 
     def told(self, name: str) -> list[str]:
-        """The endpoints that a sender's decision module knows; with their states while it is awake."""
+        """Return the endpoints that a sender's decision module knows, with their states while they are resident."""
         found = self.shown(name, "/destinations/hook-x")["endpoints"]
         return sorted(one if isinstance(one, str) else f"{one['name']} {one['state']}" for one in found)
 
     def taken(self, name: str) -> list[dict[str, Any]]:
-        """What a sender has logged of each version that it took."""
+        """Return a sender's log events of the versions that it applied."""
         return self.said(name, "configuration_taken")
 
     def said(self, name: str, *events: str) -> list[dict[str, Any]]:
-        """What a copy has logged of these."""
+        """Return a copy's log events of these names."""
         lines = [json.loads(line) for line in self.log(name).splitlines() if line.startswith("{")]
         return [line for line in lines if line.get("event") in events]
 
     def fleet_view(self) -> dict[str, Any]:
-        """What whoever leads shows of the fleet."""
+        """Return the fleet's state as the leader shows it."""
         for name in NAMES:
             found = self.configuration(name).get("fleet")
             if isinstance(found, dict):
@@ -97,7 +97,7 @@
 
 
 def endpoints(*names: str, state: str = "ready") -> str:
-    """A list of one destination's endpoints."""
+    """Return a list of one destination's endpoints in YAML."""
     return "endpoints:\n" + "".join(
         f"  - {{name: {name}, url: 'forward://127.0.0.1:9', destination: hook-x, kind: collectors, state: {state}}}\n"
         for name in names
@@ -113,7 +113,7 @@
             urllib.request.urlopen(f"http://127.0.0.1:{fleet.metrics['s1']}/healthz", timeout=5.0)
         assert caught.value.code == 503 and caught.value.read() == b"starting\n"
         fleet.running["s1"].terminate()
-        assert fleet.running["s1"].wait(WAIT) == 0 and '"stopped"' in fleet.log("s1")
+        assert fleet.running["s1"].wait(WAIT_SECONDS) == 0 and '"stopped"' in fleet.log("s1")
     finally:
         fleet.end()
 
@@ -130,7 +130,7 @@
 
 def test_a_change_at_one_copy_is_in_force_at_all_and_bad_ones_change_nothing(fleet: Fleet) -> None:
     assert "configuration_taken" not in fleet.log("s1") and '"started"' not in fleet.log("s1"), (
-        "a sender takes nothing in before it has a list"
+        "a sender accepts no messages before it has a list"
     )
     fleet.publish(endpoints("a", "b", "c"))
     first = int(fleet.wait_edit("agreed")["version"])
@@ -147,16 +147,16 @@
     assert fleet.told("s2") == ["a", "b", "c"]
     assert f'brassweir_configuration{{what="in_force"}} {first}'.encode() in fleet.shown("s2", "/metrics")
 
-    # A list that cannot be read, an entry the log does not carry, and one that leaves a destination alone.
+    # An unknown field, and an unconfirmed change that leaves a destination without endpoints.
     fleet.publish(endpoints("a", "b").replace("name: b", "name: b, colour: red"))
     refused = fleet.wait_edit("refused")
     assert f"{fleet.list}:3: endpoints[1].colour: is no known field" in refused["why"]
     fleet.publish(endpoints("a", "b", "c").replace("destination: hook-x", "destination: hook-y"))
     refused = fleet.wait_edit("refused")
-    assert refused["field"] == "destinations" and "hook-x" in refused["why"], "nobody confirmed that"
+    assert refused["field"] == "destinations" and "hook-x" in refused["why"], "the change was not confirmed"
     assert all(fleet.configuration(name)["in_force"] == first for name in NAMES)
 
-    # A drain and a removal, which the settings confirm.
+    # A drain, and a removal that the settings confirm.
     text = fleet.settings("c1").read_text()
     fleet.settings("c1").write_text(text.replace("list.yaml}", "list.yaml, confirm_removed: 1}"))
     fleet.publish(endpoints("a") + endpoints("c", state="draining").partition("\n")[2])
@@ -164,7 +164,9 @@
     assert second > first
     fleet.wait_in_force(second)
     last = fleet.taken("s1")[-1]
-    assert (last["changed"], last["removed"], last["first_off"]) == (1, 1, 2), "a drain and a removal first"
+    assert (last["changed"], last["removed"], last["first_off"]) == (1, 1, 2), (
+        "a drain and a removal are applied first"
+    )
 
 
 def test_of_two_edits_from_one_version_the_second_is_refused(fleet: Fleet) -> None:
@@ -191,7 +193,7 @@
     fleet.wait_in_force(first)
     for name in ("s2", "c2"):
         fleet.kill(name)
-    (fleet.home / "c2" / "list.yaml").write_text("half an edit: [")  # keeps nobody from starting
+    (fleet.home / "c2" / "list.yaml").write_text("half an edit: [")  # does not prevent a start
     fleet.publish(endpoints("a", "b", "c"))
     second = int(fleet.wait_edit("agreed")["version"])
     fleet.wait_in_force(second, ("c1", "s1"))
@@ -200,13 +202,13 @@
         fleet.start(name)
     fleet.wait_in_force(second)
     versions = [one["version"] for one in fleet.taken("s2")]
-    assert versions[:2] == [first, first] and versions[-1] == second, "from the folder at once"
+    assert versions[:2] == [first, first] and versions[-1] == second, "read from its directory at once"
 
-    # Alone: no quorum, and what it has stays in force; it knows that its knowledge is old.
+    # Without a quorum, the stored version stays in force, and the copy reports that it is out of contact.
     for name in ("c1", "c2", "s1"):
         fleet.running[name].terminate()
     for name in ("c1", "c2", "s1"):
-        assert fleet.running[name].wait(WAIT) == 0
+        assert fleet.running[name].wait(WAIT_SECONDS) == 0
     fleet.kill("s2")
     fleet.start("s2")
     fleet.wait_in_force(second, ("s2",))
@@ -223,10 +225,10 @@
     fleet.publish(endpoints("a", "b", "c"))
     fleet.until(
         lambda: all(fleet.configuration(name).get("out_of_contact") is True for name in ("c1", "s2")),
-        "those that are left know that they are alone",
+        "the remaining copies are out of contact",
         "/configuration",
     )
-    assert len(fleet.said("c1", *ENDS)) == fleet.ended_before, "a minority ends no edit"
+    assert len(fleet.said("c1", *ENDS)) == fleet.ended_before, "an edit does not end without a quorum"
     assert fleet.configuration("s2")["in_force"] == first
     assert [one.partition(" ")[0] for one in fleet.told("s2")] == ["a", "b"]
     fleet.start("c2")
--- a/tests/service/test_control_machines.py
+++ b/tests/service/test_control_machines.py
@@ -1,4 +1,4 @@
-"""Control machines as processes: they found the group, lead, renew leases, and deliver nothing."""
+"""Control machines as processes: they form the group, lead it, renew leases, and deliver nothing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from brassweir.regions import planning
 from brassweir.regions.epochs import parse
 from tests.config.test_forward import VALID_SETTINGS, write_settings
-from tests.service.processes import WAIT, Processes
+from tests.service.processes import WAIT_SECONDS, Processes
 
 AGREED = "agreed: {voters: [c1, c2, c3], lease_ms: 6000, first_epoch: first.json}\n"
 PEERS = "peers: {copies: copies.yaml, keys: [peers.key]}\n"
@@ -22,20 +22,20 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Processes]:
-    made = Processes(tmp_path, {name: (f"x{name}", "r1") for name in ("c1", "c2", "c3", "s1")})
+    processes = Processes(tmp_path, {name: (f"x{name}", "r1") for name in ("c1", "c2", "c3", "s1")})
     epoch = planning.first_epoch({"r1": "http://r1"}, time.time() * 1000.0, 6_000.0)
     first = msgspec.json.encode(msgspec.structs.replace(epoch, turn=1))
     for name in ("c1", "c2", "c3"):
-        made.settings(name).write_text(
-            f"sender: {{name: {name}, metrics: '127.0.0.1:{made.metrics[name]}'}}\n{PEERS}{AGREED}"
+        processes.settings(name).write_text(
+            f"sender: {{name: {name}, metrics: '127.0.0.1:{processes.metrics[name]}'}}\n{PEERS}{AGREED}"
             "region: {name: r1, source: agreed, longest_deadline_ms: 8000}\n"
         )
-    text = VALID_SETTINGS.replace("name: s1,", f"name: s1, metrics: '127.0.0.1:{made.metrics['s1']}',")
+    text = VALID_SETTINGS.replace("name: s1,", f"name: s1, metrics: '127.0.0.1:{processes.metrics['s1']}',")
     write_settings(tmp_path / "s1", f"{text}{PEERS}{AGREED}region: {{name: r1, source: agreed}}\n")
-    for name in made.names:
+    for name in processes.names:
         (tmp_path / name / "first.json").write_bytes(first)
-    yield made
-    made.end()
+    yield processes
+    processes.end()
 
 
 def test_three_control_machines_lead_a_sender_that_does_not_vote(fleet: Processes) -> None:
@@ -48,19 +48,19 @@
     fleet.until(lambda: fleet.agreed(lambda state: state.get("leader")), "a leader that all know")
     fleet.until(lambda: fleet.agreed(lambda state: len(state.get("members", ())) == 4), "all are members")
     assert fleet.shown("s1", "/agreed")["leader"] in ("c1", "c2", "c3")
-    kept = fleet.home / "s1" / "s1.epoch"
-    fleet.until(kept.exists, "the first epoch reaches the sender")
-    issued = parse(kept.read_bytes()).issued
-    fleet.until(lambda: parse(kept.read_bytes()).issued > issued, "a control machine renews the lease")
+    epoch_file = fleet.home / "s1" / "s1.epoch"
+    fleet.until(epoch_file.exists, "the first epoch reaches the sender")
+    issued = parse(epoch_file.read_bytes()).issued
+    fleet.until(lambda: parse(epoch_file.read_bytes()).issued > issued, "a control machine renews the lease")
     assert b"brassweir_agreed{" in fleet.shown("c1", "/metrics") and fleet.shown("c1", "/peers")["copies"]
 
     leader = str(fleet.shown("s1", "/agreed")["leader"])
     fleet.running[leader].terminate()
-    assert fleet.running[leader].wait(WAIT) == 0 and '"stopped"' in fleet.log(leader)
-    rest = tuple(name for name in fleet.names if name != leader)
+    assert fleet.running[leader].wait(WAIT_SECONDS) == 0 and '"stopped"' in fleet.log(leader)
+    others = tuple(name for name in fleet.names if name != leader)
     fleet.until(
         lambda: fleet.agreed(
-            lambda state: state.get("leader") not in ("", leader, None) and state.get("leader"), rest
+            lambda state: state.get("leader") not in ("", leader, None) and state.get("leader"), others
         ),
         "another leader",
     )
--- a/tests/service/test_fleet_configuration.py
+++ b/tests/service/test_fleet_configuration.py
@@ -1,4 +1,4 @@
-"""Which versions a copy follows while it carries out what its folder held."""
+"""Versions that a copy follows while it replays its stored log."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class StartedCore(ConfiguredCore):
-    """Its folder held five entries that are agreed."""
+    """A core whose stored log held five agreed entries."""
 
     def __init__(self) -> None:
         self.applied_index, self.startup_commit_index = 0, 5
 
 
 class Follower:
-    """Notes what it is to follow."""
+    """Records the versions passed to it."""
 
     def __init__(self) -> None:
         self.in_force, self.refused, self.versions = 0, "", list[int]()
@@ -40,7 +40,7 @@
 async def _versions_followed(home: Path) -> list[int]:
     core, machine, follower = StartedCore(), ConfiguredMachine(), Follower()
     parts: dict[str, Any] = {"name": "a", "core": core, "on_apply": [], "on_restore": []}
-    member = SimpleNamespace(**parts, take=lambda fact: None)
+    member = SimpleNamespace(**parts, submit=lambda fact: None)
     group = cast(Any, SimpleNamespace(propose=None))
     FleetConfiguration(cast(Member, member), machine, group, follower, home, lambda event, more: None)
     for index in range(1, 8):
@@ -51,5 +51,5 @@
     return follower.versions
 
 
-def test_older_versions_of_the_folder_are_passed_over_at_a_start(tmp_path: Path) -> None:
+def test_older_versions_in_the_stored_log_are_skipped_at_start(tmp_path: Path) -> None:
     assert asyncio.run(_versions_followed(tmp_path)) == [5, 6, 7]
