--- a/tests/service/test_hard_cases.py
+++ b/tests/service/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases over real sockets: receipts lost, late, early and twice; drops, drains and waits."""
+"""AS2 over real sockets: lost, late, early and repeated receipts, dropped connections, drains, requested waits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def lost() -> Day:
-    """The partner pays and loses every receipt for a while."""
+    """The partner executes payments but loses all receipts for a while."""
     orders = [order(0.5, "p-pay", "payment"), order(0.5, "p-key", "order"), order(0.5, "p-safe", "status")]
     return short_day(6.0, orders, {"bank": [Trouble("lost", 0.0, 1.0)]})
 
@@ -27,12 +27,12 @@
     assert (got.answers("p-pay"), got.effects("p-pay"), len(got.arrivals("p-pay"))) == (["failed"], 1, 1)
     assert got.answers("p-key") == ["delivered"] and got.effects("p-key") == 1
     calls = got.arrivals("p-key")
-    assert len(calls) >= 2 and len({call.ident for call in calls}) == 1, "one id over all attempts"
+    assert len(calls) >= 2 and len({call.ident for call in calls}) == 1, "all attempts carry one Message-ID"
     assert got.answers("p-safe") == ["delivered"] and got.effects("p-safe") >= 2
 
 
 def too_late() -> Day:
-    """The client's time runs out while the receipt is in flight."""
+    """The message's deadline passes before the receipt arrives."""
     return short_day(
         5.0,
         [order(0.4, "p-1", "payment", left=1.0)],
@@ -43,26 +43,26 @@
 
 def check_too_late(got: Ran) -> None:
     assert got.answers("p-1") == ["failed"] and got.effects("p-1") == 1
-    assert len(got.arrivals("p-1")) == 1, "nothing is sent after it"
+    assert len(got.arrivals("p-1")) == 1, "no attempt after the deadline"
     assert [line["result"] for line in got.notes("late_outcome")] == ["ok"], "the late receipt is recorded"
 
 
 def early() -> Day:
-    """An asynchronous receipt comes before the response to the post."""
+    """An asynchronous receipt arrives before the response to the post."""
     return short_day(
         3.0, [order(0.4, "p-1", "payment")], {"bank": [Trouble("early_receipt", 0.0, 3.0)]}, ASYNC
     )
 
 
 def second() -> Day:
-    """It comes twice."""
+    """An asynchronous receipt arrives twice."""
     return short_day(
         3.0, [order(0.4, "p-1", "payment")], {"bank": [Trouble("second_receipt", 0.0, 3.0)]}, ASYNC
     )
 
 
 def after() -> Day:
-    """It comes after the time-out."""
+    """An asynchronous receipt arrives after the deadline."""
     return short_day(
         6.0, [order(0.4, "p-1", "payment", left=2.0)], {"bank": [Trouble("late_receipt", 0.0, 3.0)]}, ASYNC
     )
@@ -83,7 +83,7 @@
 
 
 def drained_endpoint() -> Day:
-    """A drain notice while receipts are lost: the next attempt goes elsewhere."""
+    """An endpoint is drained while receipts are lost: the next attempt uses another endpoint."""
     day = short_day(
         6.0,
         [order(0.4, "p-key", "order"), order(2.5, "p-new", "status")],
@@ -101,7 +101,7 @@
 
 
 def dropped() -> Day:
-    """A client drops its connection and asks again with the same Message-ID, during and after."""
+    """A client drops its connection and repeats the message under the same Message-ID."""
     slow = {"bank": Manner(service=0.6)}
     return short_day(4.0, [order(0.4, "p-during", "payment", drops=True)], {}, slow)
 
@@ -113,7 +113,7 @@
 
 
 def waiting() -> Day:
-    """A partner told us to wait while twenty messages for it are held."""
+    """A partner requests a wait while twenty messages to it are queued."""
     orders = [order(0.3, "p-first", "status")] + [
         order(0.6 + 0.02 * i, f"p-{i}", "payment") for i in range(20)
     ]
@@ -144,7 +144,7 @@
 
 
 def async_client() -> Day:
-    """An asynchronous client: one receipt to its registered URL, again when it asks again."""
+    """An asynchronous client gets a receipt at its registered URL, and again when it repeats the message."""
     return short_day(
         4.0,
         [order(0.4, "p-1", "payment"), order(0.5, "p-2", "order", drops=True)],
@@ -162,7 +162,7 @@
 
 
 def bad_receipts() -> Day:
-    """Each kind of bad receipt, from a partner of its own: none counts, none leads to a second payment."""
+    """Every kind of invalid receipt, each from its own partner: none counts, none causes a second payment."""
     return short_day(
         5.0,
         [order(0.4 + 0.1 * i, f"p-{kind}", "payment", kind) for i, kind in enumerate(BAD)],
@@ -192,7 +192,7 @@
 
 
 def play_case(name: str, folder: Path) -> str:
-    """Play and judge one case in a process of its own; what was wrong, or nothing."""
+    """Play and check one case in a process of its own; return the problem, or an empty string."""
     got = run(ran(CASES[name][0](), folder))
     if not got.report.verdict.clean:
         return f"rules broken: {got.report.verdict.broken}"
@@ -209,7 +209,7 @@
 
 @pytest.fixture(scope="module")
 def problems(tmp_path_factory: pytest.TempPathFactory) -> dict[str, str]:
-    """All cases."""
+    """Play all cases side by side, the longest first."""
     longest = sorted(
         CASES, key=lambda name: (name not in ("waiting", "bad_receipts"), -CASES[name][0]().seconds)
     )
--- a/tests/service/test_lean.py
+++ b/tests/service/test_lean.py
@@ -1,4 +1,4 @@
-"""Who has no peers in the settings pays nothing for them: not an import."""
+"""Processes import peers, agreed log and configuration stream only if their settings use them."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
     assert imported(START, str(write_settings(tmp_path))) == []
 
 
-def test_nor_does_a_node() -> None:
+def test_a_node_imports_neither() -> None:
     assert imported(NODE) == []
 
 
 @pytest.mark.parametrize("agreed", [True, False])
-def test_what_the_settings_have_is_imported_and_no_more(tmp_path: Path, agreed: bool) -> None:
+def test_only_what_the_settings_use_is_imported(tmp_path: Path, agreed: bool) -> None:
     text = (
         SETTINGS
         if agreed
--- a/tests/service/test_loop_disk.py
+++ b/tests/service/test_loop_disk.py
@@ -1,4 +1,4 @@
-"""The journal's I/O on the loop: what still waits at the end is written, and nothing after it."""
+"""The journal's I/O on the event loop: closing runs what is queued, and nothing submitted later."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from brassweir.service.journaling import LoopIo
 
 
-def test_the_end_writes_what_waits_and_lets_nothing_more_go_on() -> None:
+def test_close_runs_queued_operations_and_no_later_ones() -> None:
     async def run() -> list[str]:
         disk, seen = LoopIo(asyncio.get_running_loop()), list[str]()
 
@@ -25,7 +25,7 @@
     assert asyncio.run(run()) == ["first", "done", "second", "done"]
 
 
-def test_an_error_is_told_and_the_next_goes_on() -> None:
+def test_an_error_is_reported_and_the_next_operation_runs() -> None:
     async def run() -> list[str]:
         disk, seen = LoopIo(asyncio.get_running_loop()), list[str]()
 
--- a/tests/service/test_publisher.py
+++ b/tests/service/test_publisher.py
@@ -1,4 +1,4 @@
-"""An operator's edit on its way into the log: agreed, refused with file, line and field, or outdated."""
+"""Publishing an operator's edit: agreed, refused with file, line and field, or outdated."""
 
 from __future__ import annotations
 
@@ -22,19 +22,17 @@
 
 
 class Operator:
-    """A copy whose log is its own machine."""
+    """A copy with a publisher that proposes to its own state machine."""
 
     def __init__(self, home: Path, machine: ConfiguredMachine, name: str = "a") -> None:
         self.machine, self.home, self.name = machine, home, name
         self.notes: list[tuple[str, dict[str, object]]] = []
-        self.losses: list[
-            OutcomeKind
-        ] = []  # how the next proposals end, whether they came into the log or not
+        self.losses: list[OutcomeKind] = []  # outcomes of the next proposals, which are applied all the same
         self.publisher = Publisher(
-            name, machine, self.ask, home, lambda event, more: self.notes.append((event, more))
+            name, machine, self.propose, home, lambda event, more: self.notes.append((event, more))
         )
 
-    async def ask(self, command: bytes, timeout_ms: float) -> Outcome:
+    async def propose(self, command: bytes, timeout_ms: float) -> Outcome:
         index = self.machine.state.index + 1
         result = self.machine.apply(index, command)
         if self.losses:
@@ -80,7 +78,7 @@
     run(work())
 
 
-def test_what_an_operator_has_to_confirm_is_told_with_its_numbers(tmp_path: Path) -> None:
+def test_an_unconfirmed_removal_is_refused_with_its_numbers(tmp_path: Path) -> None:
     async def work() -> None:
         operator = Operator(tmp_path, level_2(ConfiguredMachine()))
         before = (await operator.edit(line("x", destination="d") + line("y", destination="e"))).version
@@ -127,7 +125,7 @@
         await one.edit(line("x"))
         edit = await other.edit(line("x") + line("y"))
         assert edit.field == "after" and "a version that is not known here" in edit.why, (
-            "a new operator's copy"
+            "the first edit at this copy"
         )
         second = await other.edit(line("x") + line("y"))
         assert second.state == "agreed"
@@ -136,7 +134,7 @@
         assert f"version {second.version} by b is in force" in edit.why
         assert '"y"' in (tmp_path / "a.in-force.jsonl").read_text()
         assert len(read_edited(tmp_path / "a.in-force.jsonl")) == 2
-        anew = Operator(tmp_path, machine)  # a restart remembers what its list was made from
+        anew = Operator(tmp_path, machine)  # the base version survives a restart
         assert (await anew.edit(line("x") + line("y") + line("z"))).state == "agreed"
 
     run(work())
@@ -146,13 +144,13 @@
     async def work() -> None:
         machine = level_2(ConfiguredMachine())
         one, other = Operator(tmp_path, machine), Operator(tmp_path, machine, "b")
-        taken = one.ask
+        propose = one.propose
 
         async def late(command: bytes, timeout_ms: float) -> Outcome:
             await other.edit(line("y"))
-            return await taken(command, timeout_ms)
+            return await propose(command, timeout_ms)
 
-        one.publisher.ask = late
+        one.publisher.propose = late
         edit = await one.edit(line("x"))
         assert edit.field == "after" and machine.configuration.by == "b"
         assert [entry.name for entry in machine.configuration.catalog.entries()] == ["y"]
--- a/tests/service/test_regions.py
+++ b/tests/service/test_regions.py
@@ -1,4 +1,4 @@
-"""Two senders of two regions that cannot speak to each other: one takes a message, the other says where to go."""
+"""Senders of two regions without contact: exactly one accepts a message, the other names the right region."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
     return SenderProcess(load(path, Config), home, Lines())
 
 
-async def answered(process: SenderProcess, cls: str, identity: str) -> FinalAnswer | None:
-    """The answer at once, or None if the message was taken on."""
+async def refusal(process: SenderProcess, cls: str, identity: str) -> FinalAnswer | None:
+    """Return the refusal, or None if the message was accepted."""
     got: list[FinalAnswer] = []
     number = process.endpoints.numbers.number("c")
     assert number is not None
@@ -63,14 +63,14 @@
         for one in both:
             await one.start()
         for number in range(12):
-            found = [await answered(one, "order", f"m{number}") for one in both]
-            assert [answer is None for answer in found].count(True) == 1, "one takes it, one does not"
-            away = next(answer for answer in found if answer is not None)
-            assert away.answer is Answer.REFUSED and (
-                "http://west/as2" in away.reason or "http://east/as2" in away.reason
+            refusals = [await refusal(one, "order", f"m{number}") for one in both]
+            assert [answer is None for answer in refusals].count(True) == 1, "exactly one region accepts it"
+            refused = next(answer for answer in refusals if answer is not None)
+            assert refused.answer is Answer.REFUSED and (
+                "http://west/as2" in refused.reason or "http://east/as2" in refused.reason
             )
-            assert [await answered(one, "status", f"s{number}") for one in both] == [None, None], (
-                "safe ones go anywhere"
+            assert [await refusal(one, "status", f"s{number}") for one in both] == [None, None], (
+                "every region accepts safe messages"
             )
         text = both[0].metrics.text().decode()
         assert 'brassweir_not_here_total{why="elsewhere"}' in text
@@ -80,16 +80,16 @@
     run(work())
 
 
-def test_without_a_word_from_head_office_nothing_unsafe_is_taken(tmp_path: Path) -> None:
+def test_without_an_epoch_no_unsafe_message_is_accepted(tmp_path: Path) -> None:
     async def work() -> None:
         one = sender(tmp_path, "east", None)
         await one.start()
-        refused = await answered(one, "order", "m1")
+        refused = await refusal(one, "order", "m1")
         assert refused is not None and "nothing is known yet" in refused.reason and refused.retry_after > 0
-        assert await answered(one, "status", "s1") is None
+        assert await refusal(one, "status", "s1") is None
         (tmp_path / "east" / "epochs.json").write_bytes(msgspec.json.encode(first()))
         await asyncio.sleep(0.6)
-        taken = [await answered(one, "order", f"m{number}") is None for number in range(2, 20)]
+        taken = [await refusal(one, "order", f"m{number}") is None for number in range(2, 20)]
         assert any(taken) and not all(taken)
         one.stop()
 
@@ -102,42 +102,44 @@
     new = planning.drained(old, "east", now, 60_000.0, ASSUMED).epoch
     path, state, notes = tmp_path / "epochs.json", tmp_path / "s.epoch", list[str]()
 
-    def made() -> FileOwnership:
+    def create() -> FileOwnership:
         one = FileOwnership("east", path, state, ASSUMED, {}, lambda event, _: notes.append(event))
-        one.look()
+        one.poll()
         return one
 
     path.write_bytes(msgspec.json.encode(new))
-    assert made().ownership.epoch == new
+    assert create().ownership.epoch == new
     path.write_bytes(msgspec.json.encode(old))
-    again = made()
+    again = create()
     assert again.ownership.epoch == new and notes == ["epoch", "epoch_refused"]
-    again.look()
-    assert notes == ["epoch", "epoch_refused"], "complained of once"
+    again.poll()
+    assert notes == ["epoch", "epoch_refused"], "logged once"
     state.write_bytes(state.read_bytes()[:-5])
     with pytest.raises(ConfigError, match="put it back"):
-        made()
+        create()
 
 
-def test_an_epoch_that_cannot_be_kept_does_not_count(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_epoch_that_cannot_be_saved_does_not_take_effect(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path, notes = tmp_path / "epochs.json", list[str]()
     path.write_bytes(msgspec.json.encode(first()))
     one = FileOwnership("east", path, tmp_path / "s.epoch", ASSUMED, {}, lambda event, _: notes.append(event))
 
-    def sick(_: int) -> None:
+    def failing_fsync(_: int) -> None:
         raise OSError(5, "Input/output error")
 
-    monkeypatch.setattr("os.fsync", sick)
-    one.look()
+    monkeypatch.setattr("os.fsync", failing_fsync)
+    one.poll()
     assert one.ownership.epoch is None and notes == ["epoch_refused"]
     monkeypatch.undo()
-    one.look()
+    one.poll()
     assert one.ownership.epoch is not None
 
 
-def test_head_office_s_commands(tmp_path: Path) -> None:
+def test_commands_that_create_and_change_epochs(tmp_path: Path) -> None:
     invoke, a, b, c = CliRunner().invoke, tmp_path / "1.json", tmp_path / "2.json", tmp_path / "3.json"
-    made = invoke(
+    created = invoke(
         main,
         [
             "regions",
@@ -152,7 +154,7 @@
             "--json",
         ],
     )
-    assert json.loads(made.output)["share_owned_now"] == {"east": 0.5, "west": 0.5}
+    assert json.loads(created.output)["share_owned_now"] == {"east": 0.5, "west": 0.5}
     assert "exists" in invoke(main, ["regions", "first", str(a), "--region", "east", "u"]).output
     moved = json.loads(
         invoke(
@@ -222,12 +224,12 @@
         listed.write_text(listed.read_text().replace("kind: collectors", "kind: collectors, rate: 100"))
         await one.start()
         rate = one.engine.endpoints["c-a"].rate
-        assert 10.0 < rate < 15.0, "a quarter of its half at first"
+        assert 10.0 < rate < 15.0, "a returning region starts with a quarter of its half"
         for _ in range(40):
             await asyncio.sleep(0.1)
             if one.engine.endpoints["c-a"].rate > rate:
                 break
-        assert rate < one.engine.endpoints["c-a"].rate < 50.0, "it ramps"
+        assert rate < one.engine.endpoints["c-a"].rate < 50.0, "the share ramps up"
         one.stop()
 
     run(work())
--- a/tests/service/test_review_founding.py
+++ b/tests/service/test_review_founding.py
@@ -1,4 +1,4 @@
-"""A group founded anew with the first epoch of a lost one: not without an operator's word, since places may have moved."""
+"""A group founded anew with the first epoch of a lost one needs an operator, since ownership may have moved."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from brassweir.regions.epochs import PLACES
 from brassweir.service import log_maintenance
 from tests.conftest import run
-from tests.service.group import ASSUMED, Copy, Log, first, until
+from tests.service.group import ASSUMED, Copy, SharedLog, first_epoch, until
 
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_two_regions_hold_no_place_when_the_voters_machines_are_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, guarded: bool
 ) -> None:
-    monkeypatch.setattr(log_maintenance, "LOOK", 0.005)
+    monkeypatch.setattr(log_maintenance, "CHECK_INTERVAL_SECONDS", 0.005)
     if not guarded:
         monkeypatch.setattr(reconciliation, "FIRST_EPOCH_MAX_AGE_MS", float("inf"))
 
@@ -32,15 +32,17 @@
         )
         moved = planning.moved(old, 0, PLACES, "west", now - 7_190_000.0, 1_000.0, ASSUMED).epoch
         (tmp_path / "first.json").write_bytes(msgspec.json.encode(old))
-        west = Copy("w", "west", Log(), tmp_path)  # of the lost group: its lease runs on for a while
+        west = Copy("w", "west", SharedLog(), tmp_path)  # a copy of the lost group, with an unexpired lease
         west.region.applied(planning.renewed(moved, now, 60_000.0, ASSUMED))
-        log = Log(leader="a")
-        east = Copy("a", "east", log, tmp_path)  # its folder and what it knew were lost with its machine
-        await until(lambda: any(east.takes(f"m{n}") for n in range(9)) or bool(east.said("wish_refused")))
-        both = [name for name in (f"m{n}" for n in range(20)) if east.takes(name) and west.takes(name)]
+        log = SharedLog(leader="a")
+        east = Copy("a", "east", log, tmp_path)  # its directory and state were lost
+        await until(
+            lambda: any(east.accepts(f"m{n}") for n in range(9)) or bool(east.notes_of("wish_refused"))
+        )
+        both = [name for name in (f"m{n}" for n in range(20)) if east.accepts(name) and west.accepts(name)]
         assert bool(both) is not guarded
         if guarded:
-            east.maintenance.desired.read(True)  # an operator has seen that nothing of it is left
+            east.maintenance.desired.read(True)  # an operator confirms that the old group is gone
             await until(lambda: east.member.machine.state.epoch is not None)
         for task in east.tasks + west.tasks:
             task.cancel()
@@ -48,5 +50,5 @@
     run(work())
 
 
-def test_a_fresh_first_epoch_needs_no_word() -> None:
-    reconciliation.check_recent(first(), time.time() * 1000.0)
+def test_a_recent_first_epoch_needs_no_operator() -> None:
+    reconciliation.check_recent(first_epoch(), time.time() * 1000.0)
--- a/tests/service/test_three.py
+++ b/tests/service/test_three.py
@@ -1,4 +1,4 @@
-"""Three processes of ``brassweir serve`` over loopback: a group, a leader, an epoch that reaches all, and their ends."""
+"""Three senders as processes on loopback: they form a group, agree epochs, and survive drains and kills."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from brassweir.regions.epochs import parse
 from brassweir.regions.ownership import Assumptions
 from tests.config.test_forward import VALID_SETTINGS, write_settings
-from tests.service.processes import WAIT, Processes
+from tests.service.processes import WAIT_SECONDS, Processes
 
 NAMES = ("s1", "s2", "s3")
 
 
 class Fleet(Processes):
-    """Three senders, each in a folder of its own."""
+    """Three senders, each in a directory of its own."""
 
     def __init__(self, home: Path) -> None:
         super().__init__(home, {name: (f"x{name[1]}", f"r{name[1]}") for name in NAMES})
@@ -48,9 +48,9 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    made = Fleet(tmp_path)
-    yield made
-    made.end()
+    processes = Fleet(tmp_path)
+    yield processes
+    processes.end()
 
 
 def number(state: dict[str, Any]) -> int:
@@ -63,13 +63,13 @@
     fleet.until(lambda: fleet.agreed(lambda state: state.get("leader")), "a leader that all know")
     fleet.until(lambda: fleet.agreed(number), "the first epoch at all")
     fleet.until(lambda: fleet.agreed(lambda state: len(state.get("members", ())) == 3), "all are members")
-    kept = fleet.home / "s2" / "s2.epoch"
-    issued = parse(kept.read_bytes()).issued
-    fleet.until(lambda: parse(kept.read_bytes()).issued > issued, "a renewal is kept")
+    epoch_file = fleet.home / "s2" / "s2.epoch"
+    issued = parse(epoch_file.read_bytes()).issued
+    fleet.until(lambda: parse(epoch_file.read_bytes()).issued > issued, "a renewal is kept")
 
-    # A planned move, by the copy that is told of it, whoever leads.
+    # A planned move, proposed by a copy that may not be the leader.
     move = planning.moved(
-        parse(kept.read_bytes()),
+        parse(epoch_file.read_bytes()),
         0,
         1 << 30,
         "r3",
@@ -89,28 +89,28 @@
     fleet.running["s3"].send_signal(signal.SIGHUP)
     fleet.until(lambda: "peers_refused" in fleet.log("s3"), "a bad file is logged")
 
-    # The leader is drained: another one leads, and leases go on.
+    # The leader is drained: another copy leads and renews the leases.
     leader = str(fleet.shown("s1", "/agreed")["leader"])
-    rest = tuple(name for name in NAMES if name != leader)
+    others = tuple(name for name in NAMES if name != leader)
     fleet.running[leader].terminate()
-    assert fleet.running[leader].wait(WAIT) == 0
+    assert fleet.running[leader].wait(WAIT_SECONDS) == 0
     fleet.until(
         lambda: fleet.agreed(
-            lambda state: state.get("leader") not in ("", leader, None) and state.get("leader"), rest
+            lambda state: state.get("leader") not in ("", leader, None) and state.get("leader"), others
         ),
         "another leader",
     )
-    issued = parse((fleet.home / rest[0] / f"{rest[0]}.epoch").read_bytes()).issued
+    issued = parse((fleet.home / others[0] / f"{others[0]}.epoch").read_bytes()).issued
     fleet.until(
-        lambda: parse((fleet.home / rest[0] / f"{rest[0]}.epoch").read_bytes()).issued > issued,
+        lambda: parse((fleet.home / others[0] / f"{others[0]}.epoch").read_bytes()).issued > issued,
         "the new leader renews",
     )
 
-    # One is killed outright, both come back: all hold the same.
-    fleet.running[rest[1]].kill()
-    fleet.running[rest[1]].wait()
+    # Another copy is killed; after both restart, all hold the same state.
+    fleet.running[others[1]].kill()
+    fleet.running[others[1]].wait()
     (fleet.home / "s3" / "copies.yaml").write_bytes((fleet.home / "s1" / "copies.yaml").read_bytes())
-    for name in (leader, rest[1]):
+    for name in (leader, others[1]):
         fleet.start(name)
     fleet.until(
         lambda: fleet.agreed(lambda state: (state.get("index"), state.get("digest")) if state else None),
@@ -127,6 +127,6 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", port))
         fleet.start("s1")
-        assert fleet.running["s1"].wait(WAIT) == 1
+        assert fleet.running["s1"].wait(WAIT_SECONDS) == 1
     last = fleet.log("s1").splitlines()[-1]
     assert "cannot listen" in last and "peers.copies" in last and str(port) in last
--- a/tests/service/test_versionedlist.py
+++ b/tests/service/test_versionedlist.py
@@ -1,4 +1,4 @@
-"""Versions of the endpoint list at one sender: told in steps, the last good one kept."""
+"""Versions of the endpoint list at one sender: applied in steps; an unusable version changes nothing."""
 
 from __future__ import annotations
 
@@ -27,59 +27,59 @@
 
 
 class Sender:
-    """What the decision module of one sender is told."""
+    """Records the updates that a sender's decision module would get."""
 
     def __init__(self, home: Path) -> None:
-        self.news: list[ListUpdate] = []
+        self.updates: list[ListUpdate] = []
         self.notes: list[tuple[str, dict[str, object]]] = []
         self.in_force: list[int] = []
         self.list = VersionedList(
             load(write_copies_settings(home, LOG_LIST_SETTINGS), Config),
-            self.tell,
+            self.send_update,
             lambda event, more: self.notes.append((event, more)),
         )
         self.list.on_in_force = self.in_force.append
-        self.between: list[tuple[int, Catalog]] = []  # versions that come after the next steps
+        self.versions_between: list[tuple[int, Catalog]] = []  # versions that arrive after each update
 
-    def tell(self, news: ListUpdate) -> None:
-        self.news.append(news)
-        if self.between:
-            self.list.follow(*self.between.pop(0))
+    def send_update(self, updates: ListUpdate) -> None:
+        self.updates.append(updates)
+        if self.versions_between:
+            self.list.follow(*self.versions_between.pop(0))
 
     def states(self) -> dict[str, EntryState]:
-        return {one.name: one.state for news in self.news for one in news.entries}
+        return {one.name: one.state for update in self.updates for one in update.entries}
 
 
 def run(work: Coroutine[None, None, None]) -> None:
     asyncio.run(asyncio.wait_for(work, 30.0))
 
 
-async def until_told(sender: Sender, version: int) -> None:
+async def until_in_force(sender: Sender, version: int) -> None:
     task = asyncio.create_task(sender.list.watch())
     while sender.list.in_force != version:
         await asyncio.sleep(0)
     task.cancel()
 
 
-def test_the_first_version_is_waited_for_and_the_next_are_told_as_differences(tmp_path: Path) -> None:
+def test_the_first_version_is_awaited_and_later_ones_are_sent_as_deltas(tmp_path: Path) -> None:
     async def work() -> None:
         sender = Sender(tmp_path)
         opening = asyncio.create_task(sender.list.open())
         await asyncio.sleep(0)
-        assert not opening.done() and not sender.news
+        assert not opening.done() and not sender.updates
         sender.list.follow(7, catalog(entry("a"), entry("b"), entry("c")))
         await opening
         assert sender.in_force == [7] and sender.list.url("b") == "forward://b:9"
-        sender.news.clear()
+        sender.updates.clear()
         sender.list.follow(9, catalog(entry("a", "draining"), entry("c"), entry("d")))
-        await until_told(sender, 9)
-        (news,) = sender.news
-        assert [(one.name, one.state.value) for one in news.entries] == [
+        await until_in_force(sender, 9)
+        (updates,) = sender.updates
+        assert [(one.name, one.state.value) for one in updates.entries] == [
             ("b", "gone"),
             ("a", "draining"),
             ("d", "ready"),
         ]
-        assert sender.list.url("b") == "forward://b:9", "an attempt that is out may need it"
+        assert sender.list.url("b") == "forward://b:9", "attempts in flight may need the URL"
         assert sender.in_force == [7, 9]
 
     run(work())
@@ -98,7 +98,7 @@
         assert sender.notes[-1][0] == "configuration_unusable" and sender.states() == {"a": EntryState.READY}
         task.cancel()
         sender.list.follow(5, catalog(entry("c")))
-        await until_told(sender, 5)
+        await until_in_force(sender, 5)
         assert sender.in_force == [3, 5] and not sender.list.refused
         assert sender.states() == {"a": EntryState.GONE, "c": EntryState.READY}
         with pytest.raises(ConfigError, match="kind 'other' is not in the settings"):
@@ -107,33 +107,33 @@
     run(work())
 
 
-def test_a_version_that_comes_while_one_is_told_is_in_force_alone(tmp_path: Path) -> None:
+def test_a_version_that_arrives_while_another_is_sent_replaces_it(tmp_path: Path) -> None:
     async def work() -> None:
         sender = Sender(tmp_path)
-        sender.list.intake.step = 1
+        sender.list.updates.step = 1
         sender.list.follow(1, catalog(*(entry(name) for name in "abcd")))
-        sender.between = [(2, catalog(entry("a", "draining"), entry("b"), entry("e")))]
+        sender.versions_between = [(2, catalog(entry("a", "draining"), entry("b"), entry("e")))]
         await sender.list.open()
-        assert sender.in_force == [2] and len(sender.news) <= 5
+        assert sender.in_force == [2] and len(sender.updates) <= 5
         in_force = {name for name, state in sender.states().items() if state is not EntryState.GONE}
         assert in_force == {"a", "b", "e"}
 
     run(work())
 
 
-def test_rates_are_told_anew_when_the_part_that_is_ours_changes(tmp_path: Path) -> None:
+def test_rates_are_sent_again_when_the_share_changes(tmp_path: Path) -> None:
     async def work() -> None:
         sender = Sender(tmp_path)
         sender.list.follow(1, catalog(entry("a", rate=10.0), entry("b")))
         await sender.list.open()
-        sender.news.clear()
+        sender.updates.clear()
         sender.list.scale = lambda: 0.5
-        sender.list.again()
+        sender.list.reapply()
         task = asyncio.create_task(sender.list.watch())
-        while not sender.news:
+        while not sender.updates:
             await asyncio.sleep(0)
         task.cancel()
-        assert [(one.name, one.rate) for one in sender.news[0].entries] == [("a", 5.0)]
+        assert [(one.name, one.rate) for one in sender.updates[0].entries] == [("a", 5.0)]
 
     run(work())
 
@@ -146,11 +146,11 @@
         sender.list.follow(1, catalog(entry("a"), entry("b")))
         await sender.list.open()
         sender.list.follow(2, catalog(entry("a")))
-        await until_told(sender, 2)
+        await until_in_force(sender, 2)
         assert sender.list.url("b")
-        monkeypatch.setattr("brassweir.service.versionedlist.KEEP_URL", -1.0)
+        monkeypatch.setattr("brassweir.service.versionedlist.KEEP_URL_SECONDS", -1.0)
         sender.list.follow(3, catalog(entry("a", "draining")))
-        await until_told(sender, 3)
+        await until_in_force(sender, 3)
         assert sender.list.url("b") is None and sender.list.url("a")
 
     run(work())
