--- a/brassweir/service/agreed_log.py
+++ b/brassweir/service/agreed_log.py
@@ -41,7 +41,7 @@
         note: Note,
         follower: Follower | None = None,
     ) -> None:
-        """``follower`` puts versions of the endpoint configuration in force here; None if it is a file."""
+        """``follower`` puts versions of the endpoint list in force here; None if the list is a file."""
         assert config.agreed is not None
         settings, names = config.agreed, tuple(copy.name for copy in copies)
         directory = agreed_directory(config, base)
--- a/brassweir/service/checking.py
+++ b/brassweir/service/checking.py
@@ -16,7 +16,7 @@
 from brassweir.service.listfile import read_list
 from brassweir.service.open_file_limit import descriptors_needed, plan_soft_limit
 from brassweir.service.resolved_list import DestinationNumbers
-from brassweir.service.wiring import load_partnerships, settings
+from brassweir.service.wiring import engine_settings, load_partnerships
 
 
 def check(path: Path, edited: bool = True) -> Config | ControlConfig:
@@ -41,7 +41,7 @@
     try:
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         plan_soft_limit(descriptors_needed(config), 0, hard if hard >= 0 else 1 << 62)
-        settings(config)
+        engine_settings(config)
         if config.identity is not None:
             load_partnerships(config, path.parent)
     except ConfigError as error:
--- a/brassweir/service/controlmachine.py
+++ b/brassweir/service/controlmachine.py
@@ -15,7 +15,7 @@
 from brassweir.service.ownership_factory import create_ownership
 from brassweir.service.peer_group import PeerGroup
 from brassweir.service.runtime import measure_stalls
-from brassweir.service.wiring import limits
+from brassweir.service.wiring import socket_limits
 
 if TYPE_CHECKING:
     from brassweir.service.version_follower import Follower
@@ -40,7 +40,7 @@
         operations = Operations(
             self.metrics, self.peer_group.states, lambda: "draining" if self.stopping else ""
         )
-        self.server = Server(operations.answer, limits(config), self._report_bad_request)
+        self.server = Server(operations.answer, socket_limits(config), self._report_bad_request)
         self.journal_failure: asyncio.Future[BaseException] = (
             loop.create_future()
         )  # never set: there is no journal
--- a/brassweir/service/forward_connector.py
+++ b/brassweir/service/forward_connector.py
@@ -18,7 +18,7 @@
 from brassweir.observe.metrics import Metrics
 from brassweir.service.connector import ConnectorContext, Note
 from brassweir.service.keyfiles import load_credentials, read_secret
-from brassweir.service.wiring import bounds, tag_rules
+from brassweir.service.wiring import forward_limits, tag_rules
 from brassweir.undelivered.item import UndeliveredItem
 from brassweir.undelivered.store import UndeliveredStore
 
@@ -185,7 +185,7 @@
             self.context.offload,
             self.undelivered,
             self.context.note,
-            bounds(config),
+            forward_limits(config),
             margin=self.context.config.sender.answer_margin_ms,
             counts=_FrontMetrics(self.context.metrics),
         )
--- a/brassweir/service/process.py
+++ b/brassweir/service/process.py
@@ -32,7 +32,7 @@
 from brassweir.service.runtime import freeze_heap, measure_stalls
 from brassweir.service.sender_operations import SenderOperations
 from brassweir.service.webhook_connector import WebhookConnector
-from brassweir.service.wiring import limits, settings
+from brassweir.service.wiring import engine_settings, socket_limits
 
 if TYPE_CHECKING:
     from brassweir.service.peer_group import PeerGroup
@@ -50,14 +50,14 @@
         sender = config.sender
         self.config, self.log = config, log.bind(sender=sender.name)
         raise_soft_limit(config)
-        engine_settings = settings(config)
-        classes = {cls.name: cls for cls in engine_settings.classes}
+        module_settings = engine_settings(config)
+        classes = {cls.name: cls for cls in module_settings.classes}
         self.clock = LoopClock(loop)
         self.metrics = Metrics()
         self.observer = Observer(self.log, self.metrics, self.clock, self._endpoint_kind)
-        bounds = limits(config)
+        limits = socket_limits(config)
         self.pools = PoolManager(
-            bounds,
+            limits,
             sender.connections_per_endpoint,
             sender.idle_close_ms,
             sender.connect_timeout_ms,
@@ -74,7 +74,7 @@
             self.endpoints,
             self.pools,
             self.offload,
-            bounds,
+            limits,
             self.metrics,
             note,
             self._report_bad_request,
@@ -92,7 +92,7 @@
         self.journal = self._open_journal(base, classes) if sender.journaled else None
         seed = sender.seed if sender.seed is not None else random.SystemRandom().getrandbits(48)
         self.engine = Engine(
-            engine_settings,
+            module_settings,
             seed,
             self.clock,
             lambda info: self.carriers[info.kind],
@@ -113,7 +113,7 @@
         pages = SenderOperations(
             self.engine, self.endpoints.numbers, self.metrics, self.clock, states, lambda: self.starting
         )
-        self.operations_server = Server(pages.answer, bounds, self._report_bad_request)
+        self.operations_server = Server(pages.answer, limits, self._report_bad_request)
         self.tasks: list[asyncio.Task[None]] = []
         self.metrics_port = 0
 
--- a/brassweir/service/publisher.py
+++ b/brassweir/service/publisher.py
@@ -145,26 +145,26 @@
         )
 
     async def _propose(self, path: Path, planned: PublishPlan) -> None:
-        publishing = Publication(planned, _now())
+        publication = Publication(planned, _now())
         self._ended = []
         while True:
             self._wakeup.clear()
             ended, self._ended = tuple(self._ended), []
             current = self.machine.configuration
-            facts = PublishInputs(self.machine.state.level, current.version, current.catalog.digest(), ended)
-            for step in publishing.step(_now(), facts):
+            inputs = PublishInputs(self.machine.state.level, current.version, current.catalog.digest(), ended)
+            for step in publication.step(_now(), inputs):
                 if isinstance(step, Superseded):
                     await self._refuse_outdated(path)
                 if self._finish(path, planned, step):
                     return
-                await self._carry_out(step)
+                await self._perform(step)
 
-    async def _carry_out(self, step: Action) -> None:
+    async def _perform(self, step: Action) -> None:
         match step:
             case Propose():
                 self._start(self._propose_command(step))
             case ProposeAbandon():
-                self._start(self._forget(step))
+                self._start(self._propose_abandon(step))
             case Wait():
                 try:
                     await asyncio.wait_for(self._wakeup.wait(), step.wait_ms / 1000.0)
@@ -182,7 +182,7 @@
         self._ended.append(ProposalEnded(step.number, outcome.how, result, outcome.why))
         self._wakeup.set()
 
-    async def _forget(self, step: ProposeAbandon) -> None:
+    async def _propose_abandon(self, step: ProposeAbandon) -> None:
         await self.propose(step.command, PROPOSAL_TIMEOUT_MS)
 
     def _finish(self, path: Path, planned: PublishPlan, step: Action) -> bool:
@@ -198,12 +198,12 @@
                 self._refuse(path, step.field, step.reason)
         return isinstance(step, Published | Rejected | Superseded)
 
-    def _refuse(self, path: Path, field: str, why: str) -> None:
-        self._set_edit("refused", 0, field, why)
-        self.note("configuration_refused", {"path": str(path), "field": field, "error": why})
+    def _refuse(self, path: Path, field: str, reason: str) -> None:
+        self._set_edit("refused", 0, field, reason)
+        self.note("configuration_refused", {"path": str(path), "field": field, "error": reason})
 
-    def _set_edit(self, state: str, version: int, field: str = "", why: str = "") -> None:
-        self.edit = Edit(state, self.edit.number, version, field, why)
+    def _set_edit(self, state: str, version: int, field: str = "", reason: str = "") -> None:
+        self.edit = Edit(state, self.edit.number, version, field, reason)
 
     def _base_version(self) -> int | None:
         """Return the version that the edit is based on; 0 before there is any, None if it is unknown."""
--- a/brassweir/service/wiring.py
+++ b/brassweir/service/wiring.py
@@ -19,7 +19,7 @@
 from brassweir.service.keyfiles import load_certificate, load_private_key
 
 
-def settings(config: Config) -> api.Settings:
+def engine_settings(config: Config) -> api.Settings:
     """Return the settings of the decision module. Raises ConfigError."""
     sender = config.sender
     try:
@@ -55,7 +55,7 @@
         raise ConfigError([f"sender: {error}"]) from None
 
 
-def limits(config: CopyConfig) -> Limits:
+def socket_limits(config: CopyConfig) -> Limits:
     """Return the limits of sizes and times at HTTP sockets."""
     model = config.limits
     return Limits(
@@ -108,7 +108,7 @@
         problems.append("identity: the certificate does not belong to the key")
     if problems or key is None or own_certificate is None:
         raise ConfigError(problems)
-    classes = {cls.name: cls for cls in settings(config).classes}
+    classes = {cls.name: cls for cls in engine_settings(config).classes}
     return Partnerships(
         Identity(config.identity.as2_id, key, own_certificate),
         clients,
@@ -148,7 +148,7 @@
     )
 
 
-def bounds(config: ForwardModel) -> Bounds:
+def forward_limits(config: ForwardModel) -> Bounds:
     """Return the limits of sizes and times for forward sources."""
     return Bounds(
         config.chunk_bytes,
--- a/tests/service/processes.py
+++ b/tests/service/processes.py
@@ -52,7 +52,7 @@
         self.running[name].kill()
         self.running[name].wait()
 
-    def shown(self, name: str, path: str) -> Any:
+    def state(self, name: str, path: str) -> Any:
         """Return a copy's state at an HTTP path; empty while it does not answer."""
         try:
             with urllib.request.urlopen(
@@ -72,16 +72,16 @@
         while not condition():
             assert time.monotonic() < end, (
                 words,
-                {name: (self.shown(name, path), self.log(name)[-2000:]) for name in self.running},
+                {name: (self.state(name, path), self.log(name)[-2000:]) for name in self.running},
             )
             time.sleep(0.05)
 
-    def agreed(self, value_of: Callable[[dict[str, Any]], Any], names: tuple[str, ...] = ()) -> bool:
+    def all_agree(self, value_of: Callable[[dict[str, Any]], Any], names: tuple[str, ...] = ()) -> bool:
         """Whether all copies show the same value, and one that is not empty."""
-        found = [value_of(self.shown(name, "/agreed")) for name in names or self.names]
+        found = [value_of(self.state(name, "/agreed")) for name in names or self.names]
         return bool(found[0]) and all(one == found[0] for one in found)
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         """Kill all running processes."""
         for one in self.running.values():
             if one.poll() is None:
--- a/tests/service/test_configuration.py
+++ b/tests/service/test_configuration.py
@@ -44,12 +44,12 @@
 
     def configuration(self, name: str) -> dict[str, Any]:
         """Return the state that a copy shows at ``/configuration``."""
-        found = self.shown(name, "/configuration")
+        found = self.state(name, "/configuration")
         return found if isinstance(found, dict) else {}
 
     def publish(self, text: str, at: str = "c1") -> None:
         """Write the edited list and send SIGHUP."""
-        self.ended_before = len(self.said(at, *ENDS))
+        self.ended_before = len(self.events(at, *ENDS))
         (self.home / at / "list.yaml").write_text(text)
         self.running[at].send_signal(signal.SIGHUP)
 
@@ -60,7 +60,7 @@
 
     def wait_edit(self, state: str, at: str = "c1") -> dict[str, Any]:
         """Wait until the last edit has ended, and check its state."""
-        self.until(lambda: len(self.said(at, *ENDS)) > self.ended_before, f"an edit's end at {at}")
+        self.until(lambda: len(self.events(at, *ENDS)) > self.ended_before, f"an edit's end at {at}")
         edit = self.edit(at)
         assert edit["state"] == state, edit
         return edit
@@ -73,16 +73,16 @@
             "/configuration",
         )
 
-    def told(self, name: str) -> list[str]:
+    def known_endpoints(self, name: str) -> list[str]:
         """Return the endpoints that a sender's decision module knows, with their states while they are resident."""
-        found = self.shown(name, "/destinations/hook-x")["endpoints"]
+        found = self.state(name, "/destinations/hook-x")["endpoints"]
         return sorted(one if isinstance(one, str) else f"{one['name']} {one['state']}" for one in found)
 
-    def taken(self, name: str) -> list[dict[str, Any]]:
+    def versions_applied(self, name: str) -> list[dict[str, Any]]:
         """Return a sender's log events of the versions that it applied."""
-        return self.said(name, "configuration_taken")
+        return self.events(name, "configuration_taken")
 
-    def said(self, name: str, *events: str) -> list[dict[str, Any]]:
+    def events(self, name: str, *events: str) -> list[dict[str, Any]]:
         """Return a copy's log events of these names."""
         lines = [json.loads(line) for line in self.log(name).splitlines() if line.startswith("{")]
         return [line for line in lines if line.get("event") in events]
@@ -115,7 +115,7 @@
         fleet.running["s1"].terminate()
         assert fleet.running["s1"].wait(WAIT_SECONDS) == 0 and '"stopped"' in fleet.log("s1")
     finally:
-        fleet.end()
+        fleet.kill_all()
 
 
 @pytest.fixture
@@ -123,9 +123,9 @@
     made = Fleet(tmp_path)
     for name in NAMES:
         made.start(name)
-    made.until(lambda: made.agreed(lambda state: state.get("level") == 2), "level 2 is agreed at all")
+    made.until(lambda: made.all_agree(lambda state: state.get("level") == 2), "level 2 is agreed at all")
     yield made
-    made.end()
+    made.kill_all()
 
 
 def test_a_change_at_one_copy_is_in_force_at_all_and_bad_ones_change_nothing(fleet: Fleet) -> None:
@@ -144,8 +144,8 @@
     assert fleet.fleet_view()["behind"] == [] and fleet.fleet_view()["unheard"] == []
     digests = {fleet.configuration(name)["digest"] for name in NAMES}
     assert len(digests) == 1 and fleet.configuration("s2")["endpoints"] == 3
-    assert fleet.told("s2") == ["a", "b", "c"]
-    assert f'brassweir_configuration{{what="in_force"}} {first}'.encode() in fleet.shown("s2", "/metrics")
+    assert fleet.known_endpoints("s2") == ["a", "b", "c"]
+    assert f'brassweir_configuration{{what="in_force"}} {first}'.encode() in fleet.state("s2", "/metrics")
 
     # An unknown field, and an unconfirmed change that leaves a destination without endpoints.
     fleet.publish(endpoints("a", "b").replace("name: b", "name: b, colour: red"))
@@ -163,7 +163,7 @@
     second = int(fleet.wait_edit("agreed")["version"])
     assert second > first
     fleet.wait_in_force(second)
-    last = fleet.taken("s1")[-1]
+    last = fleet.versions_applied("s1")[-1]
     assert (last["changed"], last["removed"], last["first_off"]) == (1, 1, 2), (
         "a drain and a removal are applied first"
     )
@@ -201,7 +201,7 @@
     for name in ("s2", "c2"):
         fleet.start(name)
     fleet.wait_in_force(second)
-    versions = [one["version"] for one in fleet.taken("s2")]
+    versions = [one["version"] for one in fleet.versions_applied("s2")]
     assert versions[:2] == [first, first] and versions[-1] == second, "read from its directory at once"
 
     # Without a quorum, the stored version stays in force, and the copy reports that it is out of contact.
@@ -213,7 +213,7 @@
     fleet.start("s2")
     fleet.wait_in_force(second, ("s2",))
     assert fleet.configuration("s2")["out_of_contact"] is True
-    assert fleet.told("s2") == ["a", "b", "c"]
+    assert fleet.known_endpoints("s2") == ["a", "b", "c"]
 
 
 def test_with_two_of_three_voters_gone_the_last_version_stays_and_an_edit_waits(fleet: Fleet) -> None:
@@ -228,12 +228,12 @@
         "the remaining copies are out of contact",
         "/configuration",
     )
-    assert len(fleet.said("c1", *ENDS)) == fleet.ended_before, "an edit does not end without a quorum"
+    assert len(fleet.events("c1", *ENDS)) == fleet.ended_before, "an edit does not end without a quorum"
     assert fleet.configuration("s2")["in_force"] == first
-    assert [one.partition(" ")[0] for one in fleet.told("s2")] == ["a", "b"]
+    assert [one.partition(" ")[0] for one in fleet.known_endpoints("s2")] == ["a", "b"]
     fleet.start("c2")
     second = int(fleet.wait_edit("agreed")["version"])
     assert second > first
     fleet.wait_in_force(second, ("c1", "c2", "s2"))
     fleet.until(lambda: fleet.configuration("s2")["out_of_contact"] is False, "in contact again")
-    assert [one.partition(" ")[0] for one in fleet.told("s2")] == ["a", "b", "c"]
+    assert [one.partition(" ")[0] for one in fleet.known_endpoints("s2")] == ["a", "b", "c"]
--- a/tests/service/test_control_machines.py
+++ b/tests/service/test_control_machines.py
@@ -35,7 +35,7 @@
     for name in processes.names:
         (tmp_path / name / "first.json").write_bytes(first)
     yield processes
-    processes.end()
+    processes.kill_all()
 
 
 def test_three_control_machines_lead_a_sender_that_does_not_vote(fleet: Processes) -> None:
@@ -45,21 +45,21 @@
     assert checked.returncode == 0, checked.stdout
     for name in fleet.names:
         fleet.start(name)
-    fleet.until(lambda: fleet.agreed(lambda state: state.get("leader")), "a leader that all know")
-    fleet.until(lambda: fleet.agreed(lambda state: len(state.get("members", ())) == 4), "all are members")
-    assert fleet.shown("s1", "/agreed")["leader"] in ("c1", "c2", "c3")
+    fleet.until(lambda: fleet.all_agree(lambda state: state.get("leader")), "a leader that all know")
+    fleet.until(lambda: fleet.all_agree(lambda state: len(state.get("members", ())) == 4), "all are members")
+    assert fleet.state("s1", "/agreed")["leader"] in ("c1", "c2", "c3")
     epoch_file = fleet.home / "s1" / "s1.epoch"
     fleet.until(epoch_file.exists, "the first epoch reaches the sender")
     issued = parse(epoch_file.read_bytes()).issued
     fleet.until(lambda: parse(epoch_file.read_bytes()).issued > issued, "a control machine renews the lease")
-    assert b"brassweir_agreed{" in fleet.shown("c1", "/metrics") and fleet.shown("c1", "/peers")["copies"]
+    assert b"brassweir_agreed{" in fleet.state("c1", "/metrics") and fleet.state("c1", "/peers")["copies"]
 
-    leader = str(fleet.shown("s1", "/agreed")["leader"])
+    leader = str(fleet.state("s1", "/agreed")["leader"])
     fleet.running[leader].terminate()
     assert fleet.running[leader].wait(WAIT_SECONDS) == 0 and '"stopped"' in fleet.log(leader)
     others = tuple(name for name in fleet.names if name != leader)
     fleet.until(
-        lambda: fleet.agreed(
+        lambda: fleet.all_agree(
             lambda state: state.get("leader") not in ("", leader, None) and state.get("leader"), others
         ),
         "another leader",
--- a/tests/service/test_three.py
+++ b/tests/service/test_three.py
@@ -50,7 +50,7 @@
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
     processes = Fleet(tmp_path)
     yield processes
-    processes.end()
+    processes.kill_all()
 
 
 def number(state: dict[str, Any]) -> int:
@@ -60,9 +60,9 @@
 def test_three_processes_form_a_group_and_an_epoch_reaches_all(fleet: Fleet) -> None:
     for name in NAMES:
         fleet.start(name)
-    fleet.until(lambda: fleet.agreed(lambda state: state.get("leader")), "a leader that all know")
-    fleet.until(lambda: fleet.agreed(number), "the first epoch at all")
-    fleet.until(lambda: fleet.agreed(lambda state: len(state.get("members", ())) == 3), "all are members")
+    fleet.until(lambda: fleet.all_agree(lambda state: state.get("leader")), "a leader that all know")
+    fleet.until(lambda: fleet.all_agree(number), "the first epoch at all")
+    fleet.until(lambda: fleet.all_agree(lambda state: len(state.get("members", ())) == 3), "all are members")
     epoch_file = fleet.home / "s2" / "s2.epoch"
     issued = parse(epoch_file.read_bytes()).issued
     fleet.until(lambda: parse(epoch_file.read_bytes()).issued > issued, "a renewal is kept")
@@ -79,7 +79,7 @@
     )
     (fleet.home / "s2" / "first.json").write_bytes(msgspec.json.encode(move.epoch))
     fleet.running["s2"].send_signal(signal.SIGHUP)
-    fleet.until(lambda: fleet.agreed(lambda state: number(state) == 2), "the move at all")
+    fleet.until(lambda: fleet.all_agree(lambda state: number(state) == 2), "the move at all")
     assert '"wish_agreed"' in fleet.log("s2") and all(
         parse((fleet.home / name / f"{name}.epoch").read_bytes()).number == 2 for name in NAMES
     )
@@ -90,12 +90,12 @@
     fleet.until(lambda: "peers_refused" in fleet.log("s3"), "a bad file is logged")
 
     # The leader is drained: another copy leads and renews the leases.
-    leader = str(fleet.shown("s1", "/agreed")["leader"])
+    leader = str(fleet.state("s1", "/agreed")["leader"])
     others = tuple(name for name in NAMES if name != leader)
     fleet.running[leader].terminate()
     assert fleet.running[leader].wait(WAIT_SECONDS) == 0
     fleet.until(
-        lambda: fleet.agreed(
+        lambda: fleet.all_agree(
             lambda state: state.get("leader") not in ("", leader, None) and state.get("leader"), others
         ),
         "another leader",
@@ -113,12 +113,12 @@
     for name in (leader, others[1]):
         fleet.start(name)
     fleet.until(
-        lambda: fleet.agreed(lambda state: (state.get("index"), state.get("digest")) if state else None),
+        lambda: fleet.all_agree(lambda state: (state.get("index"), state.get("digest")) if state else None),
         "the same state at all",
     )
-    text = fleet.shown("s1", "/metrics").decode()
+    text = fleet.state("s1", "/metrics").decode()
     assert 'brassweir_agreed{what="applied"}' in text and "brassweir_peers{" in text
-    assert set(fleet.shown("s1", "/peers")) and fleet.log("s1").count("renewal_refused") == 0
+    assert set(fleet.state("s1", "/peers")) and fleet.log("s1").count("renewal_refused") == 0
 
 
 def test_a_port_that_is_taken_is_one_clear_error_and_an_end(fleet: Fleet) -> None:
