--- a/brassweir/configstream/__init__.py
+++ b/brassweir/configstream/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint configuration, carried to the whole fleet as versioned changes of the agreed log."""
+"""Distributes the endpoint configuration to all processes as versioned changes of the replicated log."""
--- a/brassweir/configstream/acknowledgements.py
+++ b/brassweir/configstream/acknowledgements.py
@@ -1,9 +1,9 @@
-"""Merging what copies say of the versions in force at them, on the way up the feed tree. Pure.
+"""Merges acknowledgements, which report up the feed tree which version is in force at which copy. Pure.
 
-Each message stands in place of the sender's one before, and bitmaps are merged by union: so nothing is
-counted twice, however often it is sent and by whichever path it comes. Of one copy the highest version said
-counts. What a sender said expires unless it says it again, so a copy that restarts with an older version, or
-goes away, shows as such once its former feeder has forgotten it.
+Each message replaces its sender's last one, and bitmaps are merged by union, so no copy is counted twice,
+however often and by whichever path it is reported. The highest version reported of a copy counts. Reports
+expire unless they are repeated; so a copy that restarts with an older version, or is gone, is no longer
+counted for the newer one once its former feeder's report has expired.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from brassweir.agreed.messages import Acknowledge
 from brassweir.configstream.member_index import MemberIndex, MemberIndexHistory
 
-MAX_VERSION_ROWS = 3  # newest versions told apart; with bitmaps of 490 copies a message stays under 400 bytes
-OLDER_VERSIONS = 0  # the version of the row of all copies with an older one
-MAX_SENDERS = 64  # messages kept, one a sender: a leader has 4 learners and 6 voters below it, others fewer
+MAX_VERSION_ROWS = 3  # newest versions with a row each; keeps a message of 490 copies under 400 bytes
+OLDER_VERSIONS = 0  # stands for all older versions, whose copies share one row
+MAX_SENDERS = 64  # one report is stored for each
 
-Rows = tuple[tuple[int, int], ...]  # (version, bitmap), newest version first; no copy in two of them
+Rows = tuple[tuple[int, int], ...]  # (version, bitmap), newest version first; each copy in at most one
 
 
 @dataclass(frozen=True, slots=True)
 class MessageOrigin:
-    """Which run of which member sent a message, and its number within that run."""
+    """The member and process generation that sent a message, and its sequence number there."""
 
     member: str
     generation: int
@@ -30,7 +30,7 @@
     sequence: int
 
     def outdated_by(self, other: MessageOrigin) -> bool:
-        """Is this not newer than a message that came before?"""
+        """Whether a message of this origin is a repeat of, or older than, one of ``other``."""
         if self.member != other.member:
             return False
         if self.generation == other.generation and self.nonce == other.nonce:
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class SenderReport:
-    """A sender's last message: its rows are in terms of the roster of that number."""
+    """A sender's last report; its bitmaps refer to ``member_index``."""
 
     origin: MessageOrigin
     member_index: MemberIndex
@@ -48,8 +48,8 @@
     expires_at: float
 
 
-def decode_rows(message: Acknowledge, roster: MemberIndex) -> Rows:
-    """The rows of a message. Raises ValueError if they cannot have been made by ``pack_message``."""
+def decode_rows(message: Acknowledge, member_index: MemberIndex) -> Rows:
+    """Decode the rows of a message. Raises ValueError if ``encode_rows`` cannot have made them."""
     versions = message.versions
     if len(versions) > MAX_VERSION_ROWS + 1 or len(versions) != len(message.bitmaps):
         raise ValueError(
@@ -57,20 +57,20 @@
         )
     if list(versions) != sorted(set(versions), reverse=True):
         raise ValueError("versions are not in descending order")
-    return tuple(zip(versions, map(roster.unpack, message.bitmaps), strict=True))
+    return tuple(zip(versions, map(member_index.unpack, message.bitmaps), strict=True))
 
 
-def encode_rows(rows: Rows, roster: MemberIndex, number: int) -> Acknowledge:
-    """The message that carries these rows."""
+def encode_rows(rows: Rows, member_index: MemberIndex, sequence: int) -> Acknowledge:
+    """Encode rows as a message with this sequence number."""
     versions = tuple(version for version, _ in rows)
-    bitmaps = tuple(roster.pack(bits) for _, bits in rows)
-    return Acknowledge(roster.checksum, versions, bitmaps, number)
+    bitmaps = tuple(member_index.pack(bits) for _, bits in rows)
+    return Acknowledge(member_index.checksum, versions, bitmaps, sequence)
 
 
-def merge_rows(parts: list[Rows]) -> Rows:
-    """Each copy once, at the highest version said of it; all but the newest versions in one row."""
+def merge_rows(row_sets: list[Rows]) -> Rows:
+    """Merge rows so that each copy is in one, that of its highest version; older versions share one row."""
     union: dict[int, int] = {}
-    for rows in parts:
+    for rows in row_sets:
         for version, bits in rows:
             union[version] = union.get(version, 0) | bits
     merged: list[tuple[int, int]] = []
@@ -86,52 +86,59 @@
 
 
 class Acknowledgements:
-    """What the copies below this one last said."""
+    """The last reports of the copies below this one in the feed tree."""
 
-    def __init__(self, rosters: MemberIndexHistory) -> None:
-        self.member_indexes = rosters
+    def __init__(self, member_indexes: MemberIndexHistory) -> None:
+        self.member_indexes = member_indexes
         self.reports: dict[str, SenderReport] = {}
 
-    def accept(self, sender: str, run: MessageOrigin, message: Acknowledge, now: float, until: float) -> str:
-        """Take a message in. Returns why it was dropped, or "" if it was not."""
-        roster = self.member_indexes.get(message.roster)
-        if roster is None:
+    def accept(
+        self, sender: str, origin: MessageOrigin, message: Acknowledge, now: float, expires_at: float
+    ) -> str:
+        """Store a message until ``expires_at``. Return why it was dropped, or "" if it was not."""
+        member_index = self.member_indexes.get(message.roster)
+        if member_index is None:
             return "acknowledgement of an unknown member list"
-        known = self.reports.get(sender)
-        if known is not None and run.outdated_by(known.origin):
+        last = self.reports.get(sender)
+        if last is not None and origin.outdated_by(last.origin):
             return "acknowledgement out of order"
         self.expire(now)
         if sender not in self.reports and len(self.reports) >= MAX_SENDERS:
             return "acknowledgement beyond the most senders"
         try:
-            rows = decode_rows(message, roster)
+            rows = decode_rows(message, member_index)
         except ValueError:
             return "acknowledgement unreadable"
-        self.reports[sender] = SenderReport(run, roster, rows, until)
+        self.reports[sender] = SenderReport(origin, member_index, rows, expires_at)
         return ""
 
     def expire(self, now: float) -> None:
-        """Forget what was not said again in time."""
-        if any(heard.expires_at <= now for heard in self.reports.values()):
-            self.reports = {sender: heard for sender, heard in self.reports.items() if heard.expires_at > now}
+        """Drop the reports that were not repeated in time."""
+        if any(report.expires_at <= now for report in self.reports.values()):
+            self.reports = {
+                sender: report for sender, report in self.reports.items() if report.expires_at > now
+            }
 
     def next_expiry(self) -> float:
-        """When something expires next."""
-        return min((heard.expires_at for heard in self.reports.values()), default=float("inf"))
+        """Return when the next report expires; infinity without any."""
+        return min((report.expires_at for report in self.reports.values()), default=float("inf"))
 
     def merged_rows(self, name: str, version: int | None, uplink: str = "") -> Rows:
-        """The rows of this copy and of all below it, in terms of the current roster.
+        """Return the rows of this copy, ``name``, and of all below it, by the current member index.
 
-        ``version``: what is in force at this copy, ``name``; None leaves it out. What others say of this copy
-        is passed over, and so is what its own feeder says: that would come back to where it came from.
+        ``version`` is in force at this copy; None leaves it out. What others report of this copy is ignored,
+        and so are reports of ``uplink``, to which this copy acknowledges: they would only return there.
         """
-        roster = self.member_indexes.current
-        own = roster.bit(name)
-        parts: list[Rows] = [((version, own),)] if version is not None and own else []
-        for sender, heard in self.reports.items():
+        member_index = self.member_indexes.current
+        own_bit = member_index.bit(name)
+        row_sets: list[Rows] = [((version, own_bit),)] if version is not None and own_bit else []
+        for sender, report in self.reports.items():
             if sender != uplink:
-                rows = heard.rows
-                parts.append(
-                    tuple((at, roster.translate(bits, heard.member_index) & ~own) for at, bits in rows)
+                rows = report.rows
+                row_sets.append(
+                    tuple(
+                        (row_version, member_index.translate(bits, report.member_index) & ~own_bit)
+                        for row_version, bits in rows
+                    )
                 )
-        return merge_rows(parts)
+        return merge_rows(row_sets)
--- a/brassweir/configstream/catalog.py
+++ b/brassweir/configstream/catalog.py
@@ -1,7 +1,7 @@
-"""All endpoints of one version, immutable and small: a change repacks only the buckets that it touches. Pure.
+"""The immutable, compressed set of all endpoints of one version. Pure.
 
-Entries stand in 1,024 compressed buckets by their names; beside them, by the same means, stands how many
-usable endpoints each owner has. Neighbouring versions share all buckets that did not change between them.
+Entries are kept in 1,024 compressed hash buckets by name, and the number of usable endpoints of each owner in
+as many more. A change repacks only the buckets that it touches; versions share the others.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class CatalogError(ValueError):
-    """Bytes that are no catalog."""
+    """Bytes that do not decode to a catalog."""
 
 
 class _Packed(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -34,15 +34,15 @@
 
 
 class CatalogUpdate(msgspec.Struct, frozen=True):
-    """What a change makes of a catalog: the next one, and what is lost by it."""
+    """The result of a change: the next catalog, and what the change takes away."""
 
     catalog: Catalog
-    removed: int  # endpoints that were usable, and are not there or gone now
-    unserved: tuple[str, ...]  # owners that had a usable endpoint, and have none now
+    removed: int  # endpoints that were usable, and now are missing or gone
+    unserved: tuple[str, ...]  # owners that lost their last usable endpoint
 
 
 class OwnerCounts(Mapping[str, int]):
-    """The number of usable endpoints of each owner that has one."""
+    """Maps each owner with a usable endpoint to their number, reading buckets on demand."""
 
     def __init__(self, owners: Buckets) -> None:
         self._buckets = owners
@@ -63,7 +63,7 @@
 
 
 class Catalog:
-    """The endpoints of one version. Never changed once it is made."""
+    """The endpoints of one version; immutable. ``size`` is the number of entries."""
 
     __slots__ = ("_digest", "_entries", "_owners", "size")
 
@@ -75,7 +75,7 @@
 
     @property
     def owner_counts(self) -> Mapping[str, int]:
-        """How many usable endpoints each owner has."""
+        """Number of usable endpoints of each owner that has one."""
         return OwnerCounts(self._owners)
 
     @property
@@ -84,62 +84,62 @@
         return sum(bucket.length for bucket in self._entries)
 
     def get(self, name: str) -> Entry | None:
-        """The entry of that name."""
+        """Return the entry of that name, or None."""
         return next(
             (entry for entry in read_entries(self._entries[bucket_index(name)]) if entry.name == name), None
         )
 
     def entries(self) -> Iterator[Entry]:
-        """All entries, in the same order for equal catalogs."""
+        """Yield all entries, in the same order for equal catalogs."""
         for bucket in self._entries:
             yield from read_entries(bucket)
 
     def differing_buckets(self, other: Catalog) -> Iterator[tuple[tuple[Entry, ...], tuple[Entry, ...]]]:
-        """The buckets that are not alike, entries here and there: all differences, at the cost of these."""
-        for mine, others in zip(self._entries, other._entries, strict=True):
-            if mine.checksum != others.checksum:
-                yield read_entries(mine), read_entries(others)
+        """Yield the entries of each bucket that differs, here and in ``other``; skip equal buckets."""
+        for bucket, other_bucket in zip(self._entries, other._entries, strict=True):
+            if bucket.checksum != other_bucket.checksum:
+                yield read_entries(bucket), read_entries(other_bucket)
 
     def digest(self) -> str:
-        """What two copies compare: equal if, and only if, the entries are."""
+        """Digest of the entries, independent of their compression."""
         if not self._digest:
-            whole = b"".join(bucket.checksum for bucket in self._entries)
-            self._digest = hashlib.sha256(whole).hexdigest()[:32]
+            checksums = b"".join(bucket.checksum for bucket in self._entries)
+            self._digest = hashlib.sha256(checksums).hexdigest()[:32]
         return self._digest
 
     def apply(self, changed: Iterable[Entry], removed: Iterable[str]) -> CatalogUpdate:
-        """The next catalog. Each name may stand once. Raises UnknownEntry."""
-        draft = self.builder()
-        draft.add(changed, removed)
-        return self.build(draft)
+        """Return the next catalog; each name may occur once. Raises UnknownEntry."""
+        builder = self.builder()
+        builder.add(changed, removed)
+        return self.build(builder)
 
     def builder(self) -> CatalogBuilder:
-        """A next catalog that is made in steps."""
+        """Return a builder for the next catalog, to which changes are added in steps."""
         return CatalogBuilder(self.size, self._entries)
 
-    def build(self, draft: CatalogBuilder) -> CatalogUpdate:
-        """The next catalog of a draft of this one."""
-        owners, unserved = shift_owner_counts(self._owners, draft.owner_count_changes)
-        return CatalogUpdate(Catalog(draft.size, tuple(draft.buckets), owners), draft.removed, unserved)
+    def build(self, builder: CatalogBuilder) -> CatalogUpdate:
+        """Return the next catalog from a builder of this one."""
+        owners, unserved = shift_owner_counts(self._owners, builder.owner_count_changes)
+        return CatalogUpdate(Catalog(builder.size, tuple(builder.buckets), owners), builder.removed, unserved)
 
     def pack(self) -> bytes:
-        """All of it."""
+        """Encode the catalog."""
         return msgspec.msgpack.encode(_Packed(self.size, self._entries, self._owners))
 
     @staticmethod
     def unpack(data: bytes) -> Catalog:
-        """Read what ``pack`` made, checksums and all. Raises CatalogError."""
+        """Decode ``pack``'s bytes and verify all checksums. Raises CatalogError."""
         try:
             packed = msgspec.msgpack.decode(data, type=_Packed)
             if not len(packed.entries) == len(packed.owners) == BUCKET_COUNT:
-                raise CatalogError("not the number of buckets of a catalog")
+                raise CatalogError("wrong number of buckets")
             size = sum(len(read_entries(bucket)) for bucket in packed.entries)
             for bucket in packed.owners:
                 read_owners(bucket)
         except (msgspec.DecodeError, BucketError) as error:
-            raise CatalogError(f"no catalog: {error}") from None
+            raise CatalogError(f"not a catalog: {error}") from None
         if size != packed.size:
-            raise CatalogError("a catalog of another size than it says")
+            raise CatalogError("the number of entries differs from the stated size")
         return Catalog(size, packed.entries, packed.owners)
 
 
--- a/brassweir/configstream/catalog_source.py
+++ b/brassweir/configstream/catalog_source.py
@@ -1,4 +1,4 @@
-"""How a machine comes to the next catalog; and how many machines of one process share what is alike. Pure."""
+"""Computes catalogs for state machines, with an optional cache for many machines in one process. Pure."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from brassweir.configstream.preparation import Preparation
 from brassweir.configstream.validation import Confirmation, InvalidChange, apply_packed_delta
 
-MAX_CACHED_CATALOGS = 64  # catalogs that are remembered
+MAX_CACHED_CATALOGS = 64  # of each kind
 
 
 class CatalogSource:
-    """Computes each thing anew."""
+    """Computes each catalog when asked."""
 
     def intern_chunk(self, body: bytes) -> bytes:
-        """The bytes of a command that are kept."""
+        """Return the bytes to store for a staged chunk."""
         return body
 
     def new_preparation(self, catalog: Catalog) -> Preparation | None:
-        """What a version in pieces is prepared with while they come; None to leave all to the commit."""
+        """Return a preparation for a transfer's chunks; None to leave all work to the commit."""
         return Preparation(catalog)
 
     def next_catalog(self, catalog: Catalog, body: bytes, confirmation: Confirmation) -> Catalog:
-        """The checked catalog after a packed delta. Raises CheckError."""
+        """Return the validated catalog after a packed delta. Raises InvalidChange."""
         return apply_packed_delta(catalog, body, confirmation)
 
     def restore_catalog(self, data: bytes) -> Catalog:
-        """The catalog of a snapshot. Raises CatalogError."""
+        """Decode the catalog of a snapshot. Raises CatalogError."""
         return Catalog.unpack(data)
 
 
 class CachingCatalogSource(CatalogSource):
-    """Computes once what equal machines ask for one after the other, as in simulations of many copies."""
+    """Caches results for state machines that apply the same log, as in simulations of many copies."""
 
     def __init__(self) -> None:
         self._chunks: dict[bytes, bytes] = {}
@@ -40,37 +40,37 @@
         self._restored_catalogs: dict[bytes, Catalog] = {}
 
     def intern_chunk(self, body: bytes) -> bytes:
-        """The first equal one."""
-        _bound(self._chunks, 4 * 1_024)
+        """Return the first chunk with equal bytes, so that copies share it."""
+        _evict_to_fit(self._chunks, 4 * 1_024)
         return self._chunks.setdefault(body, body)
 
     def new_preparation(self, catalog: Catalog) -> Preparation | None:
-        """None: what is made at the commit is shared."""
+        """Return None, as the commit's result is cached."""
         return None
 
     def next_catalog(self, catalog: Catalog, body: bytes, confirmation: Confirmation) -> Catalog:
-        """By the catalog's digest and the delta."""
+        """As in CatalogSource, cached by the catalog's digest, the delta and the confirmation."""
         key = (catalog.digest(), body, confirmation)
         if key not in self._next_catalogs:
-            _bound(self._next_catalogs, MAX_CACHED_CATALOGS)
+            _evict_to_fit(self._next_catalogs, MAX_CACHED_CATALOGS)
             try:
                 self._next_catalogs[key] = super().next_catalog(catalog, body, confirmation)
             except InvalidChange as error:
                 self._next_catalogs[key] = error
-        made = self._next_catalogs[key]
-        if isinstance(made, InvalidChange):
-            raise InvalidChange(made.field, made.reason, made.endpoint)
-        return made
+        result = self._next_catalogs[key]
+        if isinstance(result, InvalidChange):
+            raise InvalidChange(result.field, result.reason, result.endpoint)
+        return result
 
     def restore_catalog(self, data: bytes) -> Catalog:
-        """By the bytes."""
+        """As in CatalogSource, cached by the bytes."""
         if data not in self._restored_catalogs:
-            _bound(self._restored_catalogs, MAX_CACHED_CATALOGS)
+            _evict_to_fit(self._restored_catalogs, MAX_CACHED_CATALOGS)
             self._restored_catalogs[data] = super().restore_catalog(data)
         return self._restored_catalogs[data]
 
 
-def _bound(known: dict[Any, Any], most: int) -> None:
-    """Make room for one more: the oldest goes."""
-    while len(known) >= most:
-        del known[next(iter(known))]
+def _evict_to_fit(cache: dict[Any, Any], max_items: int) -> None:
+    """Evict the oldest items until one more fits ``max_items``."""
+    while len(cache) >= max_items:
+        del cache[next(iter(cache))]
--- a/brassweir/configstream/commands.py
+++ b/brassweir/configstream/commands.py
@@ -1,7 +1,8 @@
-"""The commands of log level 2: versions of the endpoint configuration. Pure.
+"""The commands of log level 2, which change the endpoint configuration. Pure.
 
-A version comes in one command, or as staged pieces that one more command puts in force together. ``after`` is
-the version that it was made from; ``digest`` is of the catalog that it must lead to, over plain bytes.
+A small change is one command. A larger one is a transfer: its chunks are staged, and one more command applies
+them together. ``after`` is the version that the change was made from; ``digest`` is that of the resulting
+catalog, over uncompressed bytes.
 """
 
 from __future__ import annotations
@@ -14,11 +15,9 @@
 from brassweir.agreed.commands import Command, CommandError
 from brassweir.configstream.validation import UNCONFIRMED, Confirmation
 
-LEVEL = 2  # the agreed level from which on these may be used
-MAX_CHUNK_BYTES = (
-    5_600  # bytes of a packed delta in one command: under agreed.commands.MOST with all its words
-)
-MAX_CHUNKS = 1_024  # pieces of one version
+LEVEL = 2  # the lowest log level at which these commands may be proposed
+MAX_CHUNK_BYTES = 5_600  # of a packed delta; leaves space for the command's other fields
+MAX_CHUNKS = 1_024  # of one version
 
 _Transfer = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-z]{1,40}\Z")]
 _Version = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
@@ -28,7 +27,7 @@
 
 
 class Stage(Command, frozen=True, tag="stage"):
-    """A piece of a packed delta, kept until the transfer is committed or dropped."""
+    """Stages chunk ``part`` of a packed delta until its transfer is committed, abandoned or evicted."""
 
     transfer: _Transfer
     part: Annotated[int, msgspec.Meta(ge=0, lt=MAX_CHUNKS)]
@@ -36,7 +35,7 @@
 
 
 class Commit(Command, frozen=True, tag="commit"):
-    """The staged pieces, 0 up to ``parts``, make the next version."""
+    """Applies the staged chunks 0 to ``parts`` - 1 of a transfer as the next version."""
 
     transfer: _Transfer
     after: _Version
@@ -47,7 +46,7 @@
 
 
 class Change(Command, frozen=True, tag="change"):
-    """A packed delta that makes the next version by itself."""
+    """Applies a packed delta that fits one command as the next version."""
 
     after: _Version
     body: _Chunk
@@ -57,7 +56,7 @@
 
 
 class Abandon(Command, frozen=True, tag="abandon"):
-    """The pieces of this transfer are not needed any more."""
+    """Drops the staged chunks of a transfer."""
 
     transfer: _Transfer
 
@@ -67,13 +66,13 @@
 
 
 def encode(command: AnyCommand) -> bytes:
-    """A command as the log carries it. Raises CommandError if it is too large."""
+    """Encode a command for the log. Raises CommandError if it is too large."""
     return agreed.encode(command, LEVEL)
 
 
 def decode(body: bytes) -> AnyCommand:
-    """A body of this level. Raises CommandError."""
+    """Decode a command body of level 2. Raises CommandError."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        raise CommandError("no command of its level") from None  # a library's words may change
+        raise CommandError("no command of its level") from None  # every copy must give the same text
--- a/brassweir/configstream/core.py
+++ b/brassweir/configstream/core.py
@@ -1,7 +1,7 @@
-"""The agreed log's core, which also tells up the feed tree which version is in force at which copy. Pure.
+"""The log's core extended by acknowledgements: which version is in force at which copy. Pure.
 
-Each copy merges what the copies that it feeds last said with its own version and sends one message, a learner
-to its feeder, a voter to the leader: once a second, and soon after something changed.
+Each copy merges the last reports of the copies that it feeds with its own version, and sends the result in
+one message, a learner to its feeder, a voter to the leader: once a second, and soon after a change.
 """
 
 from __future__ import annotations
@@ -22,11 +22,9 @@
 from brassweir.configstream.member_index import ListedMember, MemberIndexHistory, distance
 from brassweir.configstream.staleness import StalenessTracker, quorum_contact_time
 
-PULL_INTERVAL_MS = (
-    800.0  # ms between pulls, at most: if none is lost, what is known at depth four is 3.2 s old at most
-)
-ACK_REPEAT_MS = 1_000.0  # ms between two acknowledgements that say the same
-MIN_ACK_SPACING_MS = 250.0  # ms between two acknowledgements, at least: bounds what a burst of changes costs
+PULL_INTERVAL_MS = 800.0  # without losses, knowledge at depth four is at most 3.2 s old
+ACK_REPEAT_MS = 1_000.0  # between acknowledgements of the same content
+MIN_ACK_SPACING_MS = 250.0  # bounds the messages that a burst of changes causes
 NEVER = float("inf")
 
 
@@ -41,7 +39,7 @@
 
 
 class _Configured(Protocol):
-    """What this core reads of its machine."""
+    """What this core reads of its state machine."""
 
     @property
     def state(self) -> _State: ...
@@ -51,7 +49,7 @@
 
 
 class ConfiguredCore(Core):
-    """One member whose machine holds the endpoint configuration."""
+    """The core of a member whose state machine holds the endpoint configuration."""
 
     pull_interval = PULL_INTERVAL_MS
 
@@ -64,7 +62,7 @@
         now: float,
         founders: tuple[str, ...] = (),
     ) -> None:
-        """As the plain core's."""
+        """Take the same arguments as Core."""
         super().__init__(name, kept, machine, rng, now, founders)
         self.version_in_force = 0
         self.member_indexes, self.fleet, self.staleness = (
@@ -73,29 +71,29 @@
             StalenessTracker(),
         )
         self.acknowledgements = Acknowledgements(self.member_indexes)
-        self.expected_step_at = now  # when a step was asked for
-        self.ack_changed = True  # something may differ from what was last acknowledged
+        self.expected_step_at = now  # next_deadline's last result; a later step shows a stall
+        self.ack_changed = True  # content may differ from the last acknowledgement's
         self.ack_repeat_at = NEVER
         self.ack_sent_at = -NEVER
-        self.last_ack: tuple[str, int, Rows] = ("", 0, ())  # to whom, by which roster, what
+        self.last_ack: tuple[str, int, Rows] = ("", 0, ())  # receiver, checksum of the member index, rows
         self.ack_sequence = 0
 
-    # What it reads of its machine
+    # State machine
 
     def copies(self) -> Mapping[str, ListedMember]:
-        """The agreed member list."""
+        """The committed member list."""
         return cast(_Configured, self.replica.machine).state.copies
 
     def newest_version(self) -> int:
-        """The newest version that is agreed, as far as it is known here; 0 before the first."""
+        """The newest committed version that this copy has applied; 0 before the first."""
         return cast(_Configured, self.replica.machine).configuration.version
 
-    # What operators and the service ask
+    # Queries
 
     def fleet_view(self, now: float | None = None) -> FleetView:
-        """Which version is in force at how many copies, who is behind, who was not heard of.
+        """Return which copies have the newest version in force, which lag, and which have not reported.
 
-        ``now`` in this and the next two: the time; that of the last step if it is not given.
+        ``now`` defaults to the time of the last step, here and in the next two methods.
         """
         self.refresh_from_machine()
         now = self.now if now is None else now
@@ -103,42 +101,42 @@
         return self.fleet.view(self.ack_rows(), self.member_indexes.current, self.role == LEADER, now)
 
     def staleness_ms(self, now: float | None = None) -> float:
-        """Ms since this copy last surely knew all that was agreed."""
+        """Milliseconds since this copy last certainly knew everything committed."""
         return self.staleness.age_ms(self.now if now is None else now)
 
     def exceeds_max_staleness(self, now: float | None = None) -> bool:
-        """Is that longer ago than a change may take?"""
+        """Whether that is longer ago than MAX_STALENESS_MS."""
         return self.staleness.is_stale(self.now if now is None else now)
 
-    # The plain core's steps
+    # Overrides of the core
 
-    def step(self, now: float, facts: Iterable[Event] = ()) -> list[Action]:
-        """Time and facts in, steps out."""
+    def step(self, now: float, events: Iterable[Event] = ()) -> list[Action]:
+        """Advance to ``now`` with these events and return the resulting actions."""
         if now - self.expected_step_at > timing.STALL_MS:
             self.staleness.note_stall(now)
-        return super().step(now, facts)
+        return super().step(now, events)
 
-    def handle_event(self, fact: Event) -> None:
-        """One fact."""
-        if isinstance(fact, VersionInForce):
-            self.ack_changed = self.ack_changed or fact.version != self.version_in_force
-            self.version_in_force = fact.version
+    def handle_event(self, event: Event) -> None:
+        """Handle one event; VersionInForce sets this copy's own version."""
+        if isinstance(event, VersionInForce):
+            self.ack_changed = self.ack_changed or event.version != self.version_in_force
+            self.version_in_force = event.version
             return
-        if isinstance(fact, LoopStalled) and fact.ms > timing.STALL_MS:
+        if isinstance(event, LoopStalled) and event.ms > timing.STALL_MS:
             self.staleness.note_stall(self.now)
-        super().handle_event(fact)
+        super().handle_event(event)
 
     def receive(self, sender: str, envelope: Envelope) -> None:
-        """One message."""
+        """Handle one message; acknowledgements here, all others in the core."""
         message = envelope.body
         if not isinstance(message, Acknowledge):
             super().receive(sender, envelope)
         elif sender != self.name and envelope.generation >= 1 and envelope.group == self.identity.group != "":
-            run = MessageOrigin(envelope.member, envelope.generation, envelope.nonce, message.number)
-            self.on_acknowledge(sender, run, message)
+            origin = MessageOrigin(envelope.member, envelope.generation, envelope.nonce, message.number)
+            self.on_acknowledge(sender, origin, message)
 
     def tick(self) -> None:
-        """What time and news make due."""
+        """Run the periodic work, then update staleness and send an acknowledgement if one is due."""
         super().tick()
         if self.role == LEADER:
             self.staleness.note_leadership(self.quorum_contact_at())
@@ -147,97 +145,101 @@
         self.tick_acknowledging()
 
     def next_deadline(self) -> float:
-        """When time makes something due."""
-        at = NEVER
+        """Return when the next step is needed, acknowledgements included."""
+        ack_due = NEVER
         if self.role == LEADER or self.ack_target():
-            at = self.ack_sent_at + MIN_ACK_SPACING_MS if self.ack_changed else self.ack_repeat_at
+            ack_due = self.ack_sent_at + MIN_ACK_SPACING_MS if self.ack_changed else self.ack_repeat_at
         self.expected_step_at = min(
-            super().next_deadline(), max(at, self.ack_sent_at + MIN_ACK_SPACING_MS, self.now + 1.0)
+            super().next_deadline(), max(ack_due, self.ack_sent_at + MIN_ACK_SPACING_MS, self.now + 1.0)
         )
         return self.expected_step_at
 
     def nearest(self, name: str, names: list[str], count: int) -> list[str]:
-        """So many of these copies for that one to be fed by: of its site, then its region, else drawn."""
+        """Return ``count`` of ``names`` at most, nearest to copy ``name`` first, random among equals."""
         copies = self.copies()
-        drawn = self.rng.sample(names, len(names))
-        return sorted(drawn, key=lambda other: distance(copies, name, other))[:count]
+        shuffled = self.rng.sample(names, len(names))
+        return sorted(shuffled, key=lambda other: distance(copies, name, other))[:count]
 
-    # Knowledge
+    # Staleness
 
     def on_feed(self, sender: str, message: FeedEntries) -> None:
-        """Also a word of what was agreed some time ago."""
+        """Handle a feed, which also tells a commit index and how old it is."""
         super().on_feed(sender, message)
         self.staleness.note_commit(message.commit_index, self.now - message.leader_age_ms, self.now)
         self.staleness.note_reached(self.commit_index)
 
     def on_append(self, sender: str, message: AppendEntries) -> None:
-        """Also a leader's word of what is agreed now."""
+        """Handle an append, which also tells the leader's commit index now."""
         super().on_append(sender, message)
         if message.term == self.term:
             self.staleness.note_commit(message.commit_index, self.now, self.now)
             self.staleness.note_reached(self.commit_index)
 
     def quorum_contact_at(self) -> float:
-        """Since when a quorum surely followed this leader."""
-        heard = [self.now] if self.is_voter else []
-        heard += [p.heard_at for name, p in self.progress.items() if self.has_vote(name, p.member)]
-        return quorum_contact_time(heard, self.log.membership.quorum)
+        """Time up to which a quorum certainly followed this leader."""
+        contacts = [self.now] if self.is_voter else []
+        contacts += [p.heard_at for name, p in self.progress.items() if self.has_vote(name, p.member)]
+        return quorum_contact_time(contacts, self.log.membership.quorum)
 
     # Acknowledging
 
     def refresh_from_machine(self) -> None:
-        """The member list and the newest version, as they are here now."""
+        """Take over the member list and the newest version from the state machine."""
         if self.member_indexes.update(self.copies()):
             self.ack_changed = True
         self.fleet.note_version(self.newest_version(), self.now)
 
     def follows_leader_directly(self) -> bool:
-        """Does a leader replicate to this copy, which pulls from nobody then?"""
+        """Whether a leader replicates to this copy, which then pulls from no feeder."""
         recent = self.now - self.accepted_at < (timing.FEED_STALE_MS if self.is_voter else timing.ELECTION_MS)
         return recent and self.leader not in ("", self.name)
 
     def ack_target(self) -> str:
-        """Whom this copy acknowledges to: the leader if it hears it directly, else its feeder."""
+        """Receiver of acknowledgements: the leader if it replicates here, else the feeder; "" at a leader."""
         if self.role == LEADER:
             return ""
         return self.leader if self.follows_leader_directly() else self.feeder
 
-    def on_acknowledge(self, sender: str, run: MessageOrigin, message: Acknowledge) -> None:
-        """A copy that is fed here, or one that the leader replicates to, tells of itself and those below."""
+    def on_acknowledge(self, sender: str, origin: MessageOrigin, message: Acknowledge) -> None:
+        """Accept the report of a copy that this one feeds or replicates to; ignore others."""
         if sender not in self.children and not (self.role == LEADER and sender in self.progress):
             return
-        before = self.acknowledgements.reports.get(sender)
-        why = self.acknowledgements.accept(sender, run, message, self.now, self.now + timing.CHILD_EXPIRY_MS)
-        if why:
-            self.count_dropped(why)
+        previous = self.acknowledgements.reports.get(sender)
+        reason = self.acknowledgements.accept(
+            sender, origin, message, self.now, self.now + timing.CHILD_EXPIRY_MS
+        )
+        if reason:
+            self.count_dropped(reason)
             return
-        now = self.acknowledgements.reports[sender]
-        if before is None or (before.rows, before.member_index.checksum) != (
-            now.rows,
-            now.member_index.checksum,
+        report = self.acknowledgements.reports[sender]
+        if previous is None or (previous.rows, previous.member_index.checksum) != (
+            report.rows,
+            report.member_index.checksum,
         ):
             self.ack_changed = True
 
     def ack_rows(self) -> Rows:
-        """This copy and all below it. Out of contact it leaves itself out."""
+        """Rows of this copy and all below it; a stale copy leaves itself out."""
         version = None if self.exceeds_max_staleness() else self.version_in_force
         return self.acknowledgements.merged_rows(self.name, version, self.ack_target())
 
     def tick_acknowledging(self) -> None:
-        """Tell, if it is time to; at a leader, note who is behind."""
-        uplink = self.ack_target()
-        news = self.ack_changed or uplink != self.last_ack[0]
-        if self.now < self.ack_sent_at + MIN_ACK_SPACING_MS or not (news or self.now >= self.ack_repeat_at):
+        """Send an acknowledgement if one is due; a leader updates its fleet view instead."""
+        target = self.ack_target()
+        changed = self.ack_changed or target != self.last_ack[0]
+        if self.now < self.ack_sent_at + MIN_ACK_SPACING_MS or not (
+            changed or self.now >= self.ack_repeat_at
+        ):
             return
-        if self.role != LEADER and not uplink:
+        if self.role != LEADER and not target:
             return
         self.acknowledgements.expire(self.now)
-        rows, roster = self.ack_rows(), self.member_indexes.current
-        said = (uplink, roster.checksum, rows)
+        rows, member_index = self.ack_rows(), self.member_indexes.current
+        ack = (target, member_index.checksum, rows)
         if self.role == LEADER:
-            self.fleet.update(rows, roster, self.now)
-        elif said != self.last_ack or self.now >= self.ack_repeat_at:
+            self.fleet.update(rows, member_index, self.now)
+        elif ack != self.last_ack or self.now >= self.ack_repeat_at:
             self.ack_sequence += 1
-            self.send(uplink, encode_rows(rows, roster, self.ack_sequence))
-        self.ack_changed, self.last_ack, self.ack_sent_at = False, said, self.now
+            self.send(target, encode_rows(rows, member_index, self.ack_sequence))
+        self.ack_changed, self.last_ack, self.ack_sent_at = False, ack, self.now
         self.ack_repeat_at = self.now + ACK_REPEAT_MS
--- a/brassweir/configstream/delta.py
+++ b/brassweir/configstream/delta.py
@@ -1,4 +1,4 @@
-"""The difference between two versions, and its bounded bytes. Pure."""
+"""Deltas between two versions: computing, merging, packing and bounded unpacking. Pure."""
 
 from __future__ import annotations
 
@@ -12,16 +12,14 @@
 from brassweir.configstream.catalog import EMPTY, Catalog
 from brassweir.configstream.entries import Entry, EntryError, decoding_error, printable
 
-MAX_ENTRIES = 100_000  # changed, and as many removed: counted before any of them is read
-MAX_STREAMS = 1_024  # packed deltas one after the other
-MAX_UNPACKED_BYTES = (
-    40 << 20
-)  # bytes: above a whole catalog's (checking.MOST_LENGTH) and the names it removes
-COMPRESSION_LEVEL = 6  # of 9: packed once, sent to every copy
+MAX_ENTRIES = 100_000  # changed, and as many removed; counted before any is decoded
+MAX_STREAMS = 1_024  # concatenated packed deltas
+MAX_UNPACKED_BYTES = 40 << 20  # above a full catalog's entries and the names that it removes
+COMPRESSION_LEVEL = 6  # of 9; high, as a delta is packed once and sent to every copy
 
 
 class DeltaError(ValueError):
-    """What is no delta: which field of it is wrong, and the endpoint if it is one's."""
+    """An invalid delta: the field at fault, and the endpoint if it concerns one."""
 
     def __init__(self, why: str, field: str = "body", endpoint: str = "") -> None:
         super().__init__(why)
@@ -32,7 +30,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Entries that are new or other than before, and names of those that are there no more."""
+    """Entries that are new or changed, and names of removed ones. False if empty."""
 
     changed: Annotated[tuple[Entry, ...], _Bounded] = ()
     removed: Annotated[tuple[str, ...], _Bounded] = ()
@@ -50,14 +48,14 @@
 
 
 def pack(delta: Delta) -> bytes:
-    """A delta as commands carry it."""
+    """Encode and compress a delta as commands carry it."""
     return zlib.compress(_encoder.encode(delta), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> Delta:
-    """Read what ``pack`` made, also several of it one after the other.
+    """Decode one or more concatenated packed deltas into one.
 
-    Raises DeltaError, or EntryError for an entry that cannot be read.
+    Raises DeltaError, or EntryError for an entry that cannot be decoded.
     """
     changed: list[Entry] = []
     removed: list[str] = []
@@ -71,13 +69,13 @@
 
 
 class DeltaTotals:
-    """What packed deltas that belong together add up to: bounded."""
+    """Running totals over the packed deltas of one change; enforces their limits."""
 
     def __init__(self) -> None:
         self.streams = self.length = self.changed = self.removed = 0
 
     def add(self, length: int, delta: Delta) -> None:
-        """Count one more. Raises DeltaError."""
+        """Add a delta of ``length`` bytes uncompressed. Raises DeltaError beyond a limit."""
         self.streams += 1
         self.length += length
         self.changed += len(delta.changed)
@@ -87,7 +85,7 @@
 
 
 def unpack_first(data: bytes, totals: DeltaTotals) -> tuple[Delta, bytes]:
-    """Read the first delta, count it, and return what follows it. Raises as ``unpack``."""
+    """Decode the first packed delta, count it, and return it and what follows. Raises as ``unpack``."""
     try:
         plain, rest = decompress_first(data, MAX_UNPACKED_BYTES - totals.length)
     except BucketError as error:
@@ -101,7 +99,7 @@
 
 
 def _decoding_error(plain: bytes) -> DeltaError | EntryError:
-    """Why bytes are no delta, in words of our own: a library's may differ between copies."""
+    """Return why bytes do not decode to a delta; in own words, as a library's may differ between copies."""
     try:
         changed, _ = _raw_decoder.decode(plain)
         for raw in changed:
@@ -115,35 +113,35 @@
 
 
 def diff_entries(old: Catalog, new: Iterable[Entry]) -> Delta:
-    """What makes ``new`` of ``old``. Raises DeltaError if a name stands twice in ``new``."""
-    fresh: dict[str, Entry] = {}
+    """Return the delta from ``old`` to ``new``. Raises DeltaError if a name occurs twice in ``new``."""
+    remaining: dict[str, Entry] = {}
     for entry in new:
-        if entry.name in fresh:
+        if entry.name in remaining:
             raise DeltaError(f"endpoint {printable(entry.name)} stands more than once", "name", entry.name)
-        fresh[entry.name] = entry
+        remaining[entry.name] = entry
     removed = []
     for entry in old.entries():
-        after = fresh.get(entry.name)
+        after = remaining.get(entry.name)
         if after is None:
             removed.append(entry.name)
         elif after == entry:
-            del fresh[entry.name]
-    return Delta(tuple(fresh.values()), tuple(sorted(removed)))
+            del remaining[entry.name]
+    return Delta(tuple(remaining.values()), tuple(sorted(removed)))
 
 
 def diff_catalogs(old: Catalog, new: Catalog) -> Delta:
-    """What makes one catalog of another, at the cost of the buckets in which they differ."""
+    """Return the delta from ``old`` to ``new``; reads only the buckets that differ."""
     changed: list[Entry] = []
     removed: list[str] = []
     for before, after in old.differing_buckets(new):
-        known = {entry.name: entry for entry in before}
-        changed += [entry for entry in after if known.pop(entry.name, None) != entry]
-        removed += known
+        unmatched = {entry.name: entry for entry in before}
+        changed += [entry for entry in after if unmatched.pop(entry.name, None) != entry]
+        removed += unmatched
     return Delta(tuple(changed), tuple(removed))
 
 
 def merge(deltas: Iterable[Delta]) -> Delta:
-    """Deltas one after the other as one."""
+    """Merge successive deltas into one; the last change of a name counts."""
     last: dict[str, Entry | None] = {}
     for delta in deltas:
         last.update(dict.fromkeys(delta.removed))
@@ -155,5 +153,5 @@
 
 
 def full_delta(catalog: Catalog) -> Delta:
-    """All of a catalog, as a change of nothing."""
+    """Return the delta from the empty catalog."""
     return diff_catalogs(EMPTY, catalog)
--- a/brassweir/configstream/entries.py
+++ b/brassweir/configstream/entries.py
@@ -1,7 +1,7 @@
-"""One entry of the endpoint configuration, and what makes it acceptable. Pure.
+"""One entry of the endpoint configuration and its validation. Pure.
 
-The rules are written out here and rest on no library's parser or wording: every copy must accept and refuse
-the same entries in the same words, whichever version of Python or of a library it runs.
+The rules use no library's parser or error texts: every copy must accept and reject the same entries with the
+same text, whichever version of Python or of a library it runs.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import msgspec
 
-MAX_URL_CHARACTERS = 2_000  # characters
+MAX_URL_CHARACTERS = 2_000
 MAX_PORT = 65_535
 MAX_RATE = 1e9  # calls a second
 GONE = "gone"
@@ -22,22 +22,22 @@
 _LABEL = re.compile(r"[ -~]{0,120}\Z")
 _URL = re.compile(
     r"(?:https?|forward)://"
-    r"(?:[A-Za-z0-9._~%!$&'()*+,;=-]+|\[[0-9A-Fa-f:.]+\])"  # a name or an address; no user
+    r"(?:[A-Za-z0-9._~%!$&'()*+,;=-]+|\[[0-9A-Fa-f:.]+\])"  # host name or address, no user info
     r"(?::(?P<port>[0-9]{0,5}))?"
     r"(?P<rest>[/?][!-\"$-~]*)?\Z"  # no fragment
 )
 
 
 class EntryError(ValueError):
-    """An entry that cannot be accepted: which one, which field of it, and why."""
+    """An invalid entry: its name, the invalid field and the reason."""
 
-    def __init__(self, name: str, field: str, why: str) -> None:
-        super().__init__(f"endpoint {name}: {field}: {why}")
-        self.name, self.field, self.reason = name, field, why
+    def __init__(self, name: str, field: str, reason: str) -> None:
+        super().__init__(f"endpoint {name}: {field}: {reason}")
+        self.name, self.field, self.reason = name, field, reason
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
-    """One endpoint, known by its name."""
+    """One endpoint, identified by its name."""
 
     name: str
     url: str
@@ -50,21 +50,21 @@
 
     @property
     def owner(self) -> str:
-        """The partner or destination that it serves."""
+        """The partner or destination that the endpoint serves."""
         return self.partner or self.destination
 
     @property
     def usable(self) -> bool:
-        """Whether it counts as an endpoint of its owner: one that is gone does not."""
+        """Whether the endpoint counts as one of its owner's: its state is not ``gone``."""
         return self.state != GONE
 
 
 def validate(entry: Entry) -> None:
-    """Raise EntryError for the first field that cannot be accepted."""
+    """Raise EntryError for the first invalid field."""
     if not _NAME.match(entry.name):
         raise EntryError(printable(entry.name), "name", "1 to 120 printable ASCII characters without spaces")
-    if why := _url_problem(entry.url):
-        raise EntryError(entry.name, "url", why)
+    if reason := _url_problem(entry.url):
+        raise EntryError(entry.name, "url", reason)
     if bool(entry.partner) == bool(entry.destination):
         raise EntryError(entry.name, "destination", "an endpoint has either a partner or a destination")
     if not _OWNER.match(entry.partner or entry.destination):
@@ -76,29 +76,29 @@
         raise EntryError(entry.name, "zone", "at most 120 printable ASCII characters")
     if entry.state not in STATES:
         raise EntryError(entry.name, "state", "one of ready, draining, gone")
-    if not 0.0 <= entry.rate <= MAX_RATE:  # fails for what is not a number as well
+    if not 0.0 <= entry.rate <= MAX_RATE:  # also false for NaN
         raise EntryError(entry.name, "rate", "a number from 0 to 1e9")
 
 
 @lru_cache(maxsize=1_024)
 def _is_label(label: str) -> bool:
-    """There are few of them, each on many entries."""
+    """Whether a kind or zone is valid. Cached, since few distinct labels stand on many entries."""
     return _LABEL.match(label) is not None
 
 
 def _url_problem(url: str) -> str:
     if len(url) > MAX_URL_CHARACTERS:
         return f"{MAX_URL_CHARACTERS} characters are the most"
-    found = _URL.match(url)
-    if found is None or (url.startswith("forward:") and found["rest"]):
+    match = _URL.match(url)
+    if match is None or (url.startswith("forward:") and match["rest"]):
         return "neither http(s)://host[:port][/path] nor forward://host[:port]"
-    if int(found["port"] or 0) > MAX_PORT:
+    if int(match["port"] or 0) > MAX_PORT:
         return f"its port is above {MAX_PORT}"
     return ""
 
 
 def decoding_error(data: bytes) -> EntryError:
-    """The first field of packed bytes that is not of an entry's form; for bytes that do not decode to one."""
+    """Return the error for bytes that do not decode to an Entry, naming the first field that is wrong."""
     fields = Entry.__struct_fields__
     try:
         values = msgspec.msgpack.decode(data, type=list[msgspec.Raw])
@@ -118,5 +118,5 @@
 
 
 def printable(name: str) -> str:
-    """A name as an error tells it: short, and printable."""
+    """Return a name for an error text: at most 120 printable characters."""
     return ascii(name[:120])[1:-1][:120] or "''"
--- a/brassweir/configstream/fleet.py
+++ b/brassweir/configstream/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as its leader sees it: what is in force where, who is behind, who was not heard of. Pure."""
+"""The leader's view of the fleet: which version is in force where, and which copies lag. Pure."""
 
 from __future__ import annotations
 
@@ -8,21 +8,25 @@
 from brassweir.configstream.acknowledgements import OLDER_VERSIONS, Rows
 from brassweir.configstream.member_index import MemberIndex
 
-MAX_VERSIONS = 64  # versions whose time is remembered, for saying how long a copy has been behind
+MAX_VERSIONS = 64  # whose time is stored, to tell for how long a copy has lagged
 
 
 @dataclass(frozen=True, slots=True)
 class LaggingCopy:
-    """A copy with an older version than the newest."""
+    """A copy at which an older version than the newest is in force."""
 
     name: str
-    version: int  # 0: none, or older than the versions that are told apart
-    lag_ms: float  # since a version after that one was there, as far as this leader knows
+    version: int  # 0: none, or one of OLDER_VERSIONS
+    lag_ms: float  # since the next version was first seen by this leader
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What is in force where. Of a copy that does not lead only ``newest`` and ``copies`` mean the fleet."""
+    """Which copies have the newest version in force.
+
+    If ``leading`` is false, only ``newest`` and ``copies`` concern the whole fleet; the others cover this
+    copy and those below it.
+    """
 
     leading: bool
     newest: int
@@ -33,7 +37,7 @@
 
 
 class FleetVersions:
-    """Versions and since when they are there; copies and since when they are behind."""
+    """When each recent version was first seen, and since when copies lag."""
 
     def __init__(self) -> None:
         self.versions: deque[tuple[int, float]] = deque(maxlen=MAX_VERSIONS)
@@ -45,48 +49,50 @@
         return self.versions[-1][0] if self.versions else 0
 
     def note_version(self, version: int, now: float) -> None:
-        """This is the newest version now."""
+        """Record the newest version, first seen at ``now`` if it is another one."""
         if version != self.newest:
             self.versions.append((version, now))
 
     def superseded_at(self, version: int, now: float) -> float:
-        """When a version after this one was there first."""
-        return next((at for newer, at in self.versions if newer > version), now)
+        """Return when a version after ``version`` was first seen; ``now`` if none is known."""
+        return next((since for newer, since in self.versions if newer > version), now)
 
-    def update(self, rows: Rows, roster: MemberIndex, now: float) -> None:
-        """Follow what copies say. A copy that is not heard of keeps the time since which it was behind."""
-        told_apart = [version for version, _ in rows if version != OLDER_VERSIONS]
+    def update(self, rows: Rows, member_index: MemberIndex, now: float) -> None:
+        """Update since when copies lag. A copy that does not report keeps its time."""
+        exact_versions = [version for version, _ in rows if version != OLDER_VERSIONS]
         for version, bits in rows:
             if version >= self.newest:
-                self._remove_current(roster, bits)
+                self._remove_current(member_index, bits)
                 continue
-            lacked = version if version != OLDER_VERSIONS or not told_apart else min(told_apart) - 1
-            at = self.superseded_at(lacked, now)
-            for name in roster.names_in(bits):
+            lagging_version = (
+                version if version != OLDER_VERSIONS or not exact_versions else min(exact_versions) - 1
+            )
+            since = self.superseded_at(lagging_version, now)
+            for name in member_index.names_in(bits):
                 if version == OLDER_VERSIONS:
-                    self.behind_since.setdefault(name, at)
+                    self.behind_since.setdefault(name, since)
                 else:
-                    self.behind_since[name] = at
+                    self.behind_since[name] = since
 
-    def _remove_current(self, roster: MemberIndex, bits: int) -> None:
+    def _remove_current(self, member_index: MemberIndex, bits: int) -> None:
         for name in list(self.behind_since):
-            if roster.bit(name) & bits or name not in roster.positions:
+            if member_index.bit(name) & bits or name not in member_index.positions:
                 del self.behind_since[name]
 
-    def view(self, rows: Rows, roster: MemberIndex, leading: bool, now: float) -> FleetView:
-        """As it stands by these rows."""
-        self.update(rows, roster, now)
-        heard = in_force = 0
+    def view(self, rows: Rows, member_index: MemberIndex, leading: bool, now: float) -> FleetView:
+        """Return the view by these rows, longest lag first."""
+        self.update(rows, member_index, now)
+        reported = in_force = 0
         behind: list[LaggingCopy] = []
         for version, bits in rows:
-            heard |= bits
+            reported |= bits
             if version >= self.newest:
                 in_force |= bits
                 continue
-            for name in roster.names_in(bits):
+            for name in member_index.names_in(bits):
                 behind.append(LaggingCopy(name, version, now - self.behind_since.get(name, now)))
-        unheard = tuple(roster.names_in(roster.all_bits & ~heard))
-        behind.sort(key=lambda one: (-one.lag_ms, one.name))
+        unreported = tuple(member_index.names_in(member_index.all_bits & ~reported))
+        behind.sort(key=lambda copy: (-copy.lag_ms, copy.name))
         return FleetView(
-            leading, self.newest, len(roster.names), in_force.bit_count(), tuple(behind), unheard
+            leading, self.newest, len(member_index.names), in_force.bit_count(), tuple(behind), unreported
         )
--- a/brassweir/configstream/machine.py
+++ b/brassweir/configstream/machine.py
@@ -1,7 +1,7 @@
-"""The replicated machine with an endpoint configuration, from log level 2 on. Pure.
+"""The replicated state machine that holds the endpoint configuration, from log level 2 on. Pure.
 
-While level 1 is agreed it is the plain machine, to the byte of its snapshots. A version takes effect by one
-command, at once or not at all. An older program refuses the snapshots of level 2 by their level.
+At log level 1 it behaves as the plain machine, and its snapshots are the same bytes. A version takes effect
+atomically, by one command. Older programs reject snapshots of level 2 by their level.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 
 class Configuration:
-    """The version that is agreed, and what is on its way to the next."""
+    """The committed version, the transfers staged for the next one, and recent changes."""
 
     def __init__(self, version: int = 0, by: str = "", catalog: Catalog = EMPTY) -> None:
-        self.version = version  # the place in the log of the command that made it; 0: none
-        self.by = by  # the copy that proposed it
+        self.version = version  # log index of the command that made it; 0 before the first
+        self.by = by  # name of the copy that proposed it
         self.catalog = catalog
         self.staging = Staging()
         self.history = ChangeHistory()
 
 
 class _ConfigurationSnapshot(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A configuration in a snapshot."""
+    """The configuration as a snapshot stores it."""
 
     version: int
     by: str
@@ -46,7 +46,7 @@
 
 
 class _StateSnapshot(MachineState):
-    """A state of level 2 or above. Its level stands where older versions look for it, and refuse it by it."""
+    """A snapshot of level 2 or above. Its level stands where older programs look for it and reject it."""
 
     configuration: _ConfigurationSnapshot | None = None
 
@@ -55,17 +55,17 @@
 
 
 class ConfiguredMachine(Machine):
-    """One copy's state of what is agreed, the endpoint configuration with it."""
+    """One copy's replicated state, including the endpoint configuration."""
 
     level = commands.LEVEL
 
-    def __init__(self, share: CatalogSource | None = None) -> None:
+    def __init__(self, catalog_source: CatalogSource | None = None) -> None:
         super().__init__()
-        self.catalog_source = share if share is not None else CatalogSource()
+        self.catalog_source = catalog_source if catalog_source is not None else CatalogSource()
         self.configuration = Configuration()
 
     def changes_since(self, version: int) -> Delta | None:
-        """What was changed since that version; None if it is too old: compare catalogs (delta.between)."""
+        """All changes since ``version`` as one delta; None if the history is too short to tell."""
         return self.configuration.history.since(version, self.configuration.version)
 
     def _decode(self, level: int, body: bytes) -> Any:  # of either level; ``_carry_out`` tells them apart
@@ -85,37 +85,39 @@
             case _:
                 return super()._carry_out(index, command)
 
-    def _stage(self, index: int, given: Stage) -> Result:
-        given = msgspec.structs.replace(given, body=self.catalog_source.intern_chunk(given.body))
-        there = self.configuration
-        why = there.staging.add(index, given)
-        if why:
-            return self._rejected("part", why)
-        there.staging.prepare(given.transfer, lambda: self.catalog_source.new_preparation(there.catalog))
-        return Result(True, there.version)
-
-    def _commit(self, index: int, given: Commit) -> Result:
-        there = self.configuration
-        missing = there.staging.missing(given.transfer, given.parts)
-        if missing and self._is_next(given):
+    def _stage(self, index: int, command: Stage) -> Result:
+        command = msgspec.structs.replace(command, body=self.catalog_source.intern_chunk(command.body))
+        current = self.configuration
+        reason = current.staging.add(index, command)
+        if reason:
+            return self._rejected("part", reason)
+        current.staging.prepare(
+            command.transfer, lambda: self.catalog_source.new_preparation(current.catalog)
+        )
+        return Result(True, current.version)
+
+    def _commit(self, index: int, command: Commit) -> Result:
+        current = self.configuration
+        missing = current.staging.missing(command.transfer, command.parts)
+        if missing and self._is_next(command):
             return self._rejected("parts", f"pieces are missing: {', '.join(map(str, missing))}, ...")
-        body = b"" if missing else there.staging.join(given.transfer, given.parts)
-        result = self._apply_change(index, given, body)
-        there.staging.drop(given.transfer)
+        body = b"" if missing else current.staging.join(command.transfer, command.parts)
+        result = self._apply_change(index, command, body)
+        current.staging.drop(command.transfer)
         return result
 
-    def _is_next(self, given: Commit | Change) -> bool:
-        """It was made from the version that is there, and is not what that says already."""
-        there = self.configuration
-        return given.after == there.version and given.digest != there.catalog.digest()
+    def _is_next(self, command: Commit | Change) -> bool:
+        """Whether the change was made from the current version and would change the catalog."""
+        current = self.configuration
+        return command.after == current.version and command.digest != current.catalog.digest()
 
     def _apply_change(self, index: int, given: Commit | Change, body: bytes) -> Result:
-        there = self.configuration
-        if given.digest == there.catalog.digest():
-            return Result(True, there.version)
-        if given.after != there.version:
+        current = self.configuration
+        if given.digest == current.catalog.digest():
+            return Result(True, current.version)
+        if given.after != current.version:
             return self._rejected(
-                "after", f"it was made from version {given.after}, and {there.version} is there"
+                "after", f"it was made from version {given.after}, and {current.version} is there"
             )
         try:
             catalog = self._next_catalog(given, body)
@@ -123,33 +125,37 @@
             return self._rejected(error.field, error.reason)
         if catalog.digest() != given.digest:
             return self._rejected("digest", "it leads to other endpoints than the proposer stated")
-        there.history.add(there.version, body)
-        there.staging.clear()  # all of it was made from an older version
-        there.version, there.by, there.catalog = index, given.by, catalog
+        current.history.add(current.version, body)
+        current.staging.clear()  # all transfers were made from an older version
+        current.version, current.by, current.catalog = index, given.by, catalog
         return Result(True, index)
 
-    def _next_catalog(self, given: Commit | Change, body: bytes) -> Catalog:
-        """The next catalog: prepared, or made now. Raises CheckError."""
-        there = self.configuration
-        if isinstance(given, Commit):
-            made = there.staging.finish(given.transfer, there.catalog, given.parts, given.confirmation)
-            if made is not None:
-                return made
-        return self.catalog_source.next_catalog(there.catalog, body, given.confirmation)
+    def _next_catalog(self, command: Commit | Change, body: bytes) -> Catalog:
+        """Return the next catalog, from the preparation if there is one. Raises InvalidChange."""
+        current = self.configuration
+        if isinstance(command, Commit):
+            prepared = current.staging.finish(
+                command.transfer, current.catalog, command.parts, command.confirmation
+            )
+            if prepared is not None:
+                return prepared
+        return self.catalog_source.next_catalog(current.catalog, body, command.confirmation)
 
-    def _rejected(self, field: str, why: str) -> Result:
-        return Result(False, self.configuration.version, field, why)
+    def _rejected(self, field: str, reason: str) -> Result:
+        return Result(False, self.configuration.version, field, reason)
 
     def snapshot(self) -> bytes:
-        """The whole state; the plain machine's bytes while level 1 is agreed. Raises Beyond."""
+        """Encode the whole state; at level 1 as the plain machine does. Raises UnsupportedLevel."""
         if self.unsupported or self.state.level < commands.LEVEL:
             return super().snapshot()
-        there = self.configuration
-        kept = _ConfigurationSnapshot(there.version, there.by, there.catalog.pack(), there.staging.snapshot())
-        return pack(_StateSnapshot(**msgspec.structs.asdict(self.state), configuration=kept))
+        current = self.configuration
+        stored = _ConfigurationSnapshot(
+            current.version, current.by, current.catalog.pack(), current.staging.snapshot()
+        )
+        return pack(_StateSnapshot(**msgspec.structs.asdict(self.state), configuration=stored))
 
     def restore(self, data: bytes) -> None:
-        """Become what a snapshot says. Raises StateError, and changes nothing."""
+        """Replace the state by that of a snapshot. Raises StateError and then changes nothing."""
         state = unpack(data)
         if state.level > self.level:
             raise StateError(f"level {state.level} is agreed, and this version knows {self.level}")
@@ -161,26 +167,26 @@
 
     def _restore_configuration(self, data: bytes) -> Configuration:
         try:
-            kept = _snapshot_decoder.decode(memoryview(data)[32:]).configuration
+            stored = _snapshot_decoder.decode(memoryview(data)[32:]).configuration
         except (msgspec.DecodeError, RecursionError) as error:
             raise StateError(f"no state: {error}") from None
-        if kept is None:
+        if stored is None:
             raise StateError("a state of level 2 without a configuration")
         try:
-            catalog = self.catalog_source.restore_catalog(kept.catalog)
+            catalog = self.catalog_source.restore_catalog(stored.catalog)
         except CatalogError as error:
             raise StateError(str(error)) from None
-        configuration = Configuration(kept.version, kept.by, catalog)
-        configuration.staging = Staging(kept.transfers)
+        configuration = Configuration(stored.version, stored.by, catalog)
+        configuration.staging = Staging(stored.transfers)
         return configuration
 
     def digest(self) -> str:
-        """What copies compare at one index: over plain bytes, as compressed ones differ between copies."""
+        """Digest for comparing copies at one index, over uncompressed bytes (zlib builds differ)."""
         plain = super().digest()
         if self.state.level < commands.LEVEL:
             return plain
-        there = self.configuration
-        parts = (plain, str(there.version), there.by, there.catalog.digest(), there.staging.digest())
+        current = self.configuration
+        parts = (plain, str(current.version), current.by, current.catalog.digest(), current.staging.digest())
         return hashlib.sha256("\0".join(parts).encode()).hexdigest()[:16]
 
 
--- a/brassweir/configstream/preparation.py
+++ b/brassweir/configstream/preparation.py
@@ -1,8 +1,7 @@
-"""The next catalog, made while the pieces of a version come, so that the commit has only to switch. Pure.
+"""Builds the next catalog while the chunks of a transfer arrive, so that the commit only switches. Pure.
 
-It is a shortcut and never a verdict of its own: whatever is not as an honest proposer makes it (pieces that
-share names, that cannot be read, that are missing here) leaves the verdict to the whole check at the commit.
-So copies that prepared and copies that did not come to the same result.
+It never decides on its own: if chunks share names, cannot be decoded or are missing, the full validation at
+the commit decides. So copies that prepared a transfer and copies that did not reach the same result.
 """
 
 from __future__ import annotations
@@ -18,51 +17,54 @@
 
 @dataclass(frozen=True, slots=True)
 class _Span:
-    """The first and the last name of a piece, in the order of pieces."""
+    """The lowest and the highest sort key of a chunk."""
 
     first: SortKey
     last: SortKey
 
 
 class Preparation:
-    """What the pieces that came so far make of a catalog."""
+    """A catalog with the chunks applied that have arrived so far."""
 
     def __init__(self, catalog: Catalog) -> None:
         self.catalog = catalog
-        self.spans: dict[int, _Span] = {}  # of the pieces that are in the draft
+        self.spans: dict[int, _Span] = {}  # of the chunks that were applied
         self._totals = DeltaTotals()
-        self._draft = catalog.builder()
+        self._builder = catalog.builder()
         self._usable = True
 
     def add(self, part: int, body: bytes) -> None:
-        """Put a piece in, once."""
+        """Apply a chunk, unless it was applied before. An invalid one discards the preparation."""
         if not self._usable or part in self.spans:
             return
         try:
-            delta, rest = unpack_first(body, self._totals)
+            delta, trailing = unpack_first(body, self._totals)
             check_entries(delta)
-            self._draft.add(delta.changed, delta.removed)
+            self._builder.add(delta.changed, delta.removed)
         except (DeltaError, EntryError, InvalidChange, UnknownEntry):
             self._discard()
             return
-        if rest or not delta:
+        if trailing or not delta:
             self._discard()
             return
         self.spans[part] = _span(delta)
 
     def _discard(self) -> None:
-        self._usable, self._draft = False, self.catalog.builder()
+        self._usable, self._builder = False, self.catalog.builder()
 
     def finish(self, catalog: Catalog, parts: int, confirmation: Confirmation) -> Catalog | None:
-        """The next catalog after exactly these parts; None if it takes the whole check. Raises CheckError."""
+        """Return the catalog of chunks 0 to ``parts`` - 1; None if the full validation has to decide.
+
+        Raises InvalidChange if the result is beyond a limit.
+        """
         if not self._usable or self.catalog is not catalog or self.spans.keys() != set(range(parts)):
             return None
         spans = [self.spans[part] for part in range(parts)]
         if any(before.last >= after.first for before, after in zip(spans, spans[1:], strict=False)):
-            return None  # a name may stand twice
-        made = catalog.build(self._draft)
-        check_limits(made, catalog.size, confirmation)
-        return made.catalog
+            return None  # a name may occur in two chunks
+        update = catalog.build(self._builder)
+        check_limits(update, catalog.size, confirmation)
+        return update.catalog
 
 
 def _span(delta: Delta) -> _Span:
--- a/brassweir/configstream/publication.py
+++ b/brassweir/configstream/publication.py
@@ -1,7 +1,7 @@
-"""When an operator's copy proposes the commands of a plan, and what their results mean. Pure.
+"""Proposes the commands of a publish plan and interprets their results. Pure.
 
-``(now, facts)`` in, steps out. Pieces go out many at a time, the command that puts the version in force after
-all of them. What may or may not have come into the log is proposed again: a repeat does no harm.
+Each step takes the time and inputs and returns actions. Chunks are proposed many at a time, the final command
+once all of them are committed. A proposal with an unknown outcome is repeated; the commands are idempotent.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from brassweir.configstream.commands import Abandon
 from brassweir.configstream.publish_plan import PublishPlan
 
-MAX_IN_FLIGHT = 64  # proposals out at once: a quarter of those that a member may have waiting
-RETRY_MS = 500.0  # ms before a proposal that failed, or may have, is made again
-TIMEOUT_MS = 120_000.0  # ms until a version that did not come in force is given up
-MAX_STAGING_ROUNDS = 3  # times that pieces are staged: others may fill the room for them meanwhile
+MAX_IN_FLIGHT = 64  # proposals; a quarter of what a member may have waiting
+RETRY_MS = 500.0  # before a proposal that may have failed is repeated
+TIMEOUT_MS = 120_000.0  # for the whole publication
+MAX_STAGING_ROUNDS = 3  # other transfers may evict the staged chunks
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalEnded:
-    """How a proposal ended; ``result`` if it was agreed."""
+    """The end of a proposal, with the state machine's result if it was committed."""
 
     number: int
     kind: OutcomeKind
@@ -32,17 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishInputs:
-    """What is known when it is decided, of the machine as applied here."""
+    """What a step depends on: the state machine as applied here, and ended proposals."""
 
-    level: int  # that is agreed
-    version: int  # of the configuration
-    digest: str  # of its catalog
-    ended_proposals: tuple[ProposalEnded, ...] = ()  # since the step before
+    level: int  # log level
+    version: int  # current version
+    digest: str  # of the current catalog
+    ended_proposals: tuple[ProposalEnded, ...] = ()  # since the last step
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Propose this command, and tell under this number how it ended."""
+    """Propose this command, and report its end under this number."""
 
     number: int
     command: bytes
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposeAbandon:
-    """Propose this command; how it ends does not matter."""
+    """Propose this command, which drops staged chunks; its end need not be reported."""
 
     command: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """The list is in force as this version."""
+    """The list was committed as this version."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Given up: which field stands against it, and why."""
+    """The publication failed: the field at fault and the reason."""
 
     field: str
     reason: str
@@ -72,8 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another version came first. What it changed would be taken back by a plan made anew from the same
-    list, so that is done only when an operator says so once more."""
+    """Another version was committed first.
+
+    A new plan from the same list would revert that version, so an operator has to publish again.
+    """
 
     version: int
     reason: str
@@ -81,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing more now; decide again after so many ms at the latest."""
+    """Nothing to do now; run the next step after ``wait_ms`` at the latest."""
 
     wait_ms: float
 
@@ -91,72 +93,70 @@
 
 @dataclass
 class _Round:
-    """The pieces that are still to be proposed, and those that are out."""
+    """One staging round: commands still to be proposed, and those in flight."""
 
     waiting: list[int]
     in_flight: set[int] = field(default_factory=set)
 
 
 class Publication:
-    """One plan on its way into the log. ``now`` is monotonic (ms)."""
+    """The publication of one plan. ``now`` is monotonic, in milliseconds."""
 
     def __init__(self, plan: PublishPlan, now: float) -> None:
         self.plan = plan
         self.deadline = now + TIMEOUT_MS
         self.retry_at = now
-        self.finished = False  # it ended, one way or another
+        self.finished = False  # a final action was returned
         self.staging_rounds = 1
-        self.outcome_unknown = False  # the last command may be in the log, or come into it
-        self._final_number = len(
-            plan.stage_commands
-        )  # the number of the command that puts the version in force
+        self.outcome_unknown = False  # the final command may have been, or may still be, committed
+        self._final_number = len(plan.stage_commands)  # number of the final command; chunks have lower ones
         self._round = _Round(list(range(self._final_number)))
         self._final_action: Action | None = None
 
-    def step(self, now: float, facts: PublishInputs) -> list[Action]:
-        """What to do now; nothing more once it is over."""
+    def step(self, now: float, inputs: PublishInputs) -> list[Action]:
+        """Return what to do now; nothing once the publication has finished."""
         if self.finished:
             return []
-        for ended in facts.ended_proposals:
+        for ended in inputs.ended_proposals:
             self._handle_ended(now, ended)
-        end = self._final_action or self._end_by_state(now, facts)
-        if end is not None:
+        final = self._final_action or self._end_by_state(now, inputs)
+        if final is not None:
             self.finished = True
-            return [*self._abandon(end), end]
+            return [*self._abandon(final), final]
         if now < self.retry_at:
             return [Wait(self.retry_at - now)]
-        if facts.level < commands.LEVEL:
+        if inputs.level < commands.LEVEL:
             return [Wait(RETRY_MS)]
         return [*self._proposals(), Wait(RETRY_MS)]
 
-    def _end_by_state(self, now: float, facts: PublishInputs) -> Action | None:
-        """The end that the state of the machine shows, or the time."""
-        if facts.digest == self.plan.digest and facts.version != self.plan.base_version:
-            return Published(facts.version)
-        if facts.version > self.plan.base_version:
-            return self._superseded(facts.version)
+    def _end_by_state(self, now: float, inputs: PublishInputs) -> Action | None:
+        """Return the final action if the state machine's state or the timeout decides it."""
+        if inputs.digest == self.plan.digest and inputs.version != self.plan.base_version:
+            return Published(inputs.version)
+        if inputs.version > self.plan.base_version:
+            return self._superseded(inputs.version)
         if now >= self.deadline:
-            return Rejected("time", self._timeout_reason(facts))
+            return Rejected("time", self._timeout_reason(inputs))
         return None
 
-    def _timeout_reason(self, facts: PublishInputs) -> str:
-        if facts.level < commands.LEVEL:
-            return f"level {facts.level} is agreed: not all members read level {commands.LEVEL}"
-        doubt = (
+    def _timeout_reason(self, inputs: PublishInputs) -> str:
+        if inputs.level < commands.LEVEL:
+            return f"level {inputs.level} is agreed: not all members read level {commands.LEVEL}"
+        note = (
             "; it may still come in force"
             if self.outcome_unknown or self._final_number in self._round.in_flight
             else ""
         )
-        return f"not agreed within {TIMEOUT_MS / 1000:.0f} s{doubt}"
+        return f"not agreed within {TIMEOUT_MS / 1000:.0f} s{note}"
 
     def _superseded(self, version: int) -> Superseded:
-        doubt = "; this one may have been in force before" if self.outcome_unknown else ""
+        note = "; this one may have been in force before" if self.outcome_unknown else ""
         return Superseded(
-            version, f"made from version {self.plan.base_version}, and {version} came first{doubt}"
+            version, f"made from version {self.plan.base_version}, and {version} came first{note}"
         )
 
     def _handle_ended(self, now: float, ended: ProposalEnded) -> None:
-        """What the end of a proposal means."""
+        """Handle the end of a proposal: finish, or schedule a retry."""
         self._round.in_flight.discard(ended.number)
         result = ended.result
         if ended.kind is not OutcomeKind.AGREED or result is None or result.field == "level":
@@ -168,7 +168,7 @@
             self._final_action = Published(result.version)
 
     def _handle_rejection(self, now: float, result: Result) -> None:
-        """The machine said no: some of that can be mended, and some ends it."""
+        """Handle a rejection by the state machine: stage evicted chunks again, or finish."""
         if result.field == "parts" and self.staging_rounds < MAX_STAGING_ROUNDS:
             self.staging_rounds += 1
             self._round = _Round(list(range(self._final_number)))
@@ -184,20 +184,20 @@
         self.retry_at = now + RETRY_MS
 
     def _proposals(self) -> list[Action]:
-        """Pieces as far as the window lets them; the last command once none is left."""
-        there = self._round
-        if not there.waiting and not there.in_flight:
-            there.in_flight.add(self._final_number)
+        """Propose chunks up to MAX_IN_FLIGHT; the final command once all are committed."""
+        staging_round = self._round
+        if not staging_round.waiting and not staging_round.in_flight:
+            staging_round.in_flight.add(self._final_number)
             return [Propose(self._final_number, self.plan.final_command)]
-        room = MAX_IN_FLIGHT - len(there.in_flight)
-        now, there.waiting = there.waiting[:room], there.waiting[room:]
-        there.in_flight.update(now)
-        return [Propose(number, self.plan.stage_commands[number]) for number in now]
+        capacity = MAX_IN_FLIGHT - len(staging_round.in_flight)
+        numbers, staging_round.waiting = staging_round.waiting[:capacity], staging_round.waiting[capacity:]
+        staging_round.in_flight.update(numbers)
+        return [Propose(number, self.plan.stage_commands[number]) for number in numbers]
 
-    def _abandon(self, end: Action) -> list[Action]:
-        """Pieces that no command will use are let go of."""
+    def _abandon(self, final: Action) -> list[Action]:
+        """Drop the staged chunks, unless the final command may still use them."""
         if (
-            isinstance(end, Published)
+            isinstance(final, Published)
             or not self.plan.transfer
             or self.outcome_unknown
             or self._final_number in self._round.in_flight
--- a/brassweir/configstream/publish_plan.py
+++ b/brassweir/configstream/publish_plan.py
@@ -1,6 +1,6 @@
-"""What an operator's copy proposes so that its list becomes the next version. Pure.
+"""Plans the commands that make an operator's endpoint list the next version. Pure.
 
-Costs some tenths of a second at 70,000 endpoints: for a thread. What it is made from never changes.
+Takes tenths of a second at 70,000 endpoints, so it is run in a thread; its inputs are immutable.
 """
 
 from __future__ import annotations
@@ -19,15 +19,13 @@
 
 
 class PublishPlan(msgspec.Struct, frozen=True):
-    """The commands that make one version of another."""
+    """The encoded commands that lead from one version to the next."""
 
-    base_version: int  # the version that it was made from
-    digest: str  # of the catalog that it leads to
-    stage_commands: tuple[
-        bytes, ...
-    ]  # staged first, in any order; none if the last command is a change by itself
-    final_command: bytes  # puts the version in force
-    transfer: str  # the name of the pieces; empty without any
+    base_version: int  # the version that the change is made from
+    digest: str  # of the resulting catalog
+    stage_commands: tuple[bytes, ...]  # committed first, in any order; empty if one command suffices
+    final_command: bytes  # makes the version: a Commit, or a Change by itself
+    transfer: str  # identifies the chunks; empty without any
     changed: int  # entries
     removed: int
 
@@ -39,7 +37,7 @@
     by: str,
     confirmation: Confirmation = UNCONFIRMED,
 ) -> PublishPlan | None:
-    """From the version that is there to a whole list; None if it says what that does. Raises CheckError."""
+    """Plan the change from ``catalog`` to a full list; None if they are equal. Raises InvalidChange."""
     try:
         difference = delta.diff_entries(catalog, entries)
     except delta.DeltaError as error:
@@ -52,15 +50,15 @@
     if len(body) <= MAX_CHUNK_BYTES:
         change = commands.encode(Change(version, body, digest, by, confirmation))
         return PublishPlan(version, digest, (), change, "", *counts)
-    bodies = split_delta(difference, MAX_CHUNK_BYTES)
-    if len(bodies) > MAX_CHUNKS:
-        raise InvalidChange("size", f"{len(bodies)} pieces when packed; {MAX_CHUNKS} are the most")
-    transfer = _transfer(version, b"".join(bodies))
-    pieces = tuple(commands.encode(Stage(transfer, part, piece)) for part, piece in enumerate(bodies))
-    commit = commands.encode(Commit(transfer, version, len(bodies), digest, by, confirmation))
-    return PublishPlan(version, digest, pieces, commit, transfer, *counts)
+    chunks = split_delta(difference, MAX_CHUNK_BYTES)
+    if len(chunks) > MAX_CHUNKS:
+        raise InvalidChange("size", f"{len(chunks)} pieces when packed; {MAX_CHUNKS} are the most")
+    transfer = _transfer(version, b"".join(chunks))
+    stage_commands = tuple(commands.encode(Stage(transfer, part, chunk)) for part, chunk in enumerate(chunks))
+    commit = commands.encode(Commit(transfer, version, len(chunks), digest, by, confirmation))
+    return PublishPlan(version, digest, stage_commands, commit, transfer, *counts)
 
 
 def _transfer(version: int, body: bytes) -> str:
-    """A name by the content: proposed again, also by a copy that restarted, the pieces are the same."""
+    """Derive the transfer's name from its content, so that a repeated proposal stages the same chunks."""
     return hashlib.sha256(b"%d\0%b" % (version, body)).hexdigest()[:32]
--- a/brassweir/configstream/staging.py
+++ b/brassweir/configstream/staging.py
@@ -1,7 +1,7 @@
-"""Pieces of versions on their way, bounded in number and bytes. Pure.
+"""Staged transfers, bounded in number and bytes. Pure.
 
-What is dropped rests on places of the log alone, so all copies drop alike: first what was not added to for
-long, then what was added to least recently.
+Eviction depends on log indexes alone, so all copies evict the same transfers: first stale ones, then the one
+least recently added to.
 """
 
 from __future__ import annotations
@@ -18,17 +18,15 @@
 from brassweir.configstream.validation import Confirmation
 
 MAX_TRANSFERS = 4
-MAX_STAGED_BYTES = 6 << 20  # bytes of all pieces: above the largest single transfer, MOST_PARTS of MOST_PIECE
-CHUNKS_PREPARED_PER_STAGE = (
-    2  # pieces prepared at each that comes: more than one, as those of a snapshot wait
-)
-STALE_AFTER_ENTRIES = 20_000  # places of the log after which a transfer that was not added to is dropped
+MAX_STAGED_BYTES = 6 << 20  # of all chunks; the largest single transfer fits
+CHUNKS_PREPARED_PER_STAGE = 2  # more than one, to catch up with chunks from a snapshot
+STALE_AFTER_ENTRIES = 20_000  # log entries without an addition after which a transfer is dropped
 
 assert MAX_STAGED_BYTES >= MAX_CHUNKS * MAX_CHUNK_BYTES
 
 
 class TransferSnapshot(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A transfer in a snapshot; its pieces by their numbers."""
+    """A transfer as a snapshot stores it, its chunks with their numbers."""
 
     name: str
     last_index: int
@@ -37,99 +35,103 @@
 
 @dataclass
 class Transfer:
-    """The pieces of one version, and the place of the log that touched them last."""
+    """The staged chunks of one version, and the log index of the last Stage command."""
 
     last_index: int
     chunks: dict[int, bytes]
-    preparation: Preparation | None = None  # no part of what is agreed
+    preparation: Preparation | None = None  # not replicated state
 
     @property
     def size(self) -> int:
-        """Bytes."""
+        """Bytes of all its chunks."""
         return sum(map(len, self.chunks.values()))
 
 
 class Staging:
-    """All transfers that are under way."""
+    """All staged transfers. ``size`` is the bytes of their chunks."""
 
-    def __init__(self, kept: Iterable[TransferSnapshot] = ()) -> None:
-        self.transfers = {one.name: Transfer(one.last_index, dict(one.chunks)) for one in kept}
-        self.size = sum(one.size for one in self.transfers.values())
+    def __init__(self, stored: Iterable[TransferSnapshot] = ()) -> None:
+        self.transfers = {
+            transfer.name: Transfer(transfer.last_index, dict(transfer.chunks)) for transfer in stored
+        }
+        self.size = sum(transfer.size for transfer in self.transfers.values())
 
-    def add(self, index: int, given: Stage) -> str:
-        """Keep a piece; returns why not, or nothing. One that is there already is kept once."""
+    def add(self, index: int, command: Stage) -> str:
+        """Store a chunk. Return why it was rejected, or "" if it was stored or is there already."""
         self._drop_stale(index)
-        transfer = self.transfers.get(given.transfer)
+        transfer = self.transfers.get(command.transfer)
         if transfer is None:
-            transfer = self.transfers[given.transfer] = Transfer(index, {})
+            transfer = self.transfers[command.transfer] = Transfer(index, {})
         transfer.last_index = index
-        known = transfer.chunks.get(given.part)
-        if known is not None:
-            return "" if known == given.body else f"another piece {given.part} of this transfer is there"
-        transfer.chunks[given.part] = given.body
-        self.size += len(given.body)
+        staged = transfer.chunks.get(command.part)
+        if staged is not None:
+            return "" if staged == command.body else f"another piece {command.part} of this transfer is there"
+        transfer.chunks[command.part] = command.body
+        self.size += len(command.body)
         self._evict_oldest()
         return ""
 
     def missing(self, name: str, parts: int) -> list[int]:
-        """The first few pieces that are not there."""
+        """Return the numbers of up to five missing chunks."""
         transfer = self.transfers.get(name)
-        pieces = transfer.chunks if transfer is not None else {}
-        return [part for part in range(parts) if part not in pieces][:5]
+        chunks = transfer.chunks if transfer is not None else {}
+        return [part for part in range(parts) if part not in chunks][:5]
 
     def join(self, name: str, parts: int) -> bytes:
-        """All pieces of a transfer of which none is missing."""
-        pieces = self.transfers[name].chunks
-        return b"".join(pieces[part] for part in range(parts))
+        """Concatenate the chunks of a transfer of which none is missing."""
+        chunks = self.transfers[name].chunks
+        return b"".join(chunks[part] for part in range(parts))
 
     def prepare(self, name: str, begin: Callable[[], Preparation | None]) -> None:
-        """Put a few of its pieces into what the transfer leads to; it may have been dropped at once."""
+        """Apply a few of a transfer's chunks to its preparation, if the transfer is still staged."""
         transfer = self.transfers.get(name)
         if transfer is None:
             return
         if transfer.preparation is None:
             transfer.preparation = begin()
         if (preparation := transfer.preparation) is not None:
-            waiting = [part for part in transfer.chunks if part not in preparation.spans]
-            for part in waiting[-CHUNKS_PREPARED_PER_STAGE:]:
+            pending = [part for part in transfer.chunks if part not in preparation.spans]
+            for part in pending[-CHUNKS_PREPARED_PER_STAGE:]:
                 preparation.add(part, transfer.chunks[part])
 
     def finish(self, name: str, catalog: Catalog, parts: int, confirmation: Confirmation) -> Catalog | None:
-        """What a transfer was prepared to lead to; None if it was not. Raises CheckError."""
+        """Return the catalog that a transfer was prepared for; None if it was not. Raises InvalidChange."""
         transfer = self.transfers.get(name)
         if transfer is None or transfer.preparation is None:
             return None
         return transfer.preparation.finish(catalog, parts, confirmation)
 
     def drop(self, name: str) -> None:
-        """Forget a transfer, if it is known."""
+        """Drop a transfer, if it is staged."""
         transfer = self.transfers.pop(name, None)
         if transfer is not None:
             self.size -= transfer.size
 
     def clear(self) -> None:
-        """Forget all: a new version came, and all of these were made from an older one."""
+        """Drop all transfers, as they were made from a version that is no longer current."""
         self.transfers.clear()
         self.size = 0
 
     def snapshot(self) -> tuple[TransferSnapshot, ...]:
-        """All of it in its one order."""
+        """Return all transfers as a snapshot stores them, sorted by name and number."""
         return tuple(
-            TransferSnapshot(name, one.last_index, tuple(sorted(one.chunks.items())))
-            for name, one in sorted(self.transfers.items())
+            TransferSnapshot(name, transfer.last_index, tuple(sorted(transfer.chunks.items())))
+            for name, transfer in sorted(self.transfers.items())
         )
 
     def digest(self) -> str:
-        """What copies compare."""
+        """Digest of the staged transfers, for comparing copies."""
         return hashlib.sha256(msgspec.msgpack.encode(self.snapshot())).hexdigest()
 
     def _drop_stale(self, index: int) -> None:
         for name in [
-            name for name, one in self.transfers.items() if one.last_index + STALE_AFTER_ENTRIES < index
+            name
+            for name, transfer in self.transfers.items()
+            if transfer.last_index + STALE_AFTER_ENTRIES < index
         ]:
             self.drop(name)
 
     def _evict_oldest(self) -> None:
-        """Drop what was touched least recently; the one just touched is the last, and fits by itself."""
+        """Evict the least recently added to, until the limits hold; the newest fits by itself."""
         while len(self.transfers) > MAX_TRANSFERS or self.size > MAX_STAGED_BYTES:
             self.drop(min(self.transfers, key=lambda name: self.transfers[name].last_index))
--- a/brassweir/configstream/staleness.py
+++ b/brassweir/configstream/staleness.py
@@ -1,52 +1,52 @@
-"""How old this copy's knowledge of what is agreed is at most. Pure.
+"""Bounds how stale this copy's knowledge of the committed log is. Pure.
 
-A word that a leader led at some time, with so much agreed then, counts once all of that is agreed here too: a
-copy that is in touch but far behind does not take itself for current.
+A leader's commit index as of some time counts only once this copy has reached that index, so a copy that is
+connected but far behind is still stale.
 """
 
 from __future__ import annotations
 
-MAX_STALENESS_MS = 11_000.0  # ms: the time within which a change is to be in force everywhere
-LONG_AGO_MS = -1e18  # a time before all others
-STALL_DISTRUST_MS = 1_000.0  # ms after a stall: messages that waited meanwhile tell an age that is too low
+MAX_STALENESS_MS = 11_000.0  # within this a change should be in force everywhere
+LONG_AGO_MS = -1e18  # before all other times; finite, so that ages are too
+STALL_DISTRUST_MS = 1_000.0  # after a stall, as messages that waited state too low an age
 
 
 class StalenessTracker:
-    """When this copy last surely knew all that was agreed."""
+    """Tracks when this copy last certainly knew everything committed. All times are in milliseconds."""
 
     def __init__(self) -> None:
         self.current_at = LONG_AGO_MS
-        self._pending: tuple[int, float] | None = None  # agreed up to there at that time, and not here yet
+        self._pending: tuple[int, float] | None = None  # commit index not yet reached here, and its time
         self._trusted_from = LONG_AGO_MS
 
     def note_stall(self, now: float) -> None:
-        """This copy was away until now: what it finds waiting is old."""
+        """Record that this copy was stalled until ``now``; messages that waited are not trusted."""
         self._trusted_from = now + STALL_DISTRUST_MS
 
-    def note_commit(self, commit: int, at: float, now: float) -> None:
-        """A leader led at ``at``, and all up to ``commit`` was agreed then."""
+    def note_commit(self, commit_index: int, at: float, now: float) -> None:
+        """Record that a leader's commit index was ``commit_index`` at ``at``."""
         if now >= self._trusted_from and self._pending is None:
-            self._pending = (commit, at)
+            self._pending = (commit_index, at)
 
-    def note_reached(self, agreed: int) -> None:
-        """All up to ``agreed`` is known here."""
-        if self._pending is not None and agreed >= self._pending[0]:
+    def note_reached(self, commit_index: int) -> None:
+        """Record that this copy knows the log up to ``commit_index``."""
+        if self._pending is not None and commit_index >= self._pending[0]:
             self.current_at = max(self.current_at, self._pending[1])
             self._pending = None
 
     def note_leadership(self, at: float) -> None:
-        """This copy surely led at ``at``: a quorum had answered it since then."""
+        """Record that this copy certainly led at ``at``, confirmed by a quorum."""
         self.current_at = max(self.current_at, at)
 
     def age_ms(self, now: float) -> float:
-        """Ms since then."""
+        """Milliseconds since this copy last knew everything committed."""
         return now - self.current_at
 
     def is_stale(self, now: float) -> bool:
-        """Is what is known here too old to speak of what is in force?"""
+        """Whether that is longer ago than MAX_STALENESS_MS."""
         return self.age_ms(now) > MAX_STALENESS_MS
 
 
-def quorum_contact_time(heard: list[float], quorum: int) -> float:
-    """Since when a quorum has surely been in touch: the ``quorum``-th latest of the times they were heard."""
-    return sorted(heard, reverse=True)[quorum - 1] if 0 < quorum <= len(heard) else LONG_AGO_MS
+def quorum_contact_time(contacts: list[float], quorum: int) -> float:
+    """Return the ``quorum``-th latest of the last contact times; LONG_AGO_MS if there are too few."""
+    return sorted(contacts, reverse=True)[quorum - 1] if 0 < quorum <= len(contacts) else LONG_AGO_MS
--- a/brassweir/configstream/validation.py
+++ b/brassweir/configstream/validation.py
@@ -1,7 +1,7 @@
-"""Whether a change of the configuration may be made. Pure: proposers and machines ask the same, alike.
+"""Validates changes of the configuration, with the same rules for proposers and for state machines. Pure.
 
-What would harm most if it slipped through needs an operator's word, with the exact numbers: owners left with
-no endpoint, and many endpoints removed at once.
+The most harmful changes, which leave owners without an endpoint or remove many endpoints at once, need an
+operator's confirmation with the exact numbers.
 """
 
 from __future__ import annotations
@@ -14,45 +14,45 @@
 from brassweir.configstream.delta import MAX_ENTRIES, Delta, DeltaError, unpack
 from brassweir.configstream.entries import EntryError, printable, validate
 
-MAX_REMOVED_FRACTION = 0.1  # of all entries, by one change without an operator's word
-MAX_ENTRIES_BYTES = 32 << 20  # bytes of a catalog's entries before compression
+MAX_REMOVED_FRACTION = 0.1  # of all entries, by one change without confirmation
+MAX_ENTRIES_BYTES = 32 << 20  # of a catalog, before compression
 
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 30)]
 
 
 class Confirmation(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The numbers that an operator states, so that what they name may pass."""
+    """The exact numbers that an operator confirms."""
 
     removed: _Count = 0  # endpoints
-    destinations: _Count = 0  # owners left with no endpoint
+    destinations: _Count = 0  # owners left without an endpoint
 
 
 UNCONFIRMED = Confirmation()
 
 
 class InvalidChange(ValueError):
-    """A change that must not be made: which field stands against it, and why; the endpoint if it is one's."""
+    """A change that is not allowed: the field at fault, the reason, and the endpoint if it concerns one."""
 
-    def __init__(self, field: str, why: str, endpoint: str = "") -> None:
-        super().__init__(f"{field}: {why}")
-        self.field, self.reason, self.endpoint = field, why, endpoint
+    def __init__(self, field: str, reason: str, endpoint: str = "") -> None:
+        super().__init__(f"{field}: {reason}")
+        self.field, self.reason, self.endpoint = field, reason, endpoint
 
 
 def apply_delta(catalog: Catalog, delta: Delta, confirmation: Confirmation = UNCONFIRMED) -> Catalog:
-    """The next catalog. Raises CheckError; the one that is there is never changed."""
+    """Validate a delta and return the next catalog. Raises InvalidChange."""
     check_entries(delta)
     try:
-        made = catalog.apply(delta.changed, delta.removed)
+        update = catalog.apply(delta.changed, delta.removed)
     except UnknownEntry as error:
         raise InvalidChange(
             "name", f"endpoint {printable(error.args[0])} is not there to be removed"
         ) from None
-    check_limits(made, catalog.size, confirmation)
-    return made.catalog
+    check_limits(update, catalog.size, confirmation)
+    return update.catalog
 
 
 def check_entries(delta: Delta) -> None:
-    """Each name once, each entry acceptable by itself. Raises CheckError."""
+    """Check that each name occurs once and each entry is valid. Raises InvalidChange."""
     _check_names(delta)
     for entry in delta.changed:
         try:
@@ -61,15 +61,15 @@
             raise InvalidChange("entry", str(error), entry.name) from None
 
 
-def check_limits(made: CatalogUpdate, size: int, confirmation: Confirmation) -> None:
-    """What a change of a catalog of that size adds up to. Raises CheckError."""
-    _check_size(made.catalog)
-    _check_removed(made.removed, size, confirmation)
-    _check_unserved(made.unserved, confirmation)
+def check_limits(update: CatalogUpdate, size: int, confirmation: Confirmation) -> None:
+    """Check the limits on the result of a change to a catalog of ``size`` entries. Raises InvalidChange."""
+    _check_size(update.catalog)
+    _check_removed(update.removed, size, confirmation)
+    _check_unserved(update.unserved, confirmation)
 
 
 def apply_packed_delta(catalog: Catalog, body: bytes, confirmation: Confirmation = UNCONFIRMED) -> Catalog:
-    """The same of a packed delta. Raises CheckError."""
+    """Unpack and validate a delta and return the next catalog. Raises InvalidChange."""
     try:
         delta = unpack(body)
     except EntryError as error:
