--- a/tests/configstream/ackworld.py
+++ b/tests/configstream/ackworld.py
@@ -1,4 +1,4 @@
-"""A simulated fleet whose copies tell which version is in force at them, and what must hold of the counts."""
+"""A simulated fleet whose copies acknowledge versions, with invariants of the leader's counts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from brassweir.lab.models.logworld import Weather, World
 from brassweir.lab.models.toys import Pile
 
-MODULE = 40.0  # ms until a copy's decision module has been told of a version
+MODULE = 40.0  # ms until a copy's decision module has a version in force
 LEAVE = b"leave "
 
 
@@ -23,13 +23,13 @@
 
 
 def listed(name: str) -> Listed:
-    """Ten sites in three regions; the voters each in another region."""
+    """Place a copy in one of ten sites and three regions; each voter in another region."""
     site = int(name[1:]) % 10
     return Listed(f"s{site}", f"r{site % 3}")
 
 
 class PileCore(ConfiguredCore):
-    """The version is the number of commands; all names but those that left are members."""
+    """Uses the number of applied commands as version; all names that did not leave are members."""
 
     @property
     def pile(self) -> list[bytes]:
@@ -53,12 +53,12 @@
 
 
 class AckWorld(World):
-    """Copies with modules that lag; ``look`` compares the leader's counts with what the modules were told."""
+    """Copies whose modules lag; ``look`` compares the leader's counts with the modules' versions."""
 
     def __init__(self, seed: int, voters: int = 3, learners: int = 0, weather: Weather | None = None) -> None:
-        self.due: dict[str, tuple[int, int]] = {}  # what a module is being told: run, version
-        self.told: dict[str, list[tuple[float, int]]] = {}  # when each module was told what, over restarts
-        self.largest = 0  # bytes of an acknowledgement
+        self.due: dict[str, tuple[int, int]] = {}  # process start and version that a module is being given
+        self.told: dict[str, list[tuple[float, int]]] = {}  # when each module got which version
+        self.largest = 0  # bytes of the largest acknowledgement
         self.acknowledged: dict[str, int] = {}  # messages by receiver
         super().__init__(seed, voters, learners, weather, PileCore)
 
@@ -100,7 +100,7 @@
         return core
 
     def look(self, expiry: float = timing.CHILD_EXPIRY_MS) -> None:
-        """Whoever leads counts no copy for a version that it has not had within the expiry, and none twice."""
+        """Check that the leader counts each copy once, and for no version that it lost before ``expiry``."""
         leader = self.leader()
         if leader is None:
             return
@@ -116,7 +116,7 @@
             assert not lost or min(lost) >= self.now - expiry, f"{name} lost {view.newest} at {min(lost)}"
 
     def watch(self, span: float, every: float = 100.0, expiry: float = timing.CHILD_EXPIRY_MS) -> None:
-        """Let time pass and look."""
+        """Run for ``span`` ms, checking every ``every`` ms."""
         end = self.now + span
         while self.now < end:
             self.run(min(end, self.now + every))
--- a/tests/configstream/samples.py
+++ b/tests/configstream/samples.py
@@ -1,4 +1,4 @@
-"""Entries, and a machine at level 2 that applies one command after the other."""
+"""Sample entries, changes and transfers, and a state machine at log level 2."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
     return made
 
 
-def do(machine: ConfiguredMachine, command: AnyCommand | bytes) -> Result:
+def apply(machine: ConfiguredMachine, command: AnyCommand | bytes) -> Result:
     data = command if isinstance(command, bytes) else commands.encode(command)
     return agreed.decode_result(machine.apply(machine.state.index + 1, data))
 
 
 def change(machine: ConfiguredMachine, made: Delta, confirmation: Confirmation = UNCONFIRMED) -> Change:
-    """As an honest proposer makes it, but unchecked."""
+    """The Change command that a correct proposer makes, without validation."""
     there = machine.configuration
     digest = there.catalog.apply(made.changed, made.removed).catalog.digest()
     return Change(there.version, delta.pack(made), digest, "a", confirmation)
@@ -46,7 +46,7 @@
 def transfer(
     machine: ConfiguredMachine, made: Delta, parts: int, name: str = "t"
 ) -> tuple[list[Stage], Commit]:
-    """The same in so many pieces."""
+    """The same change as a transfer of ``parts`` chunks."""
     one = change(machine, made)
     size = -(-len(one.body) // parts)
     stages = [Stage(name, part, one.body[part * size : (part + 1) * size]) for part in range(parts)]
--- a/tests/configstream/test_catalog.py
+++ b/tests/configstream/test_catalog.py
@@ -1,4 +1,4 @@
-"""Entries and their rules, catalogs and the differences between them, and their bounded bytes."""
+"""Entries and their validation, catalogs, deltas between them, and size limits."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(("field", "change"), BAD)
-def test_an_entry_that_cannot_be_accepted_is_named_with_its_field(field: str, change: dict[str, str]) -> None:
+def test_an_invalid_entry_is_reported_with_its_field(field: str, change: dict[str, str]) -> None:
     bad = msgspec.structs.replace(GOOD, **change)
     with pytest.raises(EntryError) as caught:
         validate(bad)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("url", ["http://[::1]:80/x", "https://h", "forward://h:9", "http://a.b-c_d:/?q"])
-def test_good_entries_pass(url: str) -> None:
+def test_valid_urls_are_accepted(url: str) -> None:
     validate(msgspec.structs.replace(GOOD, url=url))
 
 
@@ -64,13 +64,13 @@
         ({"name": "e"}, "endpoint ?: name: not an entry's list of fields"),
     ],
 )
-def test_an_entry_of_another_form_is_named_with_its_field(row: object, words: str) -> None:
+def test_an_undecodable_entry_is_reported_with_its_field(row: object, words: str) -> None:
     data = zlib.compress(msgspec.msgpack.encode([[msgspec.structs.astuple(GOOD), row], []]))
     with pytest.raises(EntryError, match=f"^{words.replace('?', '[?]')}$"):
         delta.unpack(data)
 
 
-def test_compressed_bytes_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decompressed_and_total_sizes_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(delta, "MAX_UNPACKED_BYTES", 10_000)
     for bomb in (b"\0" * 10_001, b"\0" * 5_000_000):
         with pytest.raises(DeltaError, match="more than 10000 bytes when decompressed"):
@@ -88,39 +88,41 @@
 
 
 def test_an_endpoint_that_is_gone_counts_as_removed() -> None:
-    there = apply_delta(EMPTY, Delta((*entries(40), entry(40, owner="d1"), entry(41, state="gone"))))
-    assert there.size == 42 and there.owner_counts["d1"] == 2 and "d41" not in there.owner_counts
-    assert apply_delta(there, Delta((entry(1, state="gone"),))).owner_counts["d1"] == 1
-    assert apply_delta(there, Delta((), ("e41",))).size == 41, "it was gone before"
+    current = apply_delta(EMPTY, Delta((*entries(40), entry(40, owner="d1"), entry(41, state="gone"))))
+    assert current.size == 42 and current.owner_counts["d1"] == 2 and "d41" not in current.owner_counts
+    assert apply_delta(current, Delta((entry(1, state="gone"),))).owner_counts["d1"] == 1
+    assert apply_delta(current, Delta((), ("e41",))).size == 41, (
+        "an entry that was gone does not count as removed"
+    )
     for lost in (Delta((entry(2, state="gone"),)), Delta((entry(2, owner="d3"),))):
         with pytest.raises(InvalidChange, match="1 would be left with no endpoint, and 0 are confirmed: d2"):
-            apply_delta(there, lost)
+            apply_delta(current, lost)
     with pytest.raises(InvalidChange, match="5 of 42 endpoints would be removed at once"):
-        apply_delta(there, Delta(tuple(entry(n, state="gone") for n in range(5)), ()), Confirmation(4, 5))
-    assert len(apply_delta(there, Delta((entry(2, owner="d3"),)), Confirmation(0, 1)).owner_counts) == 39
+        apply_delta(current, Delta(tuple(entry(n, state="gone") for n in range(5)), ()), Confirmation(4, 5))
+    assert len(apply_delta(current, Delta((entry(2, owner="d3"),)), Confirmation(0, 1)).owner_counts) == 39
 
 
-def test_what_is_alike_is_shared_and_what_is_damaged_refused() -> None:
-    there = catalog(2_000)
-    after = apply_delta(there, Delta((entry(7, 1.0),)))
-    assert sum(one is not other for one, other in zip(there._entries, after._entries, strict=True)) == 1
-    assert there._owners == after._owners and len(list(there.differing_buckets(after))) == 1
+def test_unchanged_buckets_are_shared_and_damaged_ones_rejected() -> None:
+    current = catalog(2_000)
+    after = apply_delta(current, Delta((entry(7, 1.0),)))
+    assert sum(one is not other for one, other in zip(current._entries, after._entries, strict=True)) == 1
+    assert current._owners == after._owners and len(list(current.differing_buckets(after))) == 1
     data = after.pack()
-    assert Catalog.unpack(data).digest() == after.digest() != there.digest()
+    assert Catalog.unpack(data).digest() == after.digest() != current.digest()
     packed = after._entries[buckets.bucket_index("e7")].packed
     for bad in (b"", data[:-1], data.replace(packed, packed[::-1])):
         with pytest.raises(CatalogError):
             Catalog.unpack(bad)
 
 
-def test_the_digest_is_over_plain_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    here = catalog(50)
+def test_the_digest_does_not_depend_on_compression(monkeypatch: pytest.MonkeyPatch) -> None:
+    first = catalog(50)
     monkeypatch.setattr(buckets, "COMPRESSION_LEVEL", 9)
-    there = catalog(50)
-    assert here.pack() != there.pack() and here.digest() == there.digest()
+    second = catalog(50)
+    assert first.pack() != second.pack() and first.digest() == second.digest()
 
 
-def test_a_name_that_stands_twice_in_a_list() -> None:
+def test_a_duplicate_name_in_a_list_is_rejected() -> None:
     with pytest.raises(DeltaError, match="endpoint e1 stands more than once"):
         delta.diff_entries(EMPTY, [entry(1), entry(2), entry(1)])
 
@@ -133,28 +135,32 @@
 
 @given(st.lists(lists, max_size=3))
 @settings(max_examples=100, deadline=None)
-def test_differences_lead_from_any_list_to_any_other(drawn: list[list[Entry]]) -> None:
-    there, deltas = EMPTY, []
+def test_deltas_lead_from_any_list_to_any_other(drawn: list[list[Entry]]) -> None:
+    current, deltas = EMPTY, []
     for wanted in drawn:
-        made = delta.diff_entries(there, wanted)
-        after = there.apply(made.changed, made.removed).catalog
-        anew = EMPTY.apply(wanted, ()).catalog
-        assert after.digest() == anew.digest() and after.size == len(wanted) and after.pack() == anew.pack()
+        computed = delta.diff_entries(current, wanted)
+        after = current.apply(computed.changed, computed.removed).catalog
+        rebuilt = EMPTY.apply(wanted, ()).catalog
+        assert (
+            after.digest() == rebuilt.digest()
+            and after.size == len(wanted)
+            and after.pack() == rebuilt.pack()
+        )
         assert dict(after.owner_counts) == Counter(one.owner for one in wanted if one.usable)
         assert not delta.diff_entries(after, wanted) and set(after.entries()) == set(wanted)
-        between = delta.diff_catalogs(there, after)
-        assert set(between.changed) == set(made.changed) and set(between.removed) == set(made.removed)
-        assert delta.unpack(delta.pack(made)) == made
-        there = after
-        deltas.append(made)
+        between = delta.diff_catalogs(current, after)
+        assert set(between.changed) == set(computed.changed) and set(between.removed) == set(computed.removed)
+        assert delta.unpack(delta.pack(computed)) == computed
+        current = after
+        deltas.append(computed)
     merged = delta.merge(deltas)
-    assert {one.name for one in merged.changed} >= {one.name for one in there.entries()}
-    assert EMPTY.apply(merged.changed, ()).catalog.digest() == there.digest()
+    assert {one.name for one in merged.changed} >= {one.name for one in current.entries()}
+    assert EMPTY.apply(merged.changed, ()).catalog.digest() == current.digest()
 
 
 @given(st.binary(max_size=200))
 @settings(max_examples=200, deadline=None)
-def test_no_bytes_are_more_than_refused(noise: bytes) -> None:
+def test_arbitrary_bytes_are_rejected_with_an_error(noise: bytes) -> None:
     for body in (
         noise,
         zlib.compress(noise),
--- a/tests/configstream/test_nearness.py
+++ b/tests/configstream/test_feeder_distance.py
@@ -1,4 +1,4 @@
-"""Learners are fed by copies of their own site, then region, as far as there is room; the tree stays bounded."""
+"""Learners prefer feeders of their own site, then region, within the limit of children per feeder."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("seed, stopped", [(2, True), (3, False), (7, False)])
-def test_after_the_leader_went_all_hear_of_the_next_one_soon(seed: int, stopped: bool) -> None:
+def test_after_a_leader_failure_all_copies_receive_from_the_next_one(seed: int, stopped: bool) -> None:
     world = AckWorld(seed, 3, 97)
     world.run(12_000.0)
     old = str(world.leader())
--- a/tests/configstream/test_guards.py
+++ b/tests/configstream/test_guards.py
@@ -1,4 +1,4 @@
-"""Properties of versions that are seen to break when the guard that keeps each is taken out."""
+"""Each property of versions breaks when its guard is removed, so the checks of these properties are effective."""
 
 from __future__ import annotations
 
@@ -15,51 +15,51 @@
 from brassweir.configstream.delta import Delta
 from brassweir.configstream.machine import ConfiguredMachine
 from brassweir.configstream.validation import Confirmation
-from tests.configstream.samples import change, do, entries, entry, level_2, transfer
+from tests.configstream.samples import apply, change, entries, entry, level_2, transfer
 
 Property = Callable[[ConfiguredMachine], bool]
 
 
-def begun(made: ConfiguredMachine) -> ConfiguredMachine:
-    level_2(made)
-    assert do(made, change(made, Delta(tuple(entries(40))))).ok
-    return made
+def with_entries(machine: ConfiguredMachine) -> ConfiguredMachine:
+    level_2(machine)
+    assert apply(machine, change(machine, Delta(tuple(entries(40))))).ok
+    return machine
 
 
-def nothing_is_overwritten(made: ConfiguredMachine) -> bool:
-    """Two operators change one entry from one version: what was in force first is not lost unseen."""
-    first, second = (change(made, Delta((entry(1, rate),))) for rate in (1.0, 2.0))
-    do(made, first)
-    do(made, second)
-    return made.configuration.catalog.get("e1") == entry(1, 1.0)
+def no_update_is_lost(machine: ConfiguredMachine) -> bool:
+    """Two changes of one entry from one version: the second does not overwrite the first."""
+    first, second = (change(machine, Delta((entry(1, rate),))) for rate in (1.0, 2.0))
+    apply(machine, first)
+    apply(machine, second)
+    return machine.configuration.catalog.get("e1") == entry(1, 1.0)
 
 
-def nothing_is_half(made: ConfiguredMachine) -> bool:
-    """Whenever one looks, the whole of one version is there."""
+def versions_are_atomic(machine: ConfiguredMachine) -> bool:
+    """After each command one complete version is in force."""
     wanted = Delta(tuple(entries(40, 1.0)))
-    stages, commit = transfer(made, wanted, 3)
-    whole = {made.configuration.catalog.digest(), commit.digest}
+    stages, commit = transfer(machine, wanted, 3)
+    expected = {machine.configuration.catalog.digest(), commit.digest}
     seen = set()
     log: list[AnyCommand] = [*stages[:2], commit, stages[2], commit]
     for command in log:
-        do(made, command)
-        seen.add(made.configuration.catalog.digest())
-    return seen == whole
+        apply(machine, command)
+        seen.add(machine.configuration.catalog.digest())
+    return seen == expected
 
 
-def no_owner_is_left_out(made: ConfiguredMachine) -> bool:
-    """A list that forgot a destination does not come in force."""
-    do(made, change(made, Delta((), ("e1",))))
-    return "d1" in made.configuration.catalog.owner_counts
+def owners_keep_an_endpoint(machine: ConfiguredMachine) -> bool:
+    """A change that leaves a destination without endpoints is rejected."""
+    apply(machine, change(machine, Delta((), ("e1",))))
+    return "d1" in machine.configuration.catalog.owner_counts
 
 
-def all_copies_have_what_was_meant(made: ConfiguredMachine) -> bool:
-    """A proposer that took another catalog for the version that is there changes nothing."""
-    elsewhere = begun(ConfiguredMachine())
-    do(elsewhere, change(elsewhere, Delta((entry(2, 9.0),))))
-    meant = change(elsewhere, Delta((entry(1, 1.0),)))
-    do(made, msgspec.structs.replace(meant, after=made.configuration.version))
-    return made.configuration.catalog.get("e1") == entry(1)
+def the_proposers_catalog_results(machine: ConfiguredMachine) -> bool:
+    """A change made from another catalog with the same version number is rejected."""
+    elsewhere = with_entries(ConfiguredMachine())
+    apply(elsewhere, change(elsewhere, Delta((entry(2, 9.0),))))
+    intended = change(elsewhere, Delta((entry(1, 1.0),)))
+    apply(machine, msgspec.structs.replace(intended, after=machine.configuration.version))
+    return machine.configuration.catalog.get("e1") == entry(1)
 
 
 class NoVersionCheck(ConfiguredMachine):
@@ -78,27 +78,29 @@
         return super()._apply_change(index, given, body)
 
 
-class NoCheck(CatalogSource):
+class NoValidation(CatalogSource):
     def next_catalog(self, catalog: Catalog, body: bytes, confirmation: Confirmation) -> Catalog:
-        made = delta.unpack(body)
-        return catalog.apply(made.changed, made.removed).catalog
+        unpacked = delta.unpack(body)
+        return catalog.apply(unpacked.changed, unpacked.removed).catalog
 
 
 class NoDigest(ConfiguredMachine):
     def _apply_change(self, index: int, given: Commit | Change, body: bytes) -> Result:
-        made = self.catalog_source.next_catalog(self.configuration.catalog, body, given.confirmation)
-        return super()._apply_change(index, msgspec.structs.replace(given, digest=made.digest()), body)
+        catalog = self.catalog_source.next_catalog(self.configuration.catalog, body, given.confirmation)
+        return super()._apply_change(index, msgspec.structs.replace(given, digest=catalog.digest()), body)
 
 
 @pytest.mark.parametrize(
     ("holds", "broken"),
     [
-        (nothing_is_overwritten, NoVersionCheck),
-        (nothing_is_half, NoAtomicSwitch),
-        (no_owner_is_left_out, lambda: ConfiguredMachine(NoCheck())),
-        (all_copies_have_what_was_meant, NoDigest),
+        (no_update_is_lost, NoVersionCheck),
+        (versions_are_atomic, NoAtomicSwitch),
+        (owners_keep_an_endpoint, lambda: ConfiguredMachine(NoValidation())),
+        (the_proposers_catalog_results, NoDigest),
     ],
 )
-def test_a_guard_that_is_taken_out_is_seen(holds: Property, broken: Callable[[], ConfiguredMachine]) -> None:
-    assert holds(begun(ConfiguredMachine()))
-    assert not holds(begun(broken()))
+def test_removing_a_guard_breaks_its_property(
+    holds: Property, broken: Callable[[], ConfiguredMachine]
+) -> None:
+    assert holds(with_entries(ConfiguredMachine()))
+    assert not holds(with_entries(broken()))
