--- a/brassweir/configstream/core.py
+++ b/brassweir/configstream/core.py
@@ -105,7 +105,7 @@
         return self.staleness.age_ms(self.now if now is None else now)
 
     def exceeds_max_staleness(self, now: float | None = None) -> bool:
-        """Whether that is longer ago than MAX_STALENESS_MS."""
+        """Whether this copy has not known everything committed for over MAX_STALENESS_MS."""
         return self.staleness.is_stale(self.now if now is None else now)
 
     # Overrides of the core
--- a/brassweir/configstream/staleness.py
+++ b/brassweir/configstream/staleness.py
@@ -24,7 +24,7 @@
         self._trusted_from = now + STALL_DISTRUST_MS
 
     def note_commit(self, commit_index: int, at: float, now: float) -> None:
-        """Record that a leader's commit index was ``commit_index`` at ``at``."""
+        """Record a leader's commit index at time ``at``; ignored soon after a stall or while one is pending."""
         if now >= self._trusted_from and self._pending is None:
             self._pending = (commit_index, at)
 
@@ -43,7 +43,7 @@
         return now - self.current_at
 
     def is_stale(self, now: float) -> bool:
-        """Whether that is longer ago than MAX_STALENESS_MS."""
+        """Whether this copy has not known everything committed for over MAX_STALENESS_MS."""
         return self.age_ms(now) > MAX_STALENESS_MS
 
 
