--- a/brassweir/configstream/staleness.py
+++ b/brassweir/configstream/staleness.py
@@ -24,7 +24,7 @@
         self._trusted_from = now + STALL_DISTRUST_MS
 
     def note_commit(self, commit_index: int, at: float, now: float) -> None:
-        """Record a leader's commit index at time ``at``; ignored soon after a stall or while one is pending."""
+        """Record a leader's commit index at ``at``; ignored soon after a stall or while one is pending."""
         if now >= self._trusted_from and self._pending is None:
             self._pending = (commit_index, at)
 
