--- a/tests/lab/models/configmade.py
+++ b/tests/lab/models/configmade.py
@@ -115,7 +115,7 @@
 class Compacting(ConfiguredCore):
     """Takes a snapshot at every sixth entry, and keeps three behind it."""
 
-    snap_every, keep = 6, 3
+    snapshot_every, entries_kept = 6, 3
 
 
 class NoSnapshots(Compacting):
