--- a/brassweir/importers/__init__.py
+++ b/brassweir/importers/__init__.py
@@ -1,1 +1,1 @@
-"""Readers of other programs' files, and what their facts mean here."""
+"""Converts other programs' configuration files into endpoint lists."""
--- a/brassweir/importers/apache/__init__.py
+++ b/brassweir/importers/apache/__init__.py
@@ -1,1 +1,1 @@
-"""Apache httpd balancers and mod_jk workers: 160 endpoints without copying by hand."""
+"""Converts Apache httpd balancers and mod_jk workers into endpoint lists."""
--- a/brassweir/importers/apache/jk.py
+++ b/brassweir/importers/apache/jk.py
@@ -1,7 +1,7 @@
 """Reads mod_jk's workers.properties: lb workers and their members, through references and macros.
 
-Syntax: Apache Tomcat Connectors, "workers.properties configuration". A key may stand several times only
-where it holds a list; ``worker.NAME.reference=worker.OTHER`` takes what NAME does not say itself;
+Syntax: Apache Tomcat Connectors, "workers.properties configuration". A key may be repeated only
+if it holds a list; ``worker.NAME.reference=worker.OTHER`` supplies the settings that NAME lacks;
 ``$(NAME)`` is a macro.
 """
 
@@ -12,14 +12,14 @@
 
 from brassweir.importers.apache.places import Complaint, Place
 
-LISTS = frozenset({"balance_workers", "balanced_workers", "mount"})
+LIST_KEYS = frozenset({"balance_workers", "balanced_workers", "mount"})
 ALIASES = {"balanced_workers": "balance_workers", "sticky_session_force": "sticky_session_force"}
-DEEPEST = 20
+MAX_NESTING = 20
 
 
 @dataclass(slots=True)
 class Worker:
-    """What was said of one worker: each value with its place."""
+    """The settings of one worker, each value with its position."""
 
     name: str
     values: dict[str, tuple[str, Place]] = field(default_factory=dict)
@@ -27,19 +27,19 @@
 
 @dataclass(slots=True)
 class Workers:
-    """A whole file."""
+    """The content of a workers file, and the problems found in it."""
 
     listed: list[str] = field(default_factory=list)
     workers: dict[str, Worker] = field(default_factory=dict)
     complaints: list[Complaint] = field(default_factory=list)
 
     def get(self, name: str, key: str, default: str = "") -> str:
-        """A worker's value, its own or that of what it refers to."""
+        """Return a setting of a worker or, if it lacks the key, of the workers it references."""
         found = self.find(name, key)
         return found[0] if found is not None else default
 
     def find(self, name: str, key: str) -> tuple[str, Place] | None:
-        """The same with its place."""
+        """Like ``get``, with the position; None if no worker in the chain has the key."""
         seen: list[str] = []
         while name in self.workers and name not in seen:
             worker = self.workers[name]
@@ -54,19 +54,19 @@
 
 
 def read(name: str, text: str) -> Workers:
-    """Read a file. What cannot be read is complained of and passed over."""
-    made, macros = Workers(), dict[str, str]()
-    for number, line in _logical(text):
+    """Parse a workers file; unreadable lines are skipped and reported in ``complaints``."""
+    result, macros = Workers(), dict[str, str]()
+    for number, line in _logical_lines(text):
         place = Place(name, number)
         key, equals, value = line.partition("=")
         key, value = key.strip(), value.strip()
         if not equals or not key:
-            made.complaints.append(Complaint(place, f"no key=value: {line[:60]!r}"))
+            result.complaints.append(Complaint(place, f"no key=value: {line[:60]!r}"))
             continue
 
         def macro(found: re.Match[str], place: Place = place) -> str:
             if found[1] not in macros:
-                made.complaints.append(Complaint(place, f"no macro $({found[1]})"))
+                result.complaints.append(Complaint(place, f"no macro $({found[1]})"))
                 return found[0]
             return macros[found[1]]
 
@@ -74,59 +74,59 @@
         if not key.startswith("worker."):
             macros[key] = value
         elif key == "worker.list":
-            made.listed += [one for one in re.split(r"[,\s]+", value) if one]
+            result.listed += [item for item in re.split(r"[,\s]+", value) if item]
         else:
-            _set(made, key, value, place)
-    _references(made, name)
-    return made
+            _set(result, key, value, place)
+    _check_references(result, name)
+    return result
 
 
-def _set(made: Workers, key: str, value: str, place: Place) -> None:
+def _set(result: Workers, key: str, value: str, place: Place) -> None:
     parts = key.split(".")
     if len(parts) < 3:
-        made.complaints.append(Complaint(place, f"{key}: no such setting"))
+        result.complaints.append(Complaint(place, f"{key}: no such setting"))
         return
-    worker = made.workers.setdefault(parts[1], Worker(parts[1]))
-    what = ALIASES.get(".".join(parts[2:]), ".".join(parts[2:]))
-    before = worker.values.get(what)
-    if before is not None and what in LISTS:
+    worker = result.workers.setdefault(parts[1], Worker(parts[1]))
+    setting = ALIASES.get(".".join(parts[2:]), ".".join(parts[2:]))
+    before = worker.values.get(setting)
+    if before is not None and setting in LIST_KEYS:
         value = f"{before[0]},{value}"
     elif before is not None and before[0] != value:
-        made.complaints.append(
+        result.complaints.append(
             Complaint(place, f"{key} was {before[0]!r} on line {before[1].line}: the last holds")
         )
-    worker.values[what] = value, place
+    worker.values[setting] = value, place
 
 
-def _references(made: Workers, name: str) -> None:
-    for worker in made.workers.values():
-        seen, at = [worker.name], worker
-        while "reference" in at.values:
-            other, place = at.values["reference"]
-            other = other.removeprefix("worker.")
-            if other in seen:
-                made.complaints.append(
+def _check_references(result: Workers, name: str) -> None:
+    for worker in result.workers.values():
+        seen, current = [worker.name], worker
+        while "reference" in current.values:
+            target, place = current.values["reference"]
+            target = target.removeprefix("worker.")
+            if target in seen:
+                result.complaints.append(
                     Complaint(place, f"worker {worker.name}: its references go in a circle")
                 )
                 break
-            if other not in made.workers:
-                made.complaints.append(
-                    Complaint(place, f"worker {worker.name}: refers to {other}, which is none")
+            if target not in result.workers:
+                result.complaints.append(
+                    Complaint(place, f"worker {worker.name}: refers to {target}, which is none")
                 )
                 break
-            seen.append(other)
-            at = made.workers[other]
+            seen.append(target)
+            current = result.workers[target]
 
 
-def _logical(text: str) -> list[tuple[int, str]]:
-    out, held, start = list[tuple[int, str]](), "", 0
+def _logical_lines(text: str) -> list[tuple[int, str]]:
+    out, continued, start = list[tuple[int, str]](), "", 0
     for number, line in enumerate(text.splitlines(), 1):
-        if not held:
+        if not continued:
             start = number
         if line.endswith("\\"):
-            held += line[:-1]
+            continued += line[:-1]
             continue
-        whole, held = (held + line).strip(), ""
-        if whole and not whole.startswith(("#", "!")):
-            out.append((start, whole))
+        logical, continued = (continued + line).strip(), ""
+        if logical and not logical.startswith(("#", "!")):
+            out.append((start, logical))
     return out
--- a/brassweir/importers/apache/places.py
+++ b/brassweir/importers/apache/places.py
@@ -1,4 +1,4 @@
-"""Where in the source a fact stands, and what could not be read or carried over."""
+"""Positions in source files, and problems found there."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Place:
-    """A line of a file; ``via`` says through which macro or include it came there."""
+    """A position in a file; ``via`` names the macro use that produced the line, or is empty."""
 
     file: str
     line: int
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Complaint:
-    """Something that the result does not hold. ``lost`` says that traffic would differ because of it."""
+    """Something that was not read or converted; ``lost`` if traffic would differ because of it."""
 
     place: Place
     what: str
--- a/tests/importers/test_apache.py
+++ b/tests/importers/test_apache.py
@@ -1,4 +1,4 @@
-"""httpd balancers and mod_jk workers: what becomes an endpoint, and every complaint at its place."""
+"""Conversion of httpd balancers and mod_jk workers into endpoints, and the position of every problem."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 """
 
 
-def httpd_of(text: str, files: dict[str, str] | None = None, defined: set[str] | None = None) -> Meaning:
+def convert_httpd(text: str, files: dict[str, str] | None = None, defined: set[str] | None = None) -> Meaning:
     reader = httpd.Reader(
         lambda pattern, _: (
             sorted((files or {}).items())
@@ -80,48 +80,51 @@
         ),
         defined or set(),
     )
-    made = meaning.of_httpd(reader.read("httpd.conf", text))
-    made.complaints = reader.complaints + made.complaints
-    return made
+    result = meaning.of_httpd(reader.read("httpd.conf", text))
+    result.complaints = reader.complaints + result.complaints
+    return result
 
 
-def said(made: Meaning) -> list[str]:
-    return [str(one) for one in made.complaints]
+def problem_texts(result: Meaning) -> list[str]:
+    return [str(complaint) for complaint in result.complaints]
 
 
 def test_members_through_macros_definitions_and_continuations() -> None:
     text = MAIN.replace("Use member $H n1 8080", "Use member n1 8080")
-    made = httpd_of(text)
-    assert [(one.balancer, one.url, one.route, one.state, one.weight) for one in made.members] == [
+    result = convert_httpd(text)
+    assert [
+        (member.balancer, member.url, member.route, member.state, member.weight) for member in result.members
+    ] == [
         ("north", "http://n1:8080/in", "n1", "ready", 1.0),
         ("north", "http://n2:8080/in", "n2", "ready", 2.0),
         ("north", "http://n3:8080/in", "", "gone", 1.0),
     ]
-    assert not made.members[1].standby, "+H-H is set and cleared again"
+    assert not result.members[1].standby, "+H-H is set and cleared again"
     assert (
-        made.members[0].place.line == 10 and made.members[0].place.via == "macro member used at httpd.conf:13"
+        result.members[0].place.line == 10
+        and result.members[0].place.via == "macro member used at httpd.conf:13"
     )
-    assert made.members[1].place.line == 14
-    words = said(made)
-    assert any(one.startswith("httpd.conf:7:1: no file 'none.conf'") for one in words)
-    assert any("weights differ (1, 2)" in one for one in words) and any(
-        "stickysession=ID is not carried" in one for one in words
+    assert result.members[1].place.line == 14
+    problems = problem_texts(result)
+    assert any(problem.startswith("httpd.conf:7:1: no file 'none.conf'") for problem in problems)
+    assert any("weights differ (1, 2)" in problem for problem in problems) and any(
+        "stickysession=ID is not carried" in problem for problem in problems
     )
-    assert [one.lost for one in made.complaints if "lbmethod" in one.what] == [False]
+    assert [complaint.lost for complaint in result.complaints if "lbmethod" in complaint.what] == [False]
 
 
-def test_includes_scopes_case_and_what_is_told() -> None:
-    made = httpd_of(MAIN, {"conf.d/a.conf": INCLUDED}, {"EDGE"})
-    south = [one for one in made.members if one.balancer == "south"]
-    assert [(one.url, one.state, one.tier) for one in south] == [
+def test_includes_scopes_case_and_reported_problems() -> None:
+    result = convert_httpd(MAIN, {"conf.d/a.conf": INCLUDED}, {"EDGE"})
+    south = [member for member in result.members if member.balancer == "south"]
+    assert [(member.url, member.state, member.tier) for member in south] == [
         ("http://s1/", "draining", 0),
         ("http://s2", "ready", 1),
         ("ajp://s3:8009", "ready", 0),
     ]
-    entries = {str(one["name"]): one for one in meaning.entries(made, "agency")}
+    entries = {str(entry["name"]): entry for entry in meaning.entries(result, "agency")}
     assert entries["south-2"]["state"] == "draining" and entries["south-2"]["url"] == "http://s2/"
     assert "south-3" not in entries, "ajp is not carried"
-    words = said(made)
+    problems = problem_texts(result)
     for expected in (
         "conf.d/a.conf:4:1: http://S1 stands twice in south: also at conf.d/a.conf:3",
         "retry=5 is not carried",
@@ -131,14 +134,14 @@
         "only http is carried, and this is ajp",
         "macro member has 2 arguments, 3 are given",
     ):
-        assert any(expected in one for one in words), (expected, words)
-    assert "x" not in " ".join(one for one in words if "secret" in one).replace("secret", ""), (
-        "secrets are not repeated"
-    )
+        assert any(expected in problem for problem in problems), (expected, problems)
+    assert "x" not in " ".join(problem for problem in problems if "secret" in problem).replace(
+        "secret", ""
+    ), "secrets are not repeated"
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected"),
     [
         ("<Proxy balancer://a>\n", "is never closed"),
         ("</Proxy>\n", "closes nothing"),
@@ -157,11 +160,11 @@
         ),
     ],
 )
-def test_bad_files_are_told_and_the_rest_is_read(text: str, words: str) -> None:
-    made = httpd_of(text + "<Proxy balancer://good>\nBalancerMember http://fine/\n</Proxy>\n")
-    assert any(words in one for one in said(made)), said(made)
-    if "never closed" not in words:
-        assert any(one.url == "http://fine/" for one in made.members)
+def test_errors_are_reported_and_later_lines_are_read(text: str, expected: str) -> None:
+    result = convert_httpd(text + "<Proxy balancer://good>\nBalancerMember http://fine/\n</Proxy>\n")
+    assert any(expected in problem for problem in problem_texts(result)), problem_texts(result)
+    if "never closed" not in expected:
+        assert any(member.url == "http://fine/" for member in result.members)
 
 
 def test_every_status_letter_set_and_cleared() -> None:
@@ -179,34 +182,38 @@
             (f"+{letter}-{letter}", "ready"),
             (f"-{letter}", "ready"),
         ):
-            made = httpd_of(f"<Proxy balancer://a>\nBalancerMember http://x/ status={text}\n</Proxy>\n")
-            assert made.members[0].state == expected, text
+            result = convert_httpd(
+                f"<Proxy balancer://a>\nBalancerMember http://x/ status={text}\n</Proxy>\n"
+            )
+            assert result.members[0].state == expected, text
 
 
 def test_workers_through_references_macros_and_lists() -> None:
-    made = meaning.of_jk(jk.read("workers.properties", WORKERS))
-    assert [(one.balancer, one.url, one.state, one.weight, one.route) for one in made.members] == [
+    result = meaning.of_jk(jk.read("workers.properties", WORKERS))
+    assert [
+        (member.balancer, member.url, member.state, member.weight, member.route) for member in result.members
+    ] == [
         ("lb", "ajp://10.0.0.1:8010", "ready", 3.0, "a"),
         ("lb", "ajp://10.0.0.1:8012", "gone", 3.0, "b"),
     ]
-    words = said(made)
+    problems = problem_texts(result)
     for expected in (
         "workers.properties:11:1: worker.b.port was '8011' on line 9",
         "balances c, which is no worker",
         "references go in a circle",
         "workers.properties:19:1: no key=value: 'nonsense'",
     ):
-        assert any(expected in one for one in words), (expected, words)
+        assert any(expected in problem for problem in problems), (expected, problems)
 
 
 @given(st.text("ab<>/\\\"' \n${}=#BalancerMemberProxy:.", max_size=80))
 @settings(max_examples=300, deadline=None)
-def test_no_text_breaks_the_readers(text: str) -> None:
-    httpd_of(text)
+def test_arbitrary_text_raises_nothing(text: str) -> None:
+    convert_httpd(text)
     meaning.of_jk(jk.read("w", text))
 
 
-def test_the_commands_write_a_list_that_a_sender_reads(tmp_path: Path) -> None:
+def test_commands_write_a_readable_endpoint_list(tmp_path: Path) -> None:
     (tmp_path / "conf.d").mkdir()
     (tmp_path / "conf.d" / "a.conf").write_text(
         "<Proxy balancer://south>\nBalancerMember http://s1/in route=s1\nBalancerMember http://s2/in route=s2\n</Proxy>\n"
@@ -217,7 +224,7 @@
         main, ["import", "apache", str(tmp_path / "httpd.conf"), "--kind", "web", "--out", str(out), "--json"]
     )
     assert done.exit_code == 0 and json.loads(done.output)["destinations"] == ["south"]
-    assert [(one.name, one.destination, one.kind) for one in lines.read(out)] == [
+    assert [(entry.name, entry.destination, entry.kind) for entry in lines.read(out)] == [
         ("south-s1", "south", "web"),
         ("south-s2", "south", "web"),
     ]
