--- a/brassweir/importers/apache/httpd.py
+++ b/brassweir/importers/apache/httpd.py
@@ -32,7 +32,9 @@
 _plain_line = re.compile(r"([A-Za-z_][A-Za-z0-9_:-]*)((?:[ \t]+[^\s\"'<>\\]+)*)[ \t]*\Z")
 MAX_NESTING = 32  # levels of includes and macros; ends recursive ones
 
-Files = Callable[[str, str], list[tuple[str, str]]]  # (pattern, from file) -> [(name, text)]; no match: []
+FileLookup = Callable[
+    [str, str], list[tuple[str, str]]
+]  # (pattern, from file) -> [(name, text)]; no match: []
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +63,7 @@
 class Reader:
     """Reads files in order, keeping definitions and macros. ``defined`` starts with the names given by -D."""
 
-    files: Files
+    files: FileLookup
     defined: set[str] = field(default_factory=set)
     modules: set[str] | None = None  # names of loaded modules; None: every module counts as loaded
     values: dict[str, str] = field(default_factory=dict)
@@ -128,6 +130,7 @@
     # ---- expansion
 
     def _expand(self, nodes: Sequence[Node], file: str, depth: int) -> Iterator[Node]:
+        """Yield the nodes in effect: conditions evaluated, includes and macros replaced by their content."""
         for node in nodes:
             if depth > MAX_NESTING:
                 self._report(
@@ -150,7 +153,7 @@
             self.defined.discard(texts[0])
             self.values.pop(texts[0], None)
         elif node.name in ("ifdefine", "ifmodule") and node.inner is not None:
-            if self._condition(node, texts):
+            if self._condition_holds(node, texts):
                 yield from self._expand(node.inner, file, depth)
         elif node.name in ("include", "includeoptional") and texts:
             found = self.files(texts[0], file)
@@ -159,13 +162,13 @@
             for name, text in found:
                 yield from self._expand(self._parse(name, text), name, depth + 1)
         elif node.name == "use" and texts:
-            yield from self._use(node, texts, file, depth)
+            yield from self._expand_macro(node, texts, file, depth)
         elif node.inner is not None:
             yield Node(node.name, node.args, node.place, list(self._expand(node.inner, file, depth)))
         else:
             yield node
 
-    def _condition(self, node: Node, texts: list[str]) -> bool:
+    def _condition_holds(self, node: Node, texts: list[str]) -> bool:
         if not texts:
             self._report(node.place, f"<{node.name}> without a condition")
             return False
@@ -176,7 +179,7 @@
             holds = self.modules is None or wanted in self.modules
         return holds != texts[0].startswith("!")
 
-    def _use(self, node: Node, texts: list[str], file: str, depth: int) -> Iterator[Node]:
+    def _expand_macro(self, node: Node, texts: list[str], file: str, depth: int) -> Iterator[Node]:
         macro = self.macros.get(texts[0].lower())
         if macro is None:
             self._report(node.place, f"no macro {texts[0]!r}")
--- a/brassweir/importers/apache/jk.py
+++ b/brassweir/importers/apache/jk.py
@@ -99,6 +99,7 @@
 
 
 def _check_references(result: Workers, name: str) -> None:
+    """Report references that form a cycle or name an unknown worker."""
     for worker in result.workers.values():
         seen, current = [worker.name], worker
         while "reference" in current.values:
