--- a/brassweir/importers/apache/httpd.py
+++ b/brassweir/importers/apache/httpd.py
@@ -32,9 +32,8 @@
 _plain_line = re.compile(r"([A-Za-z_][A-Za-z0-9_:-]*)((?:[ \t]+[^\s\"'<>\\]+)*)[ \t]*\Z")
 MAX_NESTING = 32  # levels of includes and macros; ends recursive ones
 
-FileLookup = Callable[
-    [str, str], list[tuple[str, str]]
-]  # (pattern, from file) -> [(name, text)]; no match: []
+# (pattern, from file) -> [(name, text)]; no match: []
+FileLookup = Callable[[str, str], list[tuple[str, str]]]
 
 
 @dataclass(frozen=True, slots=True)
