--- a/brassweir/cli/importing.py
+++ b/brassweir/cli/importing.py
@@ -11,8 +11,8 @@
 
 import click
 
-from brassweir.importers.apache import httpd, jk, meaning
-from brassweir.importers.apache.places import Complaint
+from brassweir.importers.apache import conversion, httpd, jk
+from brassweir.importers.apache.places import Problem
 
 _json = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 _out = click.option(
@@ -55,8 +55,8 @@
 
     reader = httpd.Reader(files, set(defined))
     nodes = reader.read(file.name, _text(file))
-    imported = meaning.of_httpd(nodes)
-    imported.complaints = reader.complaints + imported.complaints
+    imported = conversion.from_httpd(nodes)
+    imported.problems = reader.problems + imported.problems
     _finish(imported, kind, out, as_json)
 
 
@@ -67,7 +67,7 @@
 @_json
 def jk_command(file: Path, kind: str, out: Path | None, as_json: bool) -> None:
     """Read a mod_jk workers FILE. Exits with 1 if something was lost that changes where traffic goes."""
-    _finish(meaning.of_jk(jk.read(file.name, _text(file))), kind, out, as_json)
+    _finish(conversion.from_jk(jk.read(file.name, _text(file))), kind, out, as_json)
 
 
 def _text(path: Path) -> str:
@@ -77,9 +77,9 @@
         raise click.ClickException(f"{path}: {error.strerror or error}") from None
 
 
-def _finish(imported: meaning.Meaning, kind: str, out: Path | None, as_json: bool) -> None:
-    entries = meaning.entries(imported, kind)
-    complaints: list[Complaint] = sorted(set(imported.complaints))
+def _finish(imported: conversion.Conversion, kind: str, out: Path | None, as_json: bool) -> None:
+    entries = conversion.entries(imported, kind)
+    problems: list[Problem] = sorted(set(imported.problems))
     if out is not None:
         temporary = out.with_name(out.name + ".new")
         temporary.write_text("".join(json.dumps(entry) + "\n" for entry in entries), encoding="utf-8")
@@ -89,20 +89,20 @@
         "destinations": sorted({str(entry["destination"]) for entry in entries}),
         "complaints": [
             {
-                "file": complaint.place.file,
-                "line": complaint.place.line,
-                "column": complaint.place.column,
-                "via": complaint.place.via,
-                "what": complaint.what,
-                "lost": complaint.lost,
+                "file": problem.place.file,
+                "line": problem.place.line,
+                "column": problem.place.column,
+                "via": problem.place.via,
+                "what": problem.message,
+                "lost": problem.lost,
             }
-            for complaint in complaints
+            for problem in problems
         ],
     }
     if as_json:
         click.echo(json.dumps(tree))
     else:
-        for complaint in complaints:
-            click.echo(f"{'lost: ' if complaint.lost else 'note: '}{complaint}", err=True)
+        for problem in problems:
+            click.echo(f"{'lost: ' if problem.lost else 'note: '}{problem}", err=True)
         click.echo(f"{len(entries)} endpoints of {len(tree['destinations'])} destinations")
-    sys.exit(1 if any(complaint.lost for complaint in complaints) else 0)
+    sys.exit(1 if any(problem.lost for problem in problems) else 0)
--- a/brassweir/importers/apache/meaning.py
+++ b/brassweir/importers/apache/conversion.py
@@ -13,7 +13,7 @@
 
 from brassweir.importers.apache.httpd import Node
 from brassweir.importers.apache.jk import Workers
-from brassweir.importers.apache.places import Complaint, Place
+from brassweir.importers.apache.places import Place, Problem
 
 # Disabled, stopped, in error, hot standby, hot spare, ignore errors, draining, failed check
 LETTERS = "DSIHRENC"
@@ -54,20 +54,20 @@
 
 
 @dataclass(slots=True)
-class Meaning:
+class Conversion:
     """The converted members and the problems found."""
 
     members: list[Member] = field(default_factory=list)
-    complaints: list[Complaint] = field(default_factory=list)
+    problems: list[Problem] = field(default_factory=list)
 
     def add(self, place: Place, message: str, lost: bool = True) -> None:
         """Record a problem; ``lost`` if traffic would differ because of it."""
-        self.complaints.append(Complaint(place, message, lost))
+        self.problems.append(Problem(place, message, lost))
 
 
-def of_httpd(nodes: Iterable[Node]) -> Meaning:
+def from_httpd(nodes: Iterable[Node]) -> Conversion:
     """Convert the balancers in httpd directives, in every scope."""
-    result = Meaning()
+    result = Conversion()
     defaults: dict[str, dict[str, str]] = {}
     found: list[tuple[str, Node, dict[str, str]]] = []
     for scope, node in _walk(nodes, ""):
@@ -113,7 +113,7 @@
     return url.removeprefix("balancer://").rstrip("/").lower()
 
 
-def _parameters(texts: list[str], place: Place, result: Meaning) -> dict[str, str]:
+def _parameters(texts: list[str], place: Place, result: Conversion) -> dict[str, str]:
     out: dict[str, str] = {}
     for text in texts:
         key, equals, value = text.partition("=")
@@ -124,7 +124,7 @@
     return out
 
 
-def _convert_member(name: str, node: Node, params: dict[str, str], result: Meaning) -> Member:
+def _convert_member(name: str, node: Node, params: dict[str, str], result: Conversion) -> Member:
     weight = _number(params.pop("loadfactor", "1"), "loadfactor", 1.0, node.place, result)
     tier = int(_number(params.pop("lbset", "0"), "lbset", 0.0, node.place, result))
     flags = _flags(params.pop("status", ""), node.place, result)
@@ -157,7 +157,7 @@
     return Member(name, url, node.place, weight, tier, flags["H"], flags["R"], state, route, limit)
 
 
-def _flags(text: str, place: Place, result: Meaning) -> dict[str, bool]:
+def _flags(text: str, place: Place, result: Conversion) -> dict[str, bool]:
     """Parse status flags such as ``+H-D``; a letter without a sign is set."""
     flags = dict.fromkeys(LETTERS, False)
     on = True
@@ -171,7 +171,7 @@
     return flags
 
 
-def _number(text: str, key: str, default: float, place: Place, result: Meaning) -> float:
+def _number(text: str, key: str, default: float, place: Place, result: Conversion) -> float:
     if not re.fullmatch(r"\d+(?:\.\d+)?", text):
         result.add(place, f"{key}={text} is no number")
         return default
@@ -181,9 +181,9 @@
 ACTIVATION = {"a": "ready", "d": "gone", "s": "gone"}  # active, disabled, stopped
 
 
-def of_jk(workers: Workers) -> Meaning:
+def from_jk(workers: Workers) -> Conversion:
     """Convert the load balancers of a workers file."""
-    result = Meaning(complaints=list(workers.complaints))
+    result = Conversion(problems=list(workers.problems))
     for name in sorted(workers.workers):
         if workers.get(name, "type") != "lb":
             continue
@@ -222,7 +222,7 @@
     return result
 
 
-def _check_balancers(result: Meaning, defaults: dict[str, dict[str, str]]) -> None:
+def _check_balancers(result: Conversion, defaults: dict[str, dict[str, str]]) -> None:
     """Drop duplicate members, use standbys if no others are ready, and report lost balancer settings."""
     for name in sorted({m.balancer for m in result.members}):
         members = [m for m in result.members if m.balancer == name]
@@ -269,7 +269,7 @@
     )
 
 
-def entries(result: Meaning, kind: str) -> list[dict[str, object]]:
+def entries(result: Conversion, kind: str) -> list[dict[str, object]]:
     """Return endpoint list entries; members without an http or https URL are reported and left out."""
     out: list[dict[str, object]] = []
     for name in sorted({m.balancer for m in result.members}):
--- a/brassweir/importers/apache/httpd.py
+++ b/brassweir/importers/apache/httpd.py
@@ -14,7 +14,7 @@
 from lark import Lark, Token
 from lark.exceptions import LarkError
 
-from brassweir.importers.apache.places import Complaint, Place
+from brassweir.importers.apache.places import Place, Problem
 
 GRAMMAR = r"""
     start: open | close | directive
@@ -67,7 +67,7 @@
     modules: set[str] | None = None  # names of loaded modules; None: every module counts as loaded
     values: dict[str, str] = field(default_factory=dict)
     macros: dict[str, tuple[list[str], list[Node]]] = field(default_factory=dict)
-    complaints: list[Complaint] = field(default_factory=list)
+    problems: list[Problem] = field(default_factory=list)
 
     def read(self, name: str, text: str) -> list[Node]:
         """Return the directives in effect, expanded; lines that cannot be parsed are skipped and reported."""
@@ -207,7 +207,7 @@
         return Node(node.name, args, node.place, node.inner)
 
     def _report(self, place: Place, message: str) -> None:
-        self.complaints.append(Complaint(place, message))
+        self.problems.append(Problem(place, message))
 
 
 def _logical_lines(text: str) -> Iterator[tuple[int, str]]:
--- a/brassweir/importers/apache/jk.py
+++ b/brassweir/importers/apache/jk.py
@@ -10,7 +10,7 @@
 import re
 from dataclasses import dataclass, field
 
-from brassweir.importers.apache.places import Complaint, Place
+from brassweir.importers.apache.places import Place, Problem
 
 LIST_KEYS = frozenset({"balance_workers", "balanced_workers", "mount"})
 ALIASES = {"balanced_workers": "balance_workers", "sticky_session_force": "sticky_session_force"}
@@ -31,7 +31,7 @@
 
     listed: list[str] = field(default_factory=list)
     workers: dict[str, Worker] = field(default_factory=dict)
-    complaints: list[Complaint] = field(default_factory=list)
+    problems: list[Problem] = field(default_factory=list)
 
     def get(self, name: str, key: str, default: str = "") -> str:
         """Return a setting of a worker or, if it lacks the key, of the workers it references."""
@@ -54,19 +54,19 @@
 
 
 def read(name: str, text: str) -> Workers:
-    """Parse a workers file; unreadable lines are skipped and reported in ``complaints``."""
+    """Parse a workers file; unreadable lines are skipped and reported in ``problems``."""
     result, macros = Workers(), dict[str, str]()
     for number, line in _logical_lines(text):
         place = Place(name, number)
         key, equals, value = line.partition("=")
         key, value = key.strip(), value.strip()
         if not equals or not key:
-            result.complaints.append(Complaint(place, f"no key=value: {line[:60]!r}"))
+            result.problems.append(Problem(place, f"no key=value: {line[:60]!r}"))
             continue
 
         def macro(found: re.Match[str], place: Place = place) -> str:
             if found[1] not in macros:
-                result.complaints.append(Complaint(place, f"no macro $({found[1]})"))
+                result.problems.append(Problem(place, f"no macro $({found[1]})"))
                 return found[0]
             return macros[found[1]]
 
@@ -84,7 +84,7 @@
 def _set(result: Workers, key: str, value: str, place: Place) -> None:
     parts = key.split(".")
     if len(parts) < 3:
-        result.complaints.append(Complaint(place, f"{key}: no such setting"))
+        result.problems.append(Problem(place, f"{key}: no such setting"))
         return
     worker = result.workers.setdefault(parts[1], Worker(parts[1]))
     setting = ALIASES.get(".".join(parts[2:]), ".".join(parts[2:]))
@@ -92,8 +92,8 @@
     if before is not None and setting in LIST_KEYS:
         value = f"{before[0]},{value}"
     elif before is not None and before[0] != value:
-        result.complaints.append(
-            Complaint(place, f"{key} was {before[0]!r} on line {before[1].line}: the last holds")
+        result.problems.append(
+            Problem(place, f"{key} was {before[0]!r} on line {before[1].line}: the last holds")
         )
     worker.values[setting] = value, place
 
@@ -106,13 +106,11 @@
             target, place = current.values["reference"]
             target = target.removeprefix("worker.")
             if target in seen:
-                result.complaints.append(
-                    Complaint(place, f"worker {worker.name}: its references go in a circle")
-                )
+                result.problems.append(Problem(place, f"worker {worker.name}: its references go in a circle"))
                 break
             if target not in result.workers:
-                result.complaints.append(
-                    Complaint(place, f"worker {worker.name}: refers to {target}, which is none")
+                result.problems.append(
+                    Problem(place, f"worker {worker.name}: refers to {target}, which is none")
                 )
                 break
             seen.append(target)
--- a/brassweir/importers/apache/places.py
+++ b/brassweir/importers/apache/places.py
@@ -19,12 +19,12 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Complaint:
+class Problem:
     """Something that was not read or converted; ``lost`` if traffic would differ because of it."""
 
     place: Place
-    what: str
+    message: str
     lost: bool = True
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.what}"
+        return f"{self.place}: {self.message}"
--- a/tests/importers/test_apache.py
+++ b/tests/importers/test_apache.py
@@ -12,8 +12,8 @@
 
 from brassweir.cli.main import main
 from brassweir.config import lines
-from brassweir.importers.apache import httpd, jk, meaning
-from brassweir.importers.apache.meaning import Meaning
+from brassweir.importers.apache import conversion, httpd, jk
+from brassweir.importers.apache.conversion import Conversion
 
 MAIN = """\
 # balancers of the agencies
@@ -69,7 +69,9 @@
 """
 
 
-def convert_httpd(text: str, files: dict[str, str] | None = None, defined: set[str] | None = None) -> Meaning:
+def convert_httpd(
+    text: str, files: dict[str, str] | None = None, defined: set[str] | None = None
+) -> Conversion:
     reader = httpd.Reader(
         lambda pattern, _: (
             sorted((files or {}).items())
@@ -80,13 +82,13 @@
         ),
         defined or set(),
     )
-    result = meaning.of_httpd(reader.read("httpd.conf", text))
-    result.complaints = reader.complaints + result.complaints
+    result = conversion.from_httpd(reader.read("httpd.conf", text))
+    result.problems = reader.problems + result.problems
     return result
 
 
-def problem_texts(result: Meaning) -> list[str]:
-    return [str(complaint) for complaint in result.complaints]
+def problem_texts(result: Conversion) -> list[str]:
+    return [str(problem) for problem in result.problems]
 
 
 def test_members_through_macros_definitions_and_continuations() -> None:
@@ -110,7 +112,7 @@
     assert any("weights differ (1, 2)" in problem for problem in problems) and any(
         "stickysession=ID is not carried" in problem for problem in problems
     )
-    assert [complaint.lost for complaint in result.complaints if "lbmethod" in complaint.what] == [False]
+    assert [problem.lost for problem in result.problems if "lbmethod" in problem.message] == [False]
 
 
 def test_includes_scopes_case_and_reported_problems() -> None:
@@ -121,7 +123,7 @@
         ("http://s2", "ready", 1),
         ("ajp://s3:8009", "ready", 0),
     ]
-    entries = {str(entry["name"]): entry for entry in meaning.entries(result, "agency")}
+    entries = {str(entry["name"]): entry for entry in conversion.entries(result, "agency")}
     assert entries["south-2"]["state"] == "draining" and entries["south-2"]["url"] == "http://s2/"
     assert "south-3" not in entries, "ajp is not carried"
     problems = problem_texts(result)
@@ -189,7 +191,7 @@
 
 
 def test_workers_through_references_macros_and_lists() -> None:
-    result = meaning.of_jk(jk.read("workers.properties", WORKERS))
+    result = conversion.from_jk(jk.read("workers.properties", WORKERS))
     assert [
         (member.balancer, member.url, member.state, member.weight, member.route) for member in result.members
     ] == [
@@ -210,7 +212,7 @@
 @settings(max_examples=300, deadline=None)
 def test_arbitrary_text_raises_nothing(text: str) -> None:
     convert_httpd(text)
-    meaning.of_jk(jk.read("w", text))
+    conversion.from_jk(jk.read("w", text))
 
 
 def test_commands_write_a_readable_endpoint_list(tmp_path: Path) -> None:
