--- a/brassweir/forward/__init__.py
+++ b/brassweir/forward/__init__.py
@@ -1,1 +1,1 @@
-"""The Fluent forward protocol (specification v1) before and behind the same core as others."""
+"""The Fluent forward protocol (specification v1): a front for log shippers, and a carrier to destinations."""
--- a/brassweir/forward/carrier.py
+++ b/brassweir/forward/carrier.py
@@ -1,4 +1,4 @@
-"""Carries attempts to forward endpoints; those released together share a call, each with its own ack."""
+"""Sends attempts to forward endpoints; attempts started together share a call, each with its own ack."""
 
 from __future__ import annotations
 
@@ -20,13 +20,16 @@
 from brassweir.net.pool import ConnectionPool
 from brassweir.net.pool_manager import PoolManager
 
-INLINE = 16_384  # bytes: what is built in less time than a thread takes to hear of it
+MAX_INLINE_BYTES = 16_384  # larger payloads are encoded in a worker thread
 Done = Callable[[Outcome], None]
 
 
 class ForwardCarrier(TaskCarrier):
-    """Carries attempts of one kind. ``tag`` is given to documents that came without one; ``linger`` (ms) is
-    how long a call whose time is over is still listened to."""
+    """Carries attempts of one kind of endpoint.
+
+    ``batch`` is the maximum of attempts in a call. ``tag`` is the tag of payloads that have none. ``linger``
+    (ms) is how long after an attempt's time is over its ack is still awaited.
+    """
 
     def __init__(
         self,
@@ -46,115 +49,115 @@
         self.compress, self.linger = compress, linger
         self.joining = Joining(batch)
         self.calls: dict[int, tuple[Attempt, Done]] = {}
-        self.numbers = 0
-        self.flushing = False
+        self.last_call_number = 0
+        self.flush_scheduled = False
 
     def start(self, attempt: Attempt, done: Done) -> None:
-        """Begin an attempt, with those to the same endpoint that come in the same turn."""
+        """Start an attempt; it shares a call with others to its endpoint in the same event loop iteration."""
         loop = asyncio.get_running_loop()
-        self.numbers += 1
-        self.calls[self.numbers] = (attempt, done)
-        full = self.joining.add(attempt.endpoint.name, self.numbers)
+        self.last_call_number += 1
+        self.calls[self.last_call_number] = (attempt, done)
+        full = self.joining.add(attempt.endpoint.name, self.last_call_number)
         if full is not None:
-            self._begin(full)
-        elif not self.flushing:
-            self.flushing = True
+            self._start_call(full)
+        elif not self.flush_scheduled:
+            self.flush_scheduled = True
             loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flushing = False
-        for _, numbers in self.joining.rest():
-            self._begin(numbers)
+        self.flush_scheduled = False
+        for _, call_numbers in self.joining.rest():
+            self._start_call(call_numbers)
 
-    def _begin(self, numbers: list[int]) -> None:
-        calls = [self.calls.pop(number) for number in numbers]
-        task = asyncio.get_running_loop().create_task(self._together(calls))
+    def _start_call(self, call_numbers: list[int]) -> None:
+        calls = [self.calls.pop(number) for number in call_numbers]
+        task = asyncio.get_running_loop().create_task(self._run_call(calls))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _together(self, calls: list[tuple[Attempt, Done]]) -> None:
-        told: set[int] = set()
+    async def _run_call(self, calls: list[tuple[Attempt, Done]]) -> None:
+        reported: set[int] = set()
 
         def once(number: int) -> Done:
             def done(outcome: Outcome) -> None:
-                if number not in told:
-                    told.add(number)
+                if number not in reported:
+                    reported.add(number)
                     calls[number][1](outcome)
 
             return done
 
-        each = [once(number) for number in range(len(calls))]
+        callbacks = [once(number) for number in range(len(calls))]
         try:
-            await self._call(calls, each)
+            await self._call(calls, callbacks)
         except asyncio.CancelledError:
-            for done in each:
+            for done in callbacks:
                 done(Outcome(Result.CANCELLED, "the sender stopped"))
             raise
         except Exception as error:  # a fault here must not leave an attempt without an outcome
             self.note(
                 "carrier_fault", {"message": calls[0][0].id, "error": f"{type(error).__name__}: {error}"}
             )
-            for done in each:
+            for done in callbacks:
                 done(Outcome(Result.ERROR, f"internal: {type(error).__name__}"))
 
-    async def _call(self, calls: list[tuple[Attempt, Done]], each: list[Done]) -> None:
+    async def _call(self, calls: list[tuple[Attempt, Done]], callbacks: list[Done]) -> None:
         url = self.urls.url(calls[0][0].endpoint.name)
-        ready: list[tuple[Attempt, str, bytes, Done]] = []
-        for (attempt, _), done in zip(calls, each, strict=True):
-            given = attempt.submission
-            if url is None or not isinstance(given.payload, Payload):
+        built: list[tuple[Attempt, str, bytes, Done]] = []
+        for (attempt, _), done in zip(calls, callbacks, strict=True):
+            submission = attempt.submission
+            if url is None or not isinstance(submission.payload, Payload):
                 done(Outcome(Result.NO_CONNECTION, "no address for this endpoint"))
                 continue
-            chunk = delivery_id(given.owner, given.identity)
-            content = given.payload
+            chunk = delivery_id(submission.owner, submission.identity)
+            payload = submission.payload
 
-            def build(content: Payload = content, chunk: str = chunk) -> bytes:
-                tag, entries, count = events.of_payload(content, self.tag, time.time())
+            def build(payload: Payload = payload, chunk: str = chunk) -> bytes:
+                tag, entries, count = events.of_payload(payload, self.tag, time.time())
                 return message.packed_message(tag, entries, chunk, count, compress=self.compress)
 
             try:
-                data = await self.offload(build) if len(content.content) > INLINE else build()
+                data = await self.offload(build) if len(payload.content) > MAX_INLINE_BYTES else build()
             except ForwardError as error:
                 done(Outcome(Result.NO_CONNECTION, f"cannot be built: {error}"))
                 continue
-            ready.append((attempt, chunk, data, done))
-        if not ready or url is None:
+            built.append((attempt, chunk, data, done))
+        if not built or url is None:
             return
-        links = self.pools.pool(url, self._make)
-        last = (max(attempt.abandon_at for attempt, _, _, _ in ready) + self.linger) / 1000.0
-        begin = min(attempt.abandon_at for attempt, _ in calls) / 1000.0
+        links = self.pools.pool(url, self._new_pool)
+        give_up_at = (max(attempt.abandon_at for attempt, _, _, _ in built) + self.linger) / 1000.0
+        start_by = min(attempt.abandon_at for attempt, _ in calls) / 1000.0
         try:
-            async with links.acquire(last, begin) as link:
+            async with links.acquire(give_up_at, start_by) as link:
                 assert isinstance(link, ForwardLink)
                 try:
-                    out = [self._send(link, *one) for one in ready]
-                    await asyncio.gather(*out)
+                    sends = [self._send(link, *one) for one in built]
+                    await asyncio.gather(*sends)
                 finally:
-                    link.ended()
-        except CallFailed as failed:  # no connection: nothing of any was written
-            for _, _, _, done in ready:
-                done(endings.failed(failed))
+                    link.finish_call()
+        except CallFailed as error:  # no connection: nothing was written
+            for _, _, _, done in built:
+                done(endings.failed(error))
 
-    def _make(self, address: Address, pools: PoolManager) -> ConnectionPool:
+    def _new_pool(self, address: Address, pools: PoolManager) -> ConnectionPool:
         return ForwardLinks(address, pools, self.credentials)
 
     async def _send(self, link: ForwardLink, attempt: Attempt, chunk: str, data: bytes, done: Done) -> None:
-        """One chunk of a call, to its own ending."""
-        until = (attempt.abandon_at + self.linger) / 1000.0
+        """Send one chunk of a call and report its outcome."""
+        ack_deadline = (attempt.abandon_at + self.linger) / 1000.0
         if not attempt.start_guard.begin():
             done(Outcome(Result.NO_CONNECTION, "called back before anything was written"))
             return
         try:
-            waiting = link.send(chunk, data)
-        except CallFailed as failed:
-            done(endings.failed(failed))
+            ack = link.send(chunk, data)
+        except CallFailed as error:
+            done(endings.failed(error))
             return
         try:
-            async with asyncio.timeout_at(until):
-                await asyncio.shield(waiting)
+            async with asyncio.timeout_at(ack_deadline):
+                await asyncio.shield(ack)
         except TimeoutError:
             done(endings.failed(CallFailed(Stage.SENT, "no ack in time", timed_out=True)))
-        except CallFailed as failed:
-            done(endings.failed(failed))
+        except CallFailed as error:
+            done(endings.failed(error))
         else:
             done(endings.ACKED)
--- a/brassweir/forward/chunks.py
+++ b/brassweir/forward/chunks.py
@@ -1,4 +1,4 @@
-"""One chunk from its source to the final answer: where it goes, what it holds, what its source is told."""
+"""Routes, decodes and submits one chunk, and maps its final answer to a reply to the source."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from brassweir.forward import events
 from brassweir.forward.decide import answers
 from brassweir.forward.decide.answers import Tell, Told
-from brassweir.forward.decide.rules import Body, Placed, place
-from brassweir.forward.decide.turns import Turns
+from brassweir.forward.decide.read_scheduler import ReadScheduler
+from brassweir.forward.decide.rules import Body, Route, find_route
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.message import Message
 from brassweir.forward.ports import Bounds, Counts, Note, Source, Submits
 from brassweir.interface import MessageClass
 from brassweir.undelivered.item import UndeliveredItem
 
-INLINE = 16_384  # bytes: what is unpacked in less time than a thread takes to hear of it
-_OWN = "unasked"  # names of chunks whose sources ask for no ack
+MAX_INLINE_BYTES = 16_384  # larger chunks are decoded in a worker thread
+_UNASKED_PREFIX = "unasked"  # identity prefix of chunks without an id of their own
 
 
 class ChunkDelivery:
-    """Hands chunks to the engine. ``margin`` (ms) is kept of each one's time for the ack's own way."""
+    """Submits chunks to the engine. ``margin`` (ms) is taken off each deadline, to leave time for the ack."""
 
     def __init__(
         self,
@@ -38,102 +38,114 @@
         bounds: Bounds,
         margin: float,
         counts: Counts,
-        turns: Turns,
+        scheduler: ReadScheduler,
     ) -> None:
         self.classes, self.number_of, self.engine, self.offload = classes, number_of, engine, offload
-        self.note, self.bounds, self.margin, self.counts, self.turns = note, bounds, margin, counts, turns
-        self.lines = KeyOrder()
+        self.note, self.bounds, self.margin, self.counts, self.scheduler = (
+            note,
+            bounds,
+            margin,
+            counts,
+            scheduler,
+        )
+        self.key_order = KeyOrder()
 
     async def deliver(
-        self, source: Source, given: Message, grew: Callable[[int], None]
+        self, source: Source, received: Message, on_growth: Callable[[int], None]
     ) -> tuple[Told, UndeliveredItem]:
-        """What its source is to be told, and what is kept if need be. ``grew`` hears its size once open."""
-        asked = bool(given.chunk)
-        identity = given.chunk or f"{_OWN}-{secrets.token_hex(12)}"
-        placed = place(source.rules, source.name, given.tag)
-        number = self.number_of(placed.destination) if placed is not None else None
-        nowhere = UndeliveredItem(
+        """Deliver a chunk; returns the reply to its source and the item to store if the reply says so.
+
+        ``on_growth`` is called with the payload's size in bytes once the chunk is decoded. Raises
+        ForwardError if the engine forgot a known chunk during the wait and the chunk cannot be decoded.
+        """
+        ack_requested = bool(received.chunk)
+        identity = received.chunk or f"{_UNASKED_PREFIX}-{secrets.token_hex(12)}"
+        route = find_route(source.rules, source.name, received.tag)
+        destination_number = self.number_of(route.destination) if route is not None else None
+        unrouted_item = UndeliveredItem(
             source.name,
             identity,
-            placed.destination if placed else "",
-            placed.class_name if placed else "",
-            given.tag,
+            route.destination if route else "",
+            route.class_name if route else "",
+            received.tag,
             "",
             0.0,
             events.PACKED,
-            given.data,
+            received.data,
         )
-        if not asked and source.acks_required:
-            return Told(Tell.CLOSE, "a chunk without an id, which could not be acknowledged"), nowhere
-        if placed is None or number is None:
-            reason = f"no rule for the tag {given.tag[:200]!r}"
-            if placed is not None:
-                reason = f"no destination {placed.destination[:200]!r} is known"
-            return answers.misplaced(reason, asked), nowhere
+        if not ack_requested and source.acks_required:
+            return Told(Tell.CLOSE, "a chunk without an id, which could not be acknowledged"), unrouted_item
+        if route is None or destination_number is None:
+            reason = f"no rule for the tag {received.tag[:200]!r}"
+            if route is not None:
+                reason = f"no destination {route.destination[:200]!r} is known"
+            return answers.unrouted(reason, ack_requested), unrouted_item
         loop = asyncio.get_running_loop()
-        cls = self.classes[placed.class_name]
-        async with self.lines.turn(placed.key if cls.in_order else "") as turn:
+        message_class = self.classes[route.class_name]
+        async with self.key_order.turn(route.key if message_class.in_order else "") as turn:
             payload: Payload | None = None
-            # What is known already joins, or is told its answer: its entries are not looked at again.
-            if not (asked and self.engine.knows(source.name, identity)):
+            # A chunk that the engine knows joins that message or gets its answer, so it is not decoded again.
+            if not (ack_requested and self.engine.knows(source.name, identity)):
                 try:
-                    payload = await self._opened(given, placed)
+                    payload = await self._decode(received, route)
                 except ForwardError as error:
-                    return answers.unreadable(str(error)), nowhere
-                grew(len(payload.content))
+                    return answers.unreadable(str(error)), unrouted_item
+                on_growth(len(payload.content))
             await turn()
             if payload is None and not self.engine.knows(source.name, identity):
-                payload = await self._opened(given, placed)  # forgotten while it stood in line
-            answered: asyncio.Future[FinalAnswer] = loop.create_future()
-            taken = loop.time()
+                payload = await self._decode(received, route)  # the engine forgot it during the wait
+            answer_future: asyncio.Future[FinalAnswer] = loop.create_future()
+            submitted_at = loop.time()
             submission = Submission(
                 source.name,
                 identity,
-                placed.class_name,
-                number,
-                cls.deadline - self.margin,
-                placed.key,
+                route.class_name,
+                destination_number,
+                message_class.deadline - self.margin,
+                route.key,
                 payload=payload,
             )
-            self.engine.submit(submission, resolver(answered))
-        answer = await answered
-        told = answers.final(answer, asked)
-        if told.tell is Tell.ACK:
+            self.engine.submit(submission, resolver(answer_future))
+        answer = await answer_future
+        reply = answers.final(answer, ack_requested)
+        if reply.action is Tell.ACK:
             now = loop.time()
-            self.turns.delivered(source.name, (now - taken) * 1000.0, cls.aim, now * 1000.0)
-        if told.tell is Tell.KEEP and payload is None:
-            payload = await self._opened(given, placed)
-        kept = payload or Payload(events.PACKED, given.data, given.tag)
-        return told, UndeliveredItem(
+            self.scheduler.delivered(
+                source.name, (now - submitted_at) * 1000.0, message_class.aim, now * 1000.0
+            )
+        if reply.action is Tell.KEEP and payload is None:
+            payload = await self._decode(received, route)
+        undelivered_payload = payload or Payload(events.PACKED, received.data, received.tag)
+        return reply, UndeliveredItem(
             source.name,
             identity,
-            placed.destination,
-            placed.class_name,
-            given.tag,
-            told.reason,
+            route.destination,
+            route.class_name,
+            received.tag,
+            reply.reason,
             0.0,
-            kept.content_type,
-            kept.content,
+            undelivered_payload.content_type,
+            undelivered_payload.content,
         )
 
-    async def _opened(self, given: Message, placed: Placed) -> Payload:
-        """The chunk in the form that it goes on in. Raises ForwardError."""
+    async def _decode(self, received: Message, route: Route) -> Payload:
+        """Decode and check a chunk, and return it in its route's format. Raises ForwardError."""
 
-        def work() -> tuple[Payload, int]:
-            entries = given.entries(self.bounds.unpacked)
-            found = events.unpack(entries, self.bounds.entries)
-            if placed.body is Body.LINES:
-                content, count = events.lines(given.tag, found)
-                payload = Payload(events.LINES, content, given.tag)
+        def decode() -> tuple[Payload, int]:
+            entries = received.entries(self.bounds.unpacked)
+            entry_events = events.unpack(entries, self.bounds.entries)
+            if route.body is Body.LINES:
+                content, count = events.lines(received.tag, entry_events)
+                payload = Payload(events.LINES, content, received.tag)
             else:
-                count = sum(1 for _ in found)
-                payload = Payload(events.PACKED, entries, given.tag)
+                count = sum(1 for _ in entry_events)
+                payload = Payload(events.PACKED, entries, received.tag)
             if not count:
                 raise ForwardError("a chunk without entries")
             return payload, count
 
-        payload, count = await self.offload(work) if len(given.data) > INLINE else work()
-        if given.size is not None and given.size != count:
-            self.note("forward_size", {"tag": given.tag[:200], "told": given.size, "counted": count})
-        self.counts.chunk(given.mode.value, count, len(given.data))
+        payload, count = await self.offload(decode) if len(received.data) > MAX_INLINE_BYTES else decode()
+        if received.size is not None and received.size != count:
+            self.note("forward_size", {"tag": received.tag[:200], "told": received.size, "counted": count})
+        self.counts.chunk(received.mode.value, count, len(received.data))
         return payload
--- a/brassweir/forward/connection.py
+++ b/brassweir/forward/connection.py
@@ -1,86 +1,90 @@
-"""One source's connection: bytes to and from a session, paused and resumed as the turns say."""
+"""The asyncio protocol of one source's connection, with timeouts and backpressure."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Protocol, cast
 
-from brassweir.forward.decide.turns import Turns
+from brassweir.forward.decide.read_scheduler import ReadScheduler
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.message import Message
 from brassweir.forward.ports import Bounds
 from brassweir.forward.session import Admitted, Came, Denied, Session
 
 
-class Host(Protocol):
-    """The front that has accepted a connection, as the connection needs it."""
+class Front(Protocol):
+    """The part of the front that a connection needs."""
 
     bounds: Bounds
-    turns: Turns
+    scheduler: ReadScheduler
     buffer: memoryview
     connections: set[Connection]
-    readers: dict[int, Connection]
+    connection_by_reader: dict[int, Connection]
     stopping: bool
 
-    def complain(self, connection: Connection, reason: str) -> None:
-        """Note what a peer did that cannot be served."""
+    def report_rejection(self, connection: Connection, reason: str) -> None:
+        """Count and log a peer's connection or data that is rejected."""
 
-    def look_later(self) -> None:
-        """Look who may read on, soon."""
+    def schedule_resume(self) -> None:
+        """Schedule a check of which paused connections may resume reading."""
 
-    async def take(self, connection: Connection, given: Message, size: int) -> None:
-        """See one chunk through to what its source is told."""
+    async def process_chunk(self, connection: Connection, received: Message, size: int) -> None:
+        """Deliver one chunk of ``size`` bytes and ack it, or close the connection."""
 
 
 class Connection(asyncio.BufferedProtocol):
-    """States: greeting, open, closing. One timer serves them all; it stands still while we do not read."""
+    """One connection: in handshake, open, or closing.
 
-    def __init__(self, front: Host, session: Session, loop: asyncio.AbstractEventLoop) -> None:
+    A single timer bounds the current state: handshake, chunk in progress, idle, or blocked write. While
+    reading is paused the timer is stopped, so that a source is not timed out for our own backpressure.
+    """
+
+    def __init__(self, front: Front, session: Session, loop: asyncio.AbstractEventLoop) -> None:
         self.front, self.session, self.loop = front, session, loop
         self.transport: asyncio.Transport | None = None
         self.peer = ""
-        self.reader = 0  # the number that the turns know it by, once it is admitted
-        self.work: set[asyncio.Task[None]] = set()
+        self.reader_id = 0  # assigned by the scheduler once the source is authenticated; 0 before
+        self.tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
-        self.due = 0.0  # loop time at which the timer runs out
-        self.left: float | None = None  # seconds that it had left when reading stopped
-        self.within = False  # a chunk has begun
-        self.deaf = False  # the peer does not read its answers
+        self.timer_at = 0.0  # loop time, seconds
+        self.remaining: float | None = None  # seconds left on the timer when reading paused
+        self.in_chunk = False  # part of a chunk has been received
+        self.write_blocked = False  # the transport's write buffer is over its high-water mark
         self.closing = False
 
     @property
     def source(self) -> str:
-        """Who is there; empty until it has proved it."""
+        """The authenticated source's name; empty before the handshake is complete."""
         return self.session.source
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet it."""
+        """Send HELO, or drop the connection if there are too many or the front is stopping."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
         self.peer = str(transport.get_extra_info("peername"))
         if len(self.front.connections) >= self.front.bounds.connections or self.front.stopping:
             self.drop()
             if not self.front.stopping:
-                self.front.complain(self, "too many connections")
+                self.front.report_rejection(self, "too many connections")
             return
         self.front.connections.add(self)
         self.set_timer(self.front.bounds.handshake_time)
         self.transport.write(self.session.hello())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is gone; its chunks go on."""
+        """Unregister the connection; chunks already received are still delivered."""
         self.closing = True
         self.stop_timer()
         self.front.connections.discard(self)
-        if self.reader:
-            self.front.turns.closed(self.reader)
-            del self.front.readers[self.reader]
-            self.front.look_later()
+        if self.reader_id:
+            self.front.scheduler.remove_reader(self.reader_id)
+            del self.front.connection_by_reader[self.reader_id]
+            self.front.schedule_resume()
 
-    def set_timer(self, span: float) -> None:
-        """End the connection in so long (ms), unless something happens."""
+    def set_timer(self, timeout_ms: float) -> None:
+        """Restart the timer: :meth:`on_timeout` runs after ``timeout_ms``."""
         self.stop_timer()
-        self.due = self.loop.time() + span / 1000.0
-        self.timer = self.loop.call_at(self.due, self.late)
+        self.timer_at = self.loop.time() + timeout_ms / 1000.0
+        self.timer = self.loop.call_at(self.timer_at, self.on_timeout)
 
     def stop_timer(self) -> None:
         """Stop the timer."""
@@ -88,27 +92,27 @@
             self.timer.cancel()
             self.timer = None
 
-    def late(self) -> None:
-        """The time of the present state is over."""
-        if self.deaf or self.closing:
+    def on_timeout(self) -> None:
+        """Drop the connection when its state's time is over, unless an idle source waits for our acks."""
+        if self.write_blocked or self.closing:
             pass
         elif not self.source:
-            self.front.complain(self, "no handshake in time")
-        elif self.within:
-            self.front.complain(self, "a chunk was begun and not ended in time")
-        elif self.work:
-            self.set_timer(self.front.bounds.idle_time)  # it waits for our acks
+            self.front.report_rejection(self, "no handshake in time")
+        elif self.in_chunk:
+            self.front.report_rejection(self, "a chunk was begun and not ended in time")
+        elif self.tasks:
+            self.set_timer(self.front.bounds.idle_time)
             return
         self.drop()
 
     def drop(self) -> None:
-        """Close without another word."""
+        """Abort the connection; unsent data is discarded."""
         self.closing = True
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """Close once all is written; a peer that does not read it has the write time."""
+        """Close after pending data is written, or abort when the write time is over."""
         if self.closing or self.transport is None:
             return
         self.closing = True
@@ -116,104 +120,104 @@
         self.set_timer(self.front.bounds.write_time)
 
     def close_if_idle(self) -> None:
-        """Close unless an answer is still to come."""
-        if not self.work:
+        """Close unless a chunk is unanswered."""
+        if not self.tasks:
             self.close()
 
-    def say(self, data: bytes) -> bool:
-        """Write, if it can still be heard."""
+    def send(self, data: bytes) -> bool:
+        """Write data; returns False if the connection is already closing."""
         if self.transport is None or self.transport.is_closing():
             return False
         self.transport.write(data)
         return True
 
     def pause_writing(self) -> None:
-        """The peer does not read its answers."""
-        self.deaf = True
-        self.stop()
+        """Pause reading while the peer does not read our answers, and start the write timeout."""
+        self.write_blocked = True
+        self.pause()
         self.set_timer(self.front.bounds.write_time)
 
     def resume_writing(self) -> None:
-        """It has caught up."""
-        self.deaf = False
+        """Resume reading, if the scheduler allows it, once the write buffer has drained."""
+        self.write_blocked = False
         if not self.closing:
-            self.set_timer(self.front.bounds.chunk_time if self.within else self.front.bounds.idle_time)
-            self.left = None
-            self.consider()
+            self.set_timer(self.front.bounds.chunk_time if self.in_chunk else self.front.bounds.idle_time)
+            self.remaining = None
+            self.update_reading()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """One buffer serves all connections: what is read is taken at once, and never more than a slice."""
+        """Return the buffer shared by all connections; :meth:`buffer_updated` copies from it at once."""
         return self.front.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take bytes; stop reading where others are to have their turn."""
+        """Copy the received bytes out of the shared buffer and process them."""
         self.data_received(bytes(self.front.buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes."""
+        """Process received bytes; a protocol error closes the connection."""
         if self.closing:
             return
         try:
             self.session.feed(data)
             for event in self.session.events():
-                self._happened(event)
+                self._handle_event(event)
                 if self.closing:
                     return
         except ForwardError as error:
-            self.front.complain(self, str(error))
+            self.front.report_rejection(self, str(error))
             self.close()
             return
         if not self.source:
             return
         partial = self.session.frames.partial
-        self.front.turns.came(self.reader, partial)
-        if bool(partial) != self.within:
-            self.within = bool(partial)
+        self.front.scheduler.update_partial(self.reader_id, partial)
+        if bool(partial) != self.in_chunk:
+            self.in_chunk = bool(partial)
             bounds = self.front.bounds
-            self.set_timer(bounds.chunk_time if self.within else bounds.idle_time)
-        self.consider()
+            self.set_timer(bounds.chunk_time if self.in_chunk else bounds.idle_time)
+        self.update_reading()
 
-    def _happened(self, event: Admitted | Denied | Came) -> None:
+    def _handle_event(self, event: Admitted | Denied | Came) -> None:
         if isinstance(event, Admitted):
-            self.say(event.say)
-            self.reader = self.front.turns.opened(event.source)
-            self.front.readers[self.reader] = self
+            self.send(event.say)
+            self.reader_id = self.front.scheduler.add_reader(event.source)
+            self.front.connection_by_reader[self.reader_id] = self
             self.set_timer(self.front.bounds.idle_time)
         elif isinstance(event, Denied):
-            self.front.complain(self, event.reason)
-            self.say(event.say)
+            self.front.report_rejection(self, event.reason)
+            self.send(event.say)
             self.close()
         elif event.message is not None:
-            self.front.turns.whole(self.reader, event.size)
-            task = self.loop.create_task(self.front.take(self, event.message, event.size))
-            self.work.add(task)
-            task.add_done_callback(self.work.discard)
-
-    def consider(self) -> None:
-        """Go on reading if it is our turn, else stop until it is."""
-        if self.closing or self.deaf or self.transport is None or self.transport.is_closing():
+            self.front.scheduler.chunk_received(self.reader_id, event.size)
+            task = self.loop.create_task(self.front.process_chunk(self, event.message, event.size))
+            self.tasks.add(task)
+            task.add_done_callback(self.tasks.discard)
+
+    def update_reading(self) -> None:
+        """Resume reading if the scheduler allows it; otherwise pause until it does."""
+        if self.closing or self.write_blocked or self.transport is None or self.transport.is_closing():
             return
-        if self.front.stopping and not self.within:
-            self.stop()
-        elif self.front.turns.may_read(self.reader, self.loop.time() * 1000.0):
-            self.go()
+        if self.front.stopping and not self.in_chunk:
+            self.pause()
+        elif self.front.scheduler.may_read(self.reader_id, self.loop.time() * 1000.0):
+            self.resume()
         else:
-            self.stop()
-            self.front.look_later()
+            self.pause()
+            self.front.schedule_resume()
 
-    def stop(self) -> None:
-        """Read no more for now; the time to finish a chunk stands still."""
+    def pause(self) -> None:
+        """Pause reading, and stop the timer with its remaining time saved."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
-        if self.left is None and self.timer is not None:
-            self.left = max(0.1, self.due - self.loop.time())
+        if self.remaining is None and self.timer is not None:
+            self.remaining = max(0.1, self.timer_at - self.loop.time())
             self.stop_timer()
 
-    def go(self) -> None:
-        """Read on."""
-        if self.closing or self.deaf or self.transport is None or self.transport.is_closing():
+    def resume(self) -> None:
+        """Resume reading, and the timer with its remaining time."""
+        if self.closing or self.write_blocked or self.transport is None or self.transport.is_closing():
             return
         self.transport.resume_reading()
-        if self.left is not None:
-            left, self.left = self.left, None
-            self.set_timer(left * 1000.0)
+        if self.remaining is not None:
+            remaining, self.remaining = self.remaining, None
+            self.set_timer(remaining * 1000.0)
--- a/brassweir/forward/decide/__init__.py
+++ b/brassweir/forward/decide/__init__.py
@@ -1,1 +1,1 @@
-"""What the forward front decides: who reads next, whose a chunk is, and what its source is told. Pure."""
+"""Decisions of the Forward protocol as pure code: read scheduling, routing, replies and batching."""
--- a/brassweir/forward/decide/answers.py
+++ b/brassweir/forward/decide/answers.py
@@ -1,8 +1,8 @@
-"""What a source is told of each of the three final answers, in a protocol that only has a word for one.
+"""Maps final answers to replies to the source. The protocol has only one, the ack.
 
-Acked: delivered, or kept here for the operator; the source may forget the chunk. Closed: not delivered, and a
-later try is harmless; the source sends it again, which is all that shippers know to do, and finds us not
-reading until the told wait is over. Why so is in docs/design-forward.md.
+An acked chunk was delivered, or is stored here for the operator; the source may discard it. A closed
+connection means that the chunk was not delivered and may safely be sent again: the source retries, and we
+do not read from it until the requested wait is over. docs/design-forward.md gives the reasons.
 """
 
 from __future__ import annotations
@@ -12,32 +12,31 @@
 
 from brassweir.core.ports import Answer, FinalAnswer
 
-# A chunk that our own settings have no place for comes again until they have: not more often than this.
-MISPLACED = 5000.0  # ms
+UNROUTED_PAUSE_MS = 5000.0  # pause between retries of a chunk that has no route
 
 
 class Tell(Enum):
-    """What to do towards the source."""
+    """How to reply to the source."""
 
     ACK = auto()
-    KEEP = auto()  # write it to the undelivered store, and ack once it is there
+    KEEP = auto()  # save it in the undelivered store, then ack
     CLOSE = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """``pause`` (ms) is how long its source is not read from after a CLOSE."""
+    """A reply to the source. ``pause_ms``: after a CLOSE, how long the source is not read from."""
 
-    tell: Tell
+    action: Tell
     reason: str = ""
-    pause: float = 0.0
+    pause_ms: float = 0.0
 
 
 def final(answer: FinalAnswer, asked: bool) -> Told:
-    """What a final answer becomes; ``asked`` says that the source wants an ack, and so will send it again.
+    """Return the reply for a final answer. ``asked``: the source wants an ack, and resends without one.
 
-    A failed chunk is never asked for again: its effect may have taken place beyond the time in which a repeat
-    is dropped, or its destination has said no for good.
+    A failed chunk is stored, never requested again: it may have taken effect at a destination that no longer
+    drops its repeats, or the destination has rejected it for good.
     """
     if answer.answer is Answer.DELIVERED:
         return Told(Tell.ACK)
@@ -47,10 +46,10 @@
 
 
 def unreadable(reason: str) -> Told:
-    """A chunk whose entries cannot be read: sent again it would be no better."""
+    """Return the reply for a chunk whose entries cannot be decoded: stored, since a resend would fail too."""
     return Told(Tell.KEEP, reason)
 
 
-def misplaced(reason: str, asked: bool) -> Told:
-    """A chunk that no rule or listed destination takes: the settings or the list may yet."""
-    return Told(Tell.CLOSE, reason, MISPLACED) if asked else Told(Tell.KEEP, reason)
+def unrouted(reason: str, ack_requested: bool) -> Told:
+    """Return the reply for a chunk without a rule or known destination; a later retry may find one."""
+    return Told(Tell.CLOSE, reason, UNROUTED_PAUSE_MS) if ack_requested else Told(Tell.KEEP, reason)
--- a/brassweir/forward/decide/joining.py
+++ b/brassweir/forward/decide/joining.py
@@ -1,9 +1,7 @@
-"""Which attempts share a call: those to one endpoint that the module released together, up to the kind's
-batch.
+"""Batches attempts to the same endpoint into calls.
 
-The module says what may go and how many of a kind may go as one; what it releases in one turn for one
-endpoint is written on one connection, each chunk under its own id, and each keeps its own ack and its own
-ending.
+Attempts that are started in the same event loop iteration for one endpoint share a call, up to the kind's
+batch size. Their chunks are written on one connection, each with its own id, ack and outcome.
 """
 
 from __future__ import annotations
@@ -13,18 +11,18 @@
 
 @dataclass(slots=True)
 class Joining:
-    """Attempts waiting for the end of the turn, by endpoint."""
+    """Attempts that wait for the end of the event loop iteration. ``batch`` is the maximum in a call."""
 
     batch: int
     waiting: dict[str, list[int]] = field(default_factory=dict)
 
     def add(self, endpoint: str, attempt: int) -> list[int] | None:
-        """Take one; a call that is full, if this fills it."""
-        line = self.waiting.setdefault(endpoint, [])
-        line.append(attempt)
-        return self.waiting.pop(endpoint) if len(line) >= self.batch else None
+        """Add an attempt; returns the batch if it is now full, else None."""
+        batch = self.waiting.setdefault(endpoint, [])
+        batch.append(attempt)
+        return self.waiting.pop(endpoint) if len(batch) >= self.batch else None
 
     def rest(self) -> list[tuple[str, list[int]]]:
-        """The turn is over: every call that was not filled."""
-        left, self.waiting = self.waiting, {}
-        return list(left.items())
+        """Remove and return all batches that are not full, with their endpoints."""
+        remaining, self.waiting = self.waiting, {}
+        return list(remaining.items())
--- a/brassweir/forward/decide/rules.py
+++ b/brassweir/forward/decide/rules.py
@@ -1,5 +1,4 @@
-"""Whose a chunk is: its tag gives the class, destination, key and form, by rules that its source is bound
-to."""
+"""Routes a chunk by its tag: a source's rules give the class, destination, key and body format."""
 
 from __future__ import annotations
 
@@ -11,7 +10,7 @@
 
 
 class Body(Enum):
-    """In what form a chunk goes on."""
+    """The format in which a chunk's entries are sent to the destination."""
 
     LINES = "json-lines"
     PACKED = "msgpack"
@@ -19,12 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TagRule:
-    """Tags that ``pattern`` matches go so. ``destination`` may hold {tag} and {0}, {1}: parts of the tag; so
-    may ``key``, which orders the chunks of a source in a class that keeps order, and is empty where nothing
-    does.
+    """Routes chunks whose tag matches ``pattern``.
 
-    Patterns are those of Fluentd's match directive: ``*`` is one part, ``**`` any number of parts, ``{a,b}``
-    either; several stand apart by spaces. Raises ValueError for a pattern or destination that means nothing.
+    ``destination`` and ``key`` are templates: {tag} is the whole tag, {0}, {1} and so on its parts. Chunks of
+    one source with the same key are delivered in order, in a class that keeps order; an empty key means no
+    order.
+
+    Patterns are those of Fluentd's match directive: ``*`` matches one part, ``**`` any number of parts,
+    ``{a,b}`` either; several patterns are separated by spaces. Raises ValueError for an invalid pattern or
+    template.
     """
 
     pattern: str
@@ -39,11 +41,11 @@
         check_template(self.destination)
         check_template(self.key)
 
-    def filled(self, template: str, tag: str) -> str | None:
-        """A template with the parts of a tag in it; None if the tag has not so many."""
+    def fill(self, template: str, tag: str) -> str | None:
+        """Fill a template with parts of a tag; returns None if it refers to a part that the tag lacks."""
         parts = tag.split(".")
-        wanted = {int(name) for name in re.findall(r"\{(\d+)\}", template)}
-        if wanted and max(wanted) >= len(parts):
+        indexes = {int(name) for name in re.findall(r"\{(\d+)\}", template)}
+        if indexes and max(indexes) >= len(parts):
             return None
         return re.sub(
             r"\{(tag|\d+)\}", lambda found: tag if found[1] == "tag" else parts[int(found[1])], template
@@ -51,8 +53,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """Where a chunk goes, and as what."""
+class Route:
+    """Where a chunk is delivered, in which class, format and order."""
 
     class_name: str
     destination: str
@@ -60,13 +62,13 @@
     key: str
 
 
-def place(rules: tuple[TagRule, ...], source: str, tag: str) -> Placed | None:
-    """The first rule that fits decides; None if none does."""
+def find_route(rules: tuple[TagRule, ...], source: str, tag: str) -> Route | None:
+    """Return the route by the first matching rule; None if none matches or its templates cannot be filled."""
     for rule in rules:
         if rule.matcher.fullmatch(tag) is None:
             continue
-        home, key = rule.filled(rule.destination, tag), rule.filled(rule.key, tag)
-        if home is None or key is None:
+        destination, key = rule.fill(rule.destination, tag), rule.fill(rule.key, tag)
+        if destination is None or key is None:
             return None
-        return Placed(rule.class_name, home, rule.body, f"{source}\n{key}" if key else "")
+        return Route(rule.class_name, destination, rule.body, f"{source}\n{key}" if key else "")
     return None
--- a/brassweir/forward/endings.py
+++ b/brassweir/forward/endings.py
@@ -1,7 +1,8 @@
-"""How each ending of a forward call reads. Pure; no protocol's row says less: it has an ack, or nothing.
+"""Maps the end of a forward call to an outcome. Pure.
 
-There is no word for busy, wait or no. A destination that will not take a chunk closes the connection, before
-or after it has read it; once a byte was written nothing tells the two apart, so it counts as may have run.
+The protocol has an ack but no reply for busy, wait or rejected. A destination that does not accept a chunk
+closes the connection before or after reading it. Once a byte was written, the two cannot be told apart, so
+the call counts as one that may have run.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def failed(error: CallFailed) -> Outcome:
-    """A call without its ack."""
+    """Return the outcome of a call that got no ack."""
     if error.stage is Stage.GARBLED:
         return Outcome(Result.ERROR, error.reason)
     return no_answer(error.stage is not Stage.CONNECT, True, error.timed_out, error.reason)
--- a/brassweir/forward/errors.py
+++ b/brassweir/forward/errors.py
@@ -1,5 +1,5 @@
-"""The one error that reading a peer's bytes can raise."""
+"""The only error that decoding a peer's bytes raises."""
 
 
 class ForwardError(ValueError):
-    """What a peer sent does not follow the protocol, or goes beyond a limit."""
+    """What a peer sent violates the protocol or exceeds a limit."""
--- a/brassweir/forward/events.py
+++ b/brassweir/forward/events.py
@@ -1,8 +1,8 @@
-"""Entries of a chunk: times and records, checked, and the forms that they leave in. No I/O.
+"""Decodes and checks a chunk's entries (time and record), and encodes them for destinations. No I/O.
 
-A chunk is held as its packed entries: msgpack arrays of two, one after another, as PackedForward has them
-(Forward protocol specification v1, "PackedForward Mode"). Every mode is brought to this without unpacking a
-record, and forward destinations are sent it as it came.
+A chunk is stored as packed entries: consecutive msgpack arrays of time and record (Forward protocol
+specification v1, "PackedForward Mode"). Messages of every mode are converted to this without unpacking a
+record, and forward destinations get the entries unchanged.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 PACKED = "application/vnd.fluent.entries+msgpack"
 LINES = "application/x-ndjson"
-DEEPEST = 64  # maps and arrays in one another, within a record
-EVENT_TIME = 0  # the extension type of EventTime
+MAX_DEPTH = 64  # nested maps and arrays in a record
+EVENT_TIME = 0  # msgpack extension type
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,13 +34,13 @@
     nanos: int = 0
 
     def ext(self) -> ExtType:
-        """As it goes over the wire."""
+        """Encode as a msgpack extension value."""
         return ExtType(EVENT_TIME, self.seconds.to_bytes(4, "big") + self.nanos.to_bytes(4, "big"))
 
     def text(self) -> str:
-        """RFC 3339, in UTC, with all nine digits."""
-        whole = datetime.fromtimestamp(self.seconds, UTC)
-        return f"{whole:%Y-%m-%dT%H:%M:%S}.{self.nanos:09d}Z"
+        """Format as RFC 3339 in UTC, with nine decimals."""
+        whole_seconds = datetime.fromtimestamp(self.seconds, UTC)
+        return f"{whole_seconds:%Y-%m-%dT%H:%M:%S}.{self.nanos:09d}Z"
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,21 +52,21 @@
 
 
 def packed(value: Any) -> bytes:
-    """A value as msgpack."""
+    """Encode a value as msgpack."""
     out: bytes = packb(value)
     return out
 
 
 def pack(events: list[Event], *, integer_times: bool = False) -> bytes:
-    """Packed entries."""
+    """Encode events as packed entries."""
     return b"".join(
         packed([event.time.seconds if integer_times else event.time.ext(), event.record]) for event in events
     )
 
 
-def unpack(data: bytes, most: int) -> Iterator[Event]:
-    """Read packed entries one by one, at most so many. Raises ForwardError, perhaps after some were given."""
-    total = count(data, most)
+def unpack(data: bytes, max_entries: int) -> Iterator[Event]:
+    """Yield packed entries as events. Raises ForwardError, possibly after some were yielded."""
+    total = count(data, max_entries)
     reader = Unpacker(
         read_size=4096,
         max_buffer_size=max(4096, len(data)),
@@ -80,58 +80,58 @@
             entry = reader.unpack()
         except (ValueError, TypeError) as error:  # TypeError: a map or array as a key
             raise ForwardError(f"entry {number} is no msgpack: {error or type(error).__name__}") from None
-        yield _event(entry, number)
+        yield _to_event(entry, number)
 
 
-def count(data: bytes, most: int) -> int:
-    """How many whole values there are, at a twentieth of what unpacking costs. Raises ForwardError.
+def count(data: bytes, max_entries: int) -> int:
+    """Count the complete msgpack values, without unpacking them. Raises ForwardError.
 
-    Only what is whole is unpacked afterwards: a header's claim reserves nothing.
+    Checked before unpacking, so that the sizes claimed by an incomplete value's headers allocate nothing.
     """
     stepper = Unpacker(read_size=4096, max_buffer_size=max(4096, len(data)))
     stepper.feed(data)
-    found = 0
-    while (before := stepper.tell()) < len(data):
+    entries = 0
+    while (start := stepper.tell()) < len(data):
         try:
             stepper.skip()
         except OutOfData:
-            raise ForwardError(f"entry {found} is cut off at byte {before}") from None
+            raise ForwardError(f"entry {entries} is cut off at byte {start}") from None
         except ValueError as error:
-            raise ForwardError(f"entry {found} is no msgpack: {error or type(error).__name__}") from None
-        found += 1
-        if found > most:
-            raise ForwardError(f"more than {most} entries")
-    return found
+            raise ForwardError(f"entry {entries} is no msgpack: {error or type(error).__name__}") from None
+        entries += 1
+        if entries > max_entries:
+            raise ForwardError(f"more than {max_entries} entries")
+    return entries
 
 
-def _event(entry: Any, number: int) -> Event:
+def _to_event(entry: Any, number: int) -> Event:
     if not isinstance(entry, list) or len(entry) != 2:
         raise ForwardError(f"entry {number} is no array of time and record")
-    when, record = entry
-    if isinstance(when, list) and len(when) == 2 and isinstance(when[1], dict):
-        when = when[0]  # time and metadata, as newer shippers pair them
+    time_value, record = entry
+    if isinstance(time_value, list) and len(time_value) == 2 and isinstance(time_value[1], dict):
+        time_value = time_value[0]  # newer shippers send a pair of time and metadata
     if not isinstance(record, dict):
         raise ForwardError(f"entry {number} has no map as its record")
-    _shallow(record, number)
-    return Event(_time(when, number), record)
+    _check_depth(record, number)
+    return Event(_to_event_time(time_value, number), record)
 
 
-def _time(when: Any, number: int) -> EventTime:
-    if isinstance(when, ExtType) and when.code == EVENT_TIME and len(when.data) == 8:
-        nanos = int.from_bytes(when.data[4:], "big")
+def _to_event_time(time_value: Any, number: int) -> EventTime:
+    if isinstance(time_value, ExtType) and time_value.code == EVENT_TIME and len(time_value.data) == 8:
+        nanos = int.from_bytes(time_value.data[4:], "big")
         if nanos < 1_000_000_000:
-            return EventTime(int.from_bytes(when.data[:4], "big"), nanos)
-    elif isinstance(when, int) and not isinstance(when, bool) and 0 <= when < 1 << 32:
-        return EventTime(when)
-    elif isinstance(when, float) and math.isfinite(when) and 0.0 <= when < 1 << 32:
-        whole = int(when)
-        return EventTime(whole, min(999_999_999, int((when - whole) * 1e9)))
+            return EventTime(int.from_bytes(time_value.data[:4], "big"), nanos)
+    elif isinstance(time_value, int) and not isinstance(time_value, bool) and 0 <= time_value < 1 << 32:
+        return EventTime(time_value)
+    elif isinstance(time_value, float) and math.isfinite(time_value) and 0.0 <= time_value < 1 << 32:
+        whole_seconds = int(time_value)
+        return EventTime(whole_seconds, min(999_999_999, int((time_value - whole_seconds) * 1e9)))
     raise ForwardError(f"entry {number} has no time: neither seconds nor EventTime")
 
 
-def _shallow(record: dict[Any, Any], number: int) -> None:
+def _check_depth(record: dict[Any, Any], number: int) -> None:
     level: list[Any] = [record]
-    for _ in range(DEEPEST):
+    for _ in range(MAX_DEPTH):
         level = [
             inner
             for outer in level
@@ -140,50 +140,50 @@
         ]
         if not level:
             return
-    raise ForwardError(f"entry {number} is nested deeper than {DEEPEST}")
+    raise ForwardError(f"entry {number} is nested deeper than {MAX_DEPTH}")
 
 
-def gunzip(data: bytes, most: int) -> bytes:
-    """All members of a gzip stream, one after another (RFC 1952, section 2.2). Raises ForwardError.
+def gunzip(data: bytes, max_bytes: int) -> bytes:
+    """Decompress all members of a gzip stream (RFC 1952, section 2.2). Raises ForwardError.
 
-    Nothing beyond ``most`` bytes is ever produced, whatever the data claims to hold.
+    Stops beyond ``max_bytes`` of output, as a guard against decompression bombs.
     """
     out: list[bytes] = []
-    room = most
+    left = max_bytes
     while data:
         member = zlib.decompressobj(wbits=31)
         try:
-            part = member.decompress(data, room + 1)
+            part = member.decompress(data, left + 1)
         except zlib.error as error:
             raise ForwardError(f"no gzip: {error}") from None
-        if len(part) > room:
-            raise ForwardError(f"more than {most} bytes when decompressed")
+        if len(part) > left:
+            raise ForwardError(f"more than {max_bytes} bytes when decompressed")
         if not member.eof:
             raise ForwardError("the gzip data is cut off")
         out.append(part)
-        room -= len(part)
+        left -= len(part)
         data = member.unused_data
     return b"".join(out)
 
 
 def _ext(code: int, data: bytes) -> Any:
-    """Extension types within records: a map, which every form can hold; EventTime stands only beside one."""
+    """Decode an extension type: EventTime is kept, any other becomes a map, which JSON can hold."""
     return ExtType(code, data) if code == EVENT_TIME and len(data) == 8 else {"ext": code, "data": data}
 
 
-def _other(value: Any) -> Any:
+def _encode_other(value: Any) -> Any:
     if isinstance(value, Timestamp):
         return value.to_datetime().isoformat()
     raise ForwardError(f"a record holds {type(value).__name__}, which has no JSON")
 
 
-_json = msgspec.json.Encoder(enc_hook=_other)
+_json = msgspec.json.Encoder(enc_hook=_encode_other)
 
 
 def lines(tag: str, events: Iterator[Event]) -> tuple[bytes, int]:
-    """One JSON object a line: tag, time (RFC 3339) and record; and how many. Raises ForwardError.
+    """Encode events as JSON lines of tag, time (RFC 3339) and record; returns them and their count.
 
-    Bytes become base64, text that is no UTF-8 gets replacement marks, and keys become text.
+    Bytes become base64, invalid UTF-8 gets replacement characters, and keys become text. Raises ForwardError.
     """
     out = []
     for event in events:
@@ -191,31 +191,33 @@
         try:
             out.append(_json.encode(line))
         except (TypeError, ValueError, RecursionError):
-            out.append(_json.encode({**line, "record": _keyed(event.record)}))
+            out.append(_json.encode({**line, "record": _with_text_keys(event.record)}))
     return b"\n".join(out) + b"\n", len(out)
 
 
-def _keyed(value: Any) -> Any:
+def _with_text_keys(value: Any) -> Any:
     if isinstance(value, dict):
         return {
             key
             if isinstance(key, str)
             else key.decode("utf-8", "replace")
             if isinstance(key, bytes)
-            else str(key): _keyed(inner)
+            else str(key): _with_text_keys(inner)
             for key, inner in value.items()
         }
     if isinstance(value, list):
-        return [_keyed(inner) for inner in value]
+        return [_with_text_keys(inner) for inner in value]
     if isinstance(value, int) and not -(1 << 63) <= value < 1 << 64:
         return str(value)
     return value
 
 
-def of_payload(payload: Payload, tag: str, when: float) -> tuple[str, bytes, int]:
-    """Tag, packed entries and their count that carry a document of any type; ``when`` is the time in seconds.
+def of_payload(payload: Payload, tag: str, now: float) -> tuple[str, bytes, int]:
+    """Return the tag, packed entries and their count for a payload of any type.
 
-    Entries go on as they are; anything else becomes the one record of one event.
+    Packed entries are used unchanged; any other payload becomes a single event with the time ``now`` (seconds
+    since 1970). ``tag`` is used for entries without a tag and for every other payload. Raises ForwardError
+    for invalid packed entries.
     """
     if payload.content_type == PACKED:
         return payload.subject or tag, payload.content, count(payload.content, 1 << 31)
@@ -224,5 +226,5 @@
         record["content"] = payload.content.decode("utf-8")
     except UnicodeDecodeError:
         record["content"] = payload.content
-    whole = int(when)
-    return tag, pack([Event(EventTime(whole, int((when - whole) * 1e9)), record)]), 1
+    whole_seconds = int(now)
+    return tag, pack([Event(EventTime(whole_seconds, int((now - whole_seconds) * 1e9)), record)]), 1
--- a/brassweir/forward/frames.py
+++ b/brassweir/forward/frames.py
@@ -1,7 +1,7 @@
-"""Cuts a stream of bytes into whole msgpack values, however it is split. No I/O.
+"""Splits a byte stream into complete msgpack values. No I/O.
 
-A value is stepped over until it is whole and only then looked into: a header that claims thousands of
-millions of entries costs five bytes until they come; a peer can make us hold what it has sent, never more.
+A value is skipped over until it is complete, and unpacked only afterwards. So a header that claims billions
+of entries allocates nothing: a peer can make us buffer only what it has sent.
 """
 
 from __future__ import annotations
@@ -11,65 +11,65 @@
 
 from brassweir.forward.errors import ForwardError
 
-_READ = 4096  # the stepper's own buffer at first, bytes
-_SMALL = 65_536  # a stepper that came to hold more than this is made anew: its buffer never shrinks
+_READ_BYTES = 4096  # initial buffer of the stepper
+_MAX_IDLE_BYTES = 65_536  # buffers that grew larger are released between values
 
 
 class Frames:
-    """One direction of one connection. ``most`` bounds a value in bytes and may be changed."""
+    """One direction of one connection. ``max_bytes`` bounds one value and may be changed."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.buffer = bytearray()
         self.stepper: Unpacker | None = None
-        self.base = 0  # where the buffer begins in the stepper's count
-        self.high = 0
+        self.base = 0  # stepper's offset of the buffer's first byte
+        self.high_water = 0
 
     @property
     def partial(self) -> int:
-        """Bytes held of a value that is not whole."""
+        """Bytes buffered of an incomplete value."""
         return len(self.buffer)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes as they come; :meth:`next` gives what they complete."""
+        """Buffer received bytes; :meth:`next` returns the values. Raises ForwardError beyond 2 GiB."""
         if self.stepper is None:
-            self.stepper = Unpacker(read_size=_READ, max_buffer_size=(1 << 31) - 1)
-            self.base = self.high = 0
+            self.stepper = Unpacker(read_size=_READ_BYTES, max_buffer_size=(1 << 31) - 1)
+            self.base = self.high_water = 0
         self.buffer += data
-        self.high = max(self.high, len(self.buffer))
+        self.high_water = max(self.high_water, len(self.buffer))
         try:
             self.stepper.feed(data)
         except BufferFull:
             raise ForwardError("more than 2 GiB in one value") from None
 
     def next(self) -> bytes | None:
-        """The next whole value, or None until more comes. Raises ForwardError, after which all is lost."""
+        """Return the next complete value, or None. After ForwardError the stream is unusable."""
         if self.stepper is None:
             return None
         try:
             self.stepper.skip()
         except OutOfData:
-            if len(self.buffer) > self.most:
-                raise ForwardError(f"more than {self.most} bytes in one value") from None
+            if len(self.buffer) > self.max_bytes:
+                raise ForwardError(f"more than {self.max_bytes} bytes in one value") from None
             if not self.buffer:
-                self.rest()
+                self.release()
             return None
         except StackError:
             raise ForwardError("nested too deep") from None
         except ValueError:
             raise ForwardError("no msgpack") from None
         end = self.stepper.tell() - self.base
-        if end > self.most:
-            raise ForwardError(f"more than {self.most} bytes in one value")
-        whole = bytes(self.buffer[:end])
+        if end > self.max_bytes:
+            raise ForwardError(f"more than {self.max_bytes} bytes in one value")
+        value = bytes(self.buffer[:end])
         del self.buffer[:end]
         self.base += end
         if not self.buffer:
-            self.rest()
-        return whole
+            self.release()
+        return value
 
-    def rest(self) -> None:
-        """Let go of what an idle connection need not hold."""
-        if self.high > _SMALL:
+    def release(self) -> None:
+        """Free memory that an idle connection does not need; the stepper's own buffer never shrinks."""
+        if self.high_water > _MAX_IDLE_BYTES:
             self.buffer = bytearray()
         self.stepper = None
--- a/brassweir/forward/front.py
+++ b/brassweir/forward/front.py
@@ -1,7 +1,8 @@
-"""The forward front: sources' chunks in, an ack for each that was delivered or kept.
+"""The server side of the Forward protocol: receives sources' chunks and acks those delivered or stored.
 
-It reads, authenticates and limits; what becomes of a chunk is the engine's to say, and what its source is
-told of that is decided in decide/answers.py. docs/design-forward.md argues why an ack means what it means.
+This module authenticates sources and limits what they send. The engine decides the outcome of a chunk, and
+decide/answers.py maps that outcome to an ack or a closed connection. See docs/design-forward.md for the
+meaning of an ack.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from brassweir.forward.chunks import ChunkDelivery
 from brassweir.forward.connection import Connection
 from brassweir.forward.decide.answers import Tell, Told
-from brassweir.forward.decide.turns import Turns
+from brassweir.forward.decide.read_scheduler import ReadScheduler
 from brassweir.forward.heartbeat import Heartbeat
 from brassweir.forward.message import Message
 from brassweir.forward.ports import Bounds, Counts, Keeps, NoCounts, Note, Source, Submits
@@ -27,7 +28,11 @@
 
 
 class ForwardFront:
-    """Serves sources. ``margin`` (ms) is kept of each chunk's time for the ack's own way."""
+    """Serves sources over TCP.
+
+    ``margin`` (ms) is subtracted from each chunk's deadline, so that the ack can still reach the source.
+    ``number_of`` maps a destination's name to its number, or None if there is no such destination.
+    """
 
     def __init__(
         self,
@@ -48,24 +53,26 @@
         self.sources, self.gate, self.hostname, self.offload = sources, gate, hostname, offload
         self.note, self.bounds = note, bounds or Bounds()
         self.counts: Counts = counts or NoCounts()
-        self.turns = Turns(self.bounds.room)
-        self.buffer = memoryview(bytearray(self.turns.slice))
+        self.scheduler = ReadScheduler(self.bounds.room)
+        self.buffer = memoryview(bytearray(self.scheduler.read_slice))
         self.chunks = ChunkDelivery(
-            classes, number_of, engine, offload, note, self.bounds, margin, self.counts, self.turns
+            classes, number_of, engine, offload, note, self.bounds, margin, self.counts, self.scheduler
         )
         self.undelivered = UndeliveredChunks(keeps, note, self.counts)
         self.connections: set[Connection] = set()
-        self.readers: dict[int, Connection] = {}  # by the number that the turns know them by
+        self.connection_by_reader: dict[int, Connection] = {}  # by reader id of the scheduler
         self.listener: asyncio.Server | None = None
-        self.heart: asyncio.DatagramTransport | None = None
+        self.heartbeat_transport: asyncio.DatagramTransport | None = None
         self.stopping = False
-        self.looking: asyncio.Handle | None = None
+        self.resume_handle: asyncio.Handle | None = None
 
     async def listen(
         self, host: str, port: int, tls: SSLContext | None = None, *, beats: bool = False
     ) -> int:
-        """Start to listen and return the port; ``tls`` is the seam for a later direction. With ``beats``,
-        heartbeats over UDP are answered at the same port."""
+        """Start to listen and return the port. Raises OSError.
+
+        With ``beats``, UDP heartbeats are answered on the same port number.
+        """
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: self._connection(loop), host, port, ssl=tls, backlog=1024
@@ -73,7 +80,7 @@
         port = int(self.listener.sockets[0].getsockname()[1])
         if beats:
             transport, _ = await loop.create_datagram_endpoint(Heartbeat, local_addr=(host, port))
-            self.heart = transport
+            self.heartbeat_transport = transport
         return port
 
     def _connection(self, loop: asyncio.AbstractEventLoop) -> Connection:
@@ -83,86 +90,86 @@
         return Connection(self, session, loop)
 
     def stop_taking(self) -> None:
-        """Read nothing new; chunks in work are answered still."""
+        """Stop accepting connections and new chunks; chunks already received or begun are still answered."""
         self.stopping = True
         if self.listener is not None:
             self.listener.close()
-        if self.heart is not None:
-            self.heart.close()
+        if self.heartbeat_transport is not None:
+            self.heartbeat_transport.close()
         for connection in list(self.connections):
-            connection.consider() if connection.source else connection.drop()
+            connection.update_reading() if connection.source else connection.drop()
 
     def drain(self) -> None:
-        """Close every connection as soon as it waits for nothing."""
+        """Stop accepting, and close each connection once it has no unanswered chunk."""
         self.stop_taking()
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def abort(self) -> None:
-        """Drop every connection."""
+        """Abort every connection at once, without waiting for answers."""
         self.drain()
         for connection in list(self.connections):
             connection.drop()
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.resume_handle is not None:
+            self.resume_handle.cancel()
 
-    def complain(self, connection: Connection, reason: str) -> None:
-        """Note what a peer did that cannot be served."""
+    def report_rejection(self, connection: Connection, reason: str) -> None:
+        """Count and log a peer's connection or data that is rejected."""
         self.counts.told("turned_away")
         self.note(
             "forward_turned_away",
             {"peer": connection.peer, "source": connection.source, "reason": reason[:300]},
         )
 
-    def look_later(self) -> None:
-        """Look who may read on, soon."""
-        if self.looking is None:
+    def schedule_resume(self) -> None:
+        """Check in the next event loop iteration which paused connections may resume reading."""
+        if self.resume_handle is None:
             loop = asyncio.get_running_loop()
-            self.looking = loop.call_soon(self._looked)
+            self.resume_handle = loop.call_soon(self._resume_readers)
 
-    def _looked(self) -> None:
-        self.looking = None
+    def _resume_readers(self) -> None:
+        self.resume_handle = None
         loop = asyncio.get_running_loop()
-        go, again = self.turns.next(loop.time() * 1000.0)
-        for reader in go:
-            self.readers[reader].go()
-        if again is not None and self.looking is None:
-            self.looking = loop.call_at(again / 1000.0 + 0.001, self._looked)
-        waiting = len(self.turns.line) + len(self.turns.paused)
-        self.counts.held(self.turns.held, waiting, len(self.connections))
-
-    async def take(self, connection: Connection, given: Message, size: int) -> None:
-        """See one chunk through to what its source is told."""
+        resumed, recheck_at = self.scheduler.next(loop.time() * 1000.0)
+        for reader_id in resumed:
+            self.connection_by_reader[reader_id].resume()
+        if recheck_at is not None and self.resume_handle is None:
+            self.resume_handle = loop.call_at(recheck_at / 1000.0 + 0.001, self._resume_readers)
+        waiting = len(self.scheduler.queue) + len(self.scheduler.paused)
+        self.counts.held(self.scheduler.held_bytes, waiting, len(self.connections))
+
+    async def process_chunk(self, connection: Connection, received: Message, size: int) -> None:
+        """Deliver one chunk of ``size`` bytes and ack it, or close the connection."""
         source = self.sources[connection.source]
-        held = [size]
+        charged = [size]
 
-        def grew(to: int) -> None:
-            if to > held[0]:
-                self.turns.grew(connection.reader, to - held[0])
-                held[0] = to
+        def on_growth(total: int) -> None:
+            if total > charged[0]:
+                self.scheduler.chunk_grew(connection.reader_id, total - charged[0])
+                charged[0] = total
 
         try:
-            told = await self.chunks.deliver(source, given, grew)
-            await self._tell(connection, given, told)
+            reply = await self.chunks.deliver(source, received, on_growth)
+            await self._tell(connection, received, reply)
         except Exception as error:  # a fault here must not leave the source waiting
             self.note("forward_fault", {"source": source.name, "error": f"{type(error).__name__}: {error}"})
             connection.close()
         finally:
-            self.turns.done(connection.reader, held[0])
-            if self.stopping and len(connection.work) <= 1:
+            self.scheduler.chunk_finished(connection.reader_id, charged[0])
+            if self.stopping and len(connection.tasks) <= 1:
                 connection.close()
             else:
-                self.look_later()
+                self.schedule_resume()
 
     async def _tell(
         self, connection: Connection, given: Message, outcome: tuple[Told, UndeliveredItem]
     ) -> None:
-        told, item = outcome
+        reply, item = outcome
         name = connection.source
-        if told.tell is Tell.KEEP:
-            told = await self.undelivered.keep(told, item, bool(given.chunk))
-        if told.tell is Tell.CLOSE:
-            self.turns.refused(name, told.pause, asyncio.get_running_loop().time() * 1000.0)
+        if reply.action is Tell.KEEP:
+            reply = await self.undelivered.keep(reply, item, bool(given.chunk))
+        if reply.action is Tell.CLOSE:
+            self.scheduler.refused(name, reply.pause_ms, asyncio.get_running_loop().time() * 1000.0)
             self.counts.told("closed")
             self.note(
                 "forward_closed",
@@ -170,12 +177,12 @@
                     "source": name,
                     "tag": given.tag[:200],
                     "chunk": given.chunk,
-                    "reason": told.reason,
-                    "pause_ms": round(told.pause),
+                    "reason": reply.reason,
+                    "pause_ms": round(reply.pause_ms),
                 },
             )
             connection.close()
             return
         if given.chunk:
-            heard = connection.say(message.ack(given.chunk))
-            self.counts.told("acked" if heard else "ack_unheard")
+            written = connection.send(message.ack(given.chunk))
+            self.counts.told("acked" if written else "ack_unheard")
--- a/brassweir/forward/handshake.py
+++ b/brassweir/forward/handshake.py
@@ -1,4 +1,4 @@
-"""HELO, PING, PONG: do both know the key (specification v1, "Handshake Messages"). No I/O."""
+"""HELO, PING and PONG, which prove the shared key (specification v1, "Handshake Messages"). No I/O."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.events import packed
 
-LONGEST = 4096  # bytes of any handshake message
+MAX_FRAME_BYTES = 4096  # of any handshake message
 
 
 def digest(salt: bytes, hostname: str, nonce: bytes, key: bytes) -> str:
-    """SHA-512 over salt, hostname, nonce and key: what proves the key in both directions."""
+    """Return SHA-512 over salt, hostname, nonce and key, which proves the key in both directions."""
     return hashlib.sha512(salt + hostname.encode() + nonce + key).hexdigest()
 
 
 def password_digest(salt: bytes, username: str, password: bytes) -> str:
-    """SHA-512 over the salt that HELO gave, the username and the password."""
+    """Return SHA-512 over the salt from HELO, the username and the password."""
     return hashlib.sha512(salt + username.encode() + password).hexdigest()
 
 
-def same(one: str, other: str) -> bool:
-    """Compare in a time that tells nothing."""
-    return hmac.compare_digest(one.encode(), other.encode())
+def equal_constant_time(left: str, right: str) -> bool:
+    """Compare in constant time, against timing attacks."""
+    return hmac.compare_digest(left.encode(), right.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class Helo:
-    """The server begins. ``auth`` is the salt for passwords, empty if none is asked for."""
+    """The server's first message. ``auth`` is the salt for passwords, empty if none is required."""
 
     nonce: bytes
     auth: bytes = b""
     keepalive: bool = True
 
     def encode(self) -> bytes:
-        """As it goes over the wire."""
+        """Encode for the wire."""
         return packed(["HELO", {"nonce": self.nonce, "auth": self.auth, "keepalive": self.keepalive}])
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """The client names itself and proves the key."""
+    """The client's name and proof of the key."""
 
     hostname: str
     salt: bytes
@@ -54,17 +54,17 @@
     password: str = ""
 
     def encode(self) -> bytes:
-        """As it goes over the wire."""
+        """Encode for the wire."""
         return packed(["PING", self.hostname, self.salt, self.digest, self.username, self.password])
 
     def proves(self, nonce: bytes, key: bytes) -> bool:
-        """Was it made with this key, for this connection?"""
-        return same(self.digest, digest(self.salt, self.hostname, nonce, key))
+        """Whether it was made with this key and this connection's nonce."""
+        return equal_constant_time(self.digest, digest(self.salt, self.hostname, nonce, key))
 
 
 @dataclass(frozen=True, slots=True)
 class Pong:
-    """The server's verdict, and its own proof."""
+    """The server's decision and its own proof of the key."""
 
     good: bool
     reason: str
@@ -72,31 +72,31 @@
     digest: str = ""
 
     def encode(self) -> bytes:
-        """As it goes over the wire."""
+        """Encode for the wire."""
         return packed(["PONG", self.good, self.reason, self.hostname, self.digest])
 
     def proves(self, salt: bytes, nonce: bytes, key: bytes) -> bool:
-        """Does the server know the key as well?"""
-        return same(self.digest, digest(salt, self.hostname, nonce, key))
+        """Whether the server knows the key."""
+        return equal_constant_time(self.digest, digest(salt, self.hostname, nonce, key))
 
 
 def ping(
     helo: Helo, hostname: str, salt: bytes, key: bytes, username: str = "", password: bytes = b""
 ) -> Ping:
-    """The client's answer to a HELO; a password is told only where one is asked for."""
+    """Make the client's answer to a HELO; username and password are sent only if required."""
     proof = password_digest(helo.auth, username, password) if helo.auth else ""
     return Ping(hostname, salt, digest(salt, hostname, helo.nonce, key), username if helo.auth else "", proof)
 
 
-def pong(given: Ping, hostname: str, nonce: bytes, key: bytes) -> Pong:
-    """The server's answer to a PING that proved this key."""
-    return Pong(True, "", hostname, digest(given.salt, hostname, nonce, key))
+def pong(ping_received: Ping, hostname: str, nonce: bytes, key: bytes) -> Pong:
+    """Make the server's answer to a PING that proved this key."""
+    return Pong(True, "", hostname, digest(ping_received.salt, hostname, nonce, key))
 
 
 def read_helo(frame: bytes) -> Helo:
-    """Read a HELO. Raises ForwardError."""
-    tree = _array(frame, "HELO", 2, 2)
-    options = tree[1]
+    """Read a HELO. Raises ForwardError if it is malformed."""
+    parts = _read_array(frame, "HELO", 2, 2)
+    options = parts[1]
     if not isinstance(options, dict):
         raise ForwardError("HELO: its options are no map")
     auth = options.get(b"auth") or b""
@@ -107,36 +107,36 @@
 
 
 def read_ping(frame: bytes) -> Ping:
-    """Read a PING. Raises ForwardError."""
-    tree = _array(frame, "PING", 6, 6)
-    salt = tree[2]
+    """Read a PING. Raises ForwardError if it is malformed."""
+    parts = _read_array(frame, "PING", 6, 6)
+    salt = parts[2]
     if not isinstance(salt, bytes):
         raise ForwardError("PING: the salt is no string")
-    hostname, proof, username, password = (_text(tree[i], "PING") for i in (1, 3, 4, 5))
+    hostname, proof, username, password = (_text(parts[i], "PING") for i in (1, 3, 4, 5))
     return Ping(hostname, salt, proof, username, password)
 
 
 def read_pong(frame: bytes) -> Pong:
-    """Read a PONG. Raises ForwardError."""
-    tree = _array(frame, "PONG", 5, 5)
-    if not isinstance(tree[1], bool):
+    """Read a PONG. Raises ForwardError if it is malformed."""
+    parts = _read_array(frame, "PONG", 5, 5)
+    if not isinstance(parts[1], bool):
         raise ForwardError("PONG: its verdict is no boolean")
-    reason, hostname, proof = (_text(tree[i], "PONG") for i in (2, 3, 4))
-    return Pong(tree[1], reason, hostname, proof)
+    reason, hostname, proof = (_text(parts[i], "PONG") for i in (2, 3, 4))
+    return Pong(parts[1], reason, hostname, proof)
 
 
-def _array(frame: bytes, name: str, least: int, most: int) -> list[Any]:
-    if len(frame) > LONGEST:
-        raise ForwardError(f"{name}: longer than {LONGEST} bytes")
+def _read_array(frame: bytes, name: str, min_parts: int, max_parts: int) -> list[Any]:
+    if len(frame) > MAX_FRAME_BYTES:
+        raise ForwardError(f"{name}: longer than {MAX_FRAME_BYTES} bytes")
     try:
-        tree = unpackb(frame, raw=True, strict_map_key=False)
+        parts = unpackb(frame, raw=True, strict_map_key=False)
     except (ValueError, TypeError, RecursionError) as error:
         raise ForwardError(f"{name}: {error or type(error).__name__}") from None
-    if not isinstance(tree, list) or not tree or tree[0] != name.encode():
+    if not isinstance(parts, list) or not parts or parts[0] != name.encode():
         raise ForwardError(f"{name} is expected")
-    if not least <= len(tree) <= most:
-        raise ForwardError(f"{name}: {len(tree)} parts instead of {least}")
-    return tree
+    if not min_parts <= len(parts) <= max_parts:
+        raise ForwardError(f"{name}: {len(parts)} parts instead of {min_parts}")
+    return parts
 
 
 def _text(value: Any, name: str) -> str:
--- a/brassweir/forward/heartbeat.py
+++ b/brassweir/forward/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats of sources over UDP."""
+"""Answers sources' heartbeats over UDP."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Heartbeat(asyncio.DatagramProtocol):
-    """Answers heartbeats over UDP: one byte for each datagram, so that nobody gains by forging them."""
+    """Answers each datagram with one byte, so that forged ones cannot be used for amplification."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin."""
+        """Keep the transport for answers."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Answer."""
+        """Answer a heartbeat."""
         self.transport.sendto(b"\0", addr)
--- a/brassweir/forward/link.py
+++ b/brassweir/forward/link.py
@@ -14,12 +14,12 @@
 from brassweir.net.pool import ConnectionPool
 from brassweir.net.pool_manager import PoolManager
 
-ANSWER = 4096  # bytes of anything a destination says
+MAX_REPLY_BYTES = 4096  # of one frame from a destination
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """How we name ourselves to a kind of destinations. Without a key no handshake is made."""
+    """Our credentials at one kind of destinations. Without a key there is no handshake."""
 
     hostname: str
     key: bytes = b""
@@ -42,59 +42,70 @@
         self.credentials = credentials
 
     def new_connection(self, loop: asyncio.AbstractEventLoop) -> Connection:
-        """A forward connection."""
+        """Create a connection to the endpoint."""
         return ForwardLink(self, loop, self.credentials)
 
 
 class ForwardLink(Connection):
-    """One connection; a call on it is one or more chunks, each with an ack of its own."""
+    """One connection; a call on it sends one or more chunks, and each has its own ack."""
 
     def __init__(
         self, pool: ConnectionPool, loop: asyncio.AbstractEventLoop, credentials: Credentials
     ) -> None:
         super().__init__(pool, loop)
         self.credentials = credentials
-        self.frames = Frames(ANSWER)
-        self.said: asyncio.Future[bytes] | None = None  # what the handshake waits for
-        self.early: list[bytes] = []
+        self.frames = Frames(MAX_REPLY_BYTES)
+        self.frame_waiter: asyncio.Future[bytes] | None = None  # the handshake waits on it
+        self.early_frames: list[bytes] = []
         self.acks: dict[str, asyncio.Future[None]] = {}
         self.keepalive = True
 
     # ---- the handshake
 
     async def perform_handshake(self) -> None:
-        """Prove that both sides know the key; raises CallFailed where they do not."""
-        own = self.credentials
-        if not own.key:
+        """Prove the shared key in both directions. Raises CallFailed if either side cannot."""
+        credentials = self.credentials
+        if not credentials.key:
             return
         salt = secrets.token_bytes(16)
         try:
-            helo = handshake.read_helo(await self._hear())
+            helo = handshake.read_helo(await self._next_frame())
             assert self.transport is not None
             self.transport.write(
-                handshake.ping(helo, own.hostname, salt, own.key, own.username, own.password).encode()
+                handshake.ping(
+                    helo,
+                    credentials.hostname,
+                    salt,
+                    credentials.key,
+                    credentials.username,
+                    credentials.password,
+                ).encode()
             )
-            pong = handshake.read_pong(await self._hear())
+            pong = handshake.read_pong(await self._next_frame())
         except ForwardError as error:
             raise CallFailed(Stage.CONNECT, str(error)) from None
         if not pong.good:
             raise CallFailed(Stage.CONNECT, f"not let in: {pong.reason[:200]}")
-        if not pong.proves(salt, helo.nonce, own.key):
+        if not pong.proves(salt, helo.nonce, credentials.key):
             raise CallFailed(Stage.CONNECT, "it does not know the shared key")
         self.keepalive = helo.keepalive
 
-    async def _hear(self) -> bytes:
-        if self.early:
-            return self.early.pop(0)
+    async def _next_frame(self) -> bytes:
+        if self.early_frames:
+            return self.early_frames.pop(0)
         if not self.usable:
             raise CallFailed(Stage.CONNECT, "closed during the handshake")
-        self.said = self.loop.create_future()
-        return await self.said
+        self.frame_waiter = self.loop.create_future()
+        return await self.frame_waiter
 
     # ---- chunks
 
     def send(self, chunk: str, data: bytes) -> asyncio.Future[None]:
-        """Write one chunk; the future ends with its ack, or raises CallFailed."""
+        """Write one chunk; returns a future that completes with its ack or raises CallFailed.
+
+        Raises CallFailed at once if the connection is closed. A chunk id already sent in this call is not
+        written again.
+        """
         assert self.transport is not None
         if self.transport.is_closing() or not self.usable:
             raise CallFailed(Stage.CONNECT, "connection closed before anything was written")
@@ -104,46 +115,49 @@
             self.transport.write(data)
         return waiting
 
-    def ended(self) -> None:
-        """The call is over; with acks outstanding, or where the server takes one call only, so is the
-        link."""
-        left = any(not waiting.done() for waiting in self.acks.values())
+    def finish_call(self) -> None:
+        """End the call.
+
+        Drops the connection if acks are outstanding, so that a late ack cannot meet a later call, or if the
+        server declined keepalive.
+        """
+        unacknowledged = any(not waiting.done() for waiting in self.acks.values())
         self.acks.clear()
-        if left or not self.keepalive:
+        if unacknowledged or not self.keepalive:
             self.drop()
 
     def fail(self, error: CallFailed) -> None:
-        """End what waits."""
+        """Fail the handshake and all pending acks."""
         self.usable = False
-        if self.said is not None and not self.said.done():
-            self.said.set_exception(CallFailed(Stage.CONNECT, error.reason))
+        if self.frame_waiter is not None and not self.frame_waiter.done():
+            self.frame_waiter.set_exception(CallFailed(Stage.CONNECT, error.reason))
         for waiting in self.acks.values():
             if not waiting.done():
                 waiting.set_exception(error)
-                waiting.exception()  # it may have nobody any more who asks for it
+                waiting.exception()  # marks it as retrieved: its waiter may be gone
 
     def eof_received(self) -> bool:
-        """The peer sends no more: no ack can come."""
+        """Close the connection: after the peer's EOF no ack can arrive."""
         self.usable = False
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Take acks, and the handshake's messages; all else ends the connection."""
+        """Process handshake messages and acks; anything else fails the connection."""
         try:
             self.frames.feed(data)
             while (frame := self.frames.next()) is not None:
-                self._heard(frame)
+                self._handle_frame(frame)
         except ForwardError as error:
             self.fail(CallFailed(Stage.GARBLED, str(error)))
             self.drop()
 
-    def _heard(self, frame: bytes) -> None:
-        if self.said is not None and not self.said.done():
-            self.said.set_result(frame)
+    def _handle_frame(self, frame: bytes) -> None:
+        if self.frame_waiter is not None and not self.frame_waiter.done():
+            self.frame_waiter.set_result(frame)
         elif not self.acks:
-            # Before a first call this is a handshake that is quicker than we; later nobody waits for it.
-            if self.said is None and self.credentials.key and not self.early:
-                self.early.append(frame)
+            # HELO may arrive before the handshake waits for it; any later frame is unsolicited.
+            if self.frame_waiter is None and self.credentials.key and not self.early_frames:
+                self.early_frames.append(frame)
             else:
                 raise ForwardError("it says something unasked")
         else:
--- a/brassweir/forward/message.py
+++ b/brassweir/forward/message.py
@@ -1,4 +1,4 @@
-"""The modes in which events are carried, and acks (specification v1, "Message Modes"). No I/O."""
+"""Encodes and decodes messages of all modes, and acks (specification v1, "Message Modes"). No I/O."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.events import Event, packed
 
-TAG = 1024  # bytes of a tag
-CHUNK = 256  # bytes of a chunk's id
-NIL = b"\xc0"  # a heartbeat over the connection
+MAX_TAG_BYTES = 1024
+CHUNK = 256  # bytes of a chunk id
+NIL = b"\xc0"  # a heartbeat over TCP
 
 
 class Mode(Enum):
-    """How the entries came."""
+    """The mode in which entries were sent."""
 
     MESSAGE = "message"
     FORWARD = "forward"
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message of any mode. ``data`` is its packed entries, still compressed if the mode says so.
+    """One message of any mode. ``data`` holds its packed entries, compressed in the mode COMPRESSED.
 
-    ``chunk`` is the id that its source wants acknowledged, empty if it does not ask; ``size`` the number of
-    entries that the source counted, if it told.
+    ``chunk`` is the id to acknowledge, empty if the source wants no ack. ``size`` is the source's count of
+    entries, None if it gave none.
     """
 
     mode: Mode
@@ -41,17 +41,17 @@
     chunk: str = ""
     size: int | None = None
 
-    def entries(self, most: int) -> bytes:
-        """The packed entries, at most so many bytes. Raises ForwardError."""
+    def entries(self, max_bytes: int) -> bytes:
+        """Return the packed entries, decompressed. Raises ForwardError beyond ``max_bytes``."""
         if self.mode is Mode.COMPRESSED:
-            return events.gunzip(self.data, most)
-        if len(self.data) > most:
-            raise ForwardError(f"more than {most} bytes of entries")
+            return events.gunzip(self.data, max_bytes)
+        if len(self.data) > max_bytes:
+            raise ForwardError(f"more than {max_bytes} bytes of entries")
         return self.data
 
 
 def read(frame: bytes) -> Message:
-    """Read one whole msgpack value as a message, without unpacking its entries. Raises ForwardError."""
+    """Decode one complete msgpack value as a message, without unpacking its entries. Raises ForwardError."""
     try:
         return _read(frame)
     except ForwardError:
@@ -66,30 +66,30 @@
     length = reader.read_array_header()
     if length < 2:
         raise ForwardError("a message has at least a tag and entries")
-    tag = _text(reader.unpack(), "the tag", TAG)
+    tag = _text(reader.unpack(), "the tag", MAX_TAG_BYTES)
     start = reader.tell()
     kind = frame[start]
     if kind >> 4 == 0x9 or kind in (0xDC, 0xDD):
-        mode, most = Mode.FORWARD, 3
+        mode, max_parts = Mode.FORWARD, 3
         count = reader.read_array_header()
         start = reader.tell()
         for _ in range(count):
             reader.skip()
         data = frame[start : reader.tell()]
     elif kind >> 5 == 0x5 or kind in (0xC4, 0xC5, 0xC6, 0xD9, 0xDA, 0xDB):
-        mode, most = Mode.PACKED, 3
+        mode, max_parts = Mode.PACKED, 3
         data = reader.unpack()
     else:
-        mode, most = Mode.MESSAGE, 4
+        mode, max_parts = Mode.MESSAGE, 4
         if length < 3:
             raise ForwardError("a time without a record")
         reader.skip()
         reader.skip()
         data = b"\x92" + frame[start : reader.tell()]
-    if length > most:
+    if length > max_parts:
         raise ForwardError(f"an array of {length} is no message")
-    given = reader.unpack() if length == most else None
-    chunk, size, compressed = _options(given)
+    options = reader.unpack() if length == max_parts else None
+    chunk, size, compressed = _options(options)
     if compressed:
         if mode is not Mode.PACKED:
             raise ForwardError("only packed entries may be compressed")
@@ -97,30 +97,30 @@
     return Message(mode, tag, data, chunk, size)
 
 
-def _options(given: Any) -> tuple[str, int | None, bool]:
-    if given is None:
+def _options(options: Any) -> tuple[str, int | None, bool]:
+    if options is None:
         return "", None, False
-    if not isinstance(given, dict):
+    if not isinstance(options, dict):
         raise ForwardError("the options are no map")
-    chunk = _text(given.get(b"chunk", b""), "the option chunk", CHUNK)
-    size = given.get(b"size")
+    chunk = _text(options.get(b"chunk", b""), "the option chunk", CHUNK)
+    size = options.get(b"size")
     if not isinstance(size, int) or isinstance(size, bool):
-        size = None  # it is only a hint
-    compressed = given.get(b"compressed", b"text")
+        size = None  # only a hint, so a bad one is ignored
+    compressed = options.get(b"compressed", b"text")
     if compressed not in (b"text", b"gzip", None):
         raise ForwardError(f"unknown compression {str(compressed)[:40]}")
     return chunk, size, compressed == b"gzip"
 
 
-def _text(value: Any, what: str, most: int) -> str:
+def _text(value: Any, field_name: str, max_bytes: int) -> str:
     if not isinstance(value, bytes):
-        raise ForwardError(f"{what} is no string")
-    if len(value) > most:
-        raise ForwardError(f"{what} is longer than {most} bytes")
+        raise ForwardError(f"{field_name} is no string")
+    if len(value) > max_bytes:
+        raise ForwardError(f"{field_name} is longer than {max_bytes} bytes")
     try:
         return value.decode("utf-8")
     except UnicodeDecodeError:
-        raise ForwardError(f"{what} is no UTF-8") from None
+        raise ForwardError(f"{field_name} is no UTF-8") from None
 
 
 def build(
@@ -132,18 +132,20 @@
     size: int | None = None,
     integer_times: bool = False,
 ) -> bytes:
-    """A message of any mode. ``size`` is what is told as the count; one MESSAGE carries one entry."""
+    """Encode a message of any mode. ``size`` overrides the count sent; MESSAGE carries exactly one entry."""
     options: dict[str, Any] = {}
     if chunk:
         options["chunk"] = chunk
     if mode is Mode.MESSAGE:
-        (one,) = entries
-        when: Any = one.time.seconds if integer_times else one.time.ext()
-        return packed([tag, when, one.record, *([options] if options else [])])
+        (entry,) = entries
+        entry_time: Any = entry.time.seconds if integer_times else entry.time.ext()
+        return packed([tag, entry_time, entry.record, *([options] if options else [])])
     options["size"] = len(entries) if size is None else size
     if mode is Mode.FORWARD:
-        listed = [[one.time.seconds if integer_times else one.time.ext(), one.record] for one in entries]
-        return packed([tag, listed, options])
+        entry_pairs = [
+            [entry.time.seconds if integer_times else entry.time.ext(), entry.record] for entry in entries
+        ]
+        return packed([tag, entry_pairs, options])
     return packed_message(
         tag,
         events.pack(entries, integer_times=integer_times),
@@ -154,7 +156,7 @@
 
 
 def packed_message(tag: str, entries: bytes, chunk: str, size: int, *, compress: bool = False) -> bytes:
-    """A message of packed entries."""
+    """Encode a message of packed entries; ``size`` is their count."""
     options: dict[str, Any] = {"chunk": chunk} if chunk else {}
     options["size"] = size
     if compress:
@@ -163,16 +165,16 @@
 
 
 def ack(chunk: str) -> bytes:
-    """The answer to a chunk."""
+    """Encode the ack of a chunk."""
     return packed({"ack": chunk})
 
 
 def read_ack(frame: bytes) -> str:
-    """The id that an answer names. Raises ForwardError."""
+    """Return the chunk id in an ack. Raises ForwardError."""
     try:
-        given = unpackb(frame, raw=True, strict_map_key=False)
+        reply = unpackb(frame, raw=True, strict_map_key=False)
     except (ValueError, TypeError, RecursionError) as error:
         raise ForwardError(f"no ack: {error or type(error).__name__}") from None
-    if not isinstance(given, dict):
+    if not isinstance(reply, dict):
         raise ForwardError("an ack is a map")
-    return _text(given.get(b"ack"), "ack", CHUNK)
+    return _text(reply.get(b"ack"), "ack", CHUNK)
--- a/brassweir/forward/ports.py
+++ b/brassweir/forward/ports.py
@@ -1,5 +1,4 @@
-"""What the front needs from the service around it, and the figures that bound what sources can make it
-hold."""
+"""Interfaces that the front needs from the service, and its limits."""
 
 from __future__ import annotations
 
@@ -17,22 +16,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Sizes in bytes, times in ms."""
+    """Limits on what sources may send and how long they may take. Sizes in bytes, times in ms."""
 
-    chunk: int = 16_000_000  # one message as it comes
-    unpacked: int = 64_000_000  # its entries, decompressed
+    chunk: int = 16_000_000  # one message as received
+    unpacked: int = 64_000_000  # one message's decompressed entries
     entries: int = 200_000
-    room: int = 200_000_000  # chunks of all sources, begun or unanswered
+    room: int = 200_000_000  # partial and unanswered chunks of all sources together
     connections: int = 2048
     handshake_time: float = 10_000.0
-    chunk_time: float = 60_000.0  # from a chunk's first byte to its last, while we read
+    chunk_time: float = 60_000.0  # from a chunk's first byte to its last, without pauses in reading
     idle_time: float = 3_600_000.0
     write_time: float = 30_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """One that hands chunks in, by the hostname that it names in its PING."""
+    """A client that sends chunks; ``name`` is the hostname in its PING."""
 
     name: str
     rules: tuple[TagRule, ...]
@@ -40,45 +39,45 @@
 
 
 class Submits(Protocol):
-    """The engine, as far as a front sees it."""
+    """The part of the engine that the front needs."""
 
     def submit(
         self, submission: Submission, waiter: Callable[[FinalAnswer], None]
     ) -> tuple[SubmitStatus, MessageRecord]:
-        """Hand in a message."""
+        """Submit a message; ``waiter`` is called with its final answer."""
 
     def knows(self, owner: str, identity: str) -> bool:
-        """Would a hand-in join a message, or be told its answer?"""
+        """Whether a submission would join a known message or get its final answer."""
 
 
 class Keeps(Protocol):
     """The undelivered store."""
 
     def __call__(self, item: UndeliveredItem) -> Awaitable[None]:
-        """Keep a message; returns once it is on disk. Raises OSError."""
+        """Store a message; returns once it is on disk. Raises OSError."""
 
 
 class Counts(Protocol):
     """Metrics of the front."""
 
     def chunk(self, mode: str, entries: int, size: int) -> None:
-        """A chunk was read."""
+        """Count a decoded chunk."""
 
     def told(self, what: str) -> None:
-        """A source was told so."""
+        """Count a reply to a source by its kind."""
 
     def held(self, held: int, waiting: int, connections: int) -> None:
-        """Bytes held, connections that wait to read, and all of them."""
+        """Set the bytes buffered, the connections that wait to read, and all connections."""
 
 
 class NoCounts:
     """Counts nothing."""
 
     def chunk(self, mode: str, entries: int, size: int) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def told(self, what: str) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def held(self, held: int, waiting: int, connections: int) -> None:
-        """Nothing."""
+        """Do nothing."""
--- a/brassweir/forward/session.py
+++ b/brassweir/forward/session.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The source has proved who it is; ``say`` tells it so."""
+    """The source is authenticated; ``say`` is the PONG to send."""
 
     source: str
     say: bytes
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """It has not; ``say`` tells it so, and the connection is to be closed."""
+    """Authentication failed; send ``say``, the PONG, and close the connection."""
 
     reason: str
     say: bytes
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Came:
-    """A whole message of ``size`` bytes. ``message`` is None for a heartbeat."""
+    """A complete message of ``size`` bytes. ``message`` is None for a heartbeat."""
 
     message: Message | None
     size: int
 
 
 class Gatekeeper(Protocol):
-    """Who may come in."""
+    """The keys and passwords of sources."""
 
     def keys(self, source: str) -> tuple[bytes, ...]:
         """The shared keys of a source, newest first; none if it is unknown."""
@@ -46,29 +46,29 @@
         """The password of a user of a source; None if there is no such user."""
 
     def needs_user(self) -> bool:
-        """Must sources give a username and a password?"""
+        """Whether sources must give a username and a password."""
 
 
 class Session:
-    """One connection. ``nonce`` and ``salt`` are fresh random bytes; ``most`` bounds a message in bytes."""
+    """One connection. ``nonce`` and ``salt`` are fresh random bytes; ``max_bytes`` bounds a message."""
 
-    def __init__(self, gate: Gatekeeper, hostname: str, nonce: bytes, salt: bytes, most: int) -> None:
-        self.gate, self.hostname, self.nonce, self.most = gate, hostname, nonce, most
+    def __init__(self, gate: Gatekeeper, hostname: str, nonce: bytes, salt: bytes, max_bytes: int) -> None:
+        self.gate, self.hostname, self.nonce, self.max_bytes = gate, hostname, nonce, max_bytes
         self.salt = salt if gate.needs_user() else b""
-        # Before it has proved who it is, a peer gets no room worth the name.
-        self.frames = Frames(handshake.LONGEST)
+        # An unauthenticated peer can make us buffer no more than this.
+        self.frames = Frames(handshake.MAX_FRAME_BYTES)
         self.source = ""
 
     def hello(self) -> bytes:
-        """What the server says first."""
+        """Return the encoded HELO, the server's first message."""
         return handshake.Helo(self.nonce, self.salt).encode()
 
     def feed(self, data: bytes) -> None:
-        """Take bytes as they come."""
+        """Buffer received bytes. Raises ForwardError if a value exceeds 2 GiB."""
         self.frames.feed(data)
 
     def events(self) -> Iterator[Admitted | Denied | Came]:
-        """What the bytes so far make. Raises ForwardError, after which the connection can only be closed."""
+        """Yield what is complete in the bytes so far. After ForwardError the connection must be closed."""
         while (frame := self.frames.next()) is not None:
             if self.source:
                 if frame == message.NIL:
@@ -83,23 +83,25 @@
 
     def _admit(self, frame: bytes) -> Admitted | Denied:
         try:
-            given = handshake.read_ping(frame)
+            ping = handshake.read_ping(frame)
         except ForwardError as error:
             return self._denied(str(error))
-        # An unknown source is told the same as one with a wrong key, after the same work.
-        keys = self.gate.keys(given.hostname)
-        found = [key for key in keys or (b"",) if given.proves(self.nonce, key)]
-        if not keys or not found:
-            return self._denied("shared key mismatch", given.hostname)
+        # An unknown source costs the same work and gets the same reply as a wrong key.
+        keys = self.gate.keys(ping.hostname)
+        matching_keys = [key for key in keys or (b"",) if ping.proves(self.nonce, key)]
+        if not keys or not matching_keys:
+            return self._denied("shared key mismatch", ping.hostname)
         if self.salt:
-            password = self.gate.password(given.hostname, given.username)
-            expected = handshake.password_digest(self.salt, given.username, password or b"")
-            if password is None or not handshake.same(expected, given.password):
-                return self._denied("username/password mismatch", given.hostname)
-        self.source = given.hostname
-        self.frames.most = self.most
-        return Admitted(self.source, handshake.pong(given, self.hostname, self.nonce, found[0]).encode())
-
-    def _denied(self, reason: str, who: str = "") -> Denied:
-        words = f"{reason} ({who[:120]!r})" if who else reason
-        return Denied(words, handshake.Pong(False, reason).encode())
+            password = self.gate.password(ping.hostname, ping.username)
+            expected = handshake.password_digest(self.salt, ping.username, password or b"")
+            if password is None or not handshake.equal_constant_time(expected, ping.password):
+                return self._denied("username/password mismatch", ping.hostname)
+        self.source = ping.hostname
+        self.frames.max_bytes = self.max_bytes
+        return Admitted(
+            self.source, handshake.pong(ping, self.hostname, self.nonce, matching_keys[0]).encode()
+        )
+
+    def _denied(self, reason: str, hostname: str = "") -> Denied:
+        detail = f"{reason} ({hostname[:120]!r})" if hostname else reason
+        return Denied(detail, handshake.Pong(False, reason).encode())
--- a/brassweir/forward/undelivered.py
+++ b/brassweir/forward/undelivered.py
@@ -1,4 +1,4 @@
-"""What a source is told of a chunk that nobody took: kept for the operator, or left with its source."""
+"""Stores chunks that cannot be delivered, or leaves them with their source if that fails."""
 
 from __future__ import annotations
 
@@ -11,46 +11,50 @@
 
 
 class UndeliveredChunks:
-    """Keeps chunks by ``keeps``, and says so."""
+    """Stores chunks by ``keeps``, and logs and counts each."""
 
     def __init__(self, keeps: Keeps, note: Note, counts: Counts) -> None:
         self.keeps, self.note, self.counts = keeps, note, counts
 
-    async def keep(self, told: Told, item: UndeliveredItem, asked: bool) -> Told:
-        """Keep a chunk for the operator; where that fails its source keeps it, if it can."""
-        kept = UndeliveredItem(
+    async def keep(self, reply: Told, item: UndeliveredItem, ack_requested: bool) -> Told:
+        """Store a chunk for the operator; returns the reply to the source.
+
+        If storing fails, the reply closes the connection, so that a source that wants acks sends the chunk
+        again; without ``ack_requested`` the chunk is lost.
+        """
+        stored_item = UndeliveredItem(
             item.owner,
             item.identity,
             item.destination,
             item.class_name,
             item.label,
-            told.reason,
+            reply.reason,
             time.time() * 1000.0,
             item.content_type,
             item.content,
         )
         try:
-            await self.keeps(kept)
+            await self.keeps(stored_item)
         except OSError as error:
             self.note(
                 "not_kept",
                 {
                     "source": item.owner,
                     "chunk": item.identity,
-                    "reason": told.reason,
+                    "reason": reply.reason,
                     "error": str(error),
-                    "lost": not asked,
+                    "lost": not ack_requested,
                 },
             )
-            return Told(Tell.CLOSE, f"{told.reason}; and not kept: {error}", answers.MISPLACED)
+            return Told(Tell.CLOSE, f"{reply.reason}; and not kept: {error}", answers.UNROUTED_PAUSE_MS)
         self.note(
             "kept",
             {
                 "source": item.owner,
                 "chunk": item.identity,
                 "destination": item.destination,
-                "reason": told.reason,
+                "reason": reply.reason,
             },
         )
         self.counts.told("kept")
-        return told
+        return reply
--- a/tests/forward/test_decide.py
+++ b/tests/forward/test_decide.py
@@ -13,7 +13,7 @@
 from brassweir.forward.decide import answers
 from brassweir.forward.decide.answers import Tell
 from brassweir.forward.decide.joining import Joining
-from brassweir.forward.decide.rules import Body, TagRule, place
+from brassweir.forward.decide.rules import Body, TagRule, find_route
 
 
 @pytest.mark.parametrize(
@@ -60,36 +60,36 @@
         TagRule("x.**", "status", "deep-{2}"),
         TagRule("y", "status", "all-{tag}"),
     )
-    one = place(rules, "edge", "pay.north")
+    one = find_route(rules, "edge", "pay.north")
     assert one is not None and (one.destination, one.class_name, one.body, one.key) == (
         "bank-north",
         "order",
         Body.PACKED,
         "edge\npay.north",
     )
-    two = place(rules, "edge", "log.a.b")
+    two = find_route(rules, "edge", "log.a.b")
     assert two is not None and (two.destination, two.key) == ("logs", "edge\nall")
-    assert place(rules, "edge", "x.1") is None, "it has no third part"
-    three = place(rules, "edge", "y")
+    assert find_route(rules, "edge", "x.1") is None, "it has no third part"
+    three = find_route(rules, "edge", "y")
     assert three is not None and three.destination == "all-y"
-    assert place(rules, "edge", "other") is None
+    assert find_route(rules, "edge", "other") is None
     with pytest.raises(ValueError):
         TagRule("a", "status", "{who}")
 
 
 def test_answers_promise_no_more_than_is_so() -> None:
     refused = FinalAnswer(Answer.REFUSED, "not now", 700.0)
-    assert answers.final(FinalAnswer(Answer.DELIVERED), True).tell is Tell.ACK
+    assert answers.final(FinalAnswer(Answer.DELIVERED), True).action is Tell.ACK
     told = answers.final(refused, True)
-    assert (told.tell, told.pause) == (Tell.CLOSE, 700.0)
-    assert answers.final(refused, False).tell is Tell.KEEP, "nobody would send it again"
+    assert (told.action, told.pause_ms) == (Tell.CLOSE, 700.0)
+    assert answers.final(refused, False).action is Tell.KEEP, "nobody would send it again"
     for asked in (True, False):
-        assert answers.final(FinalAnswer(Answer.FAILED, "no"), asked).tell is Tell.KEEP, (
+        assert answers.final(FinalAnswer(Answer.FAILED, "no"), asked).action is Tell.KEEP, (
             "it may have run: never again"
         )
-    assert answers.misplaced("no rule", True).tell is Tell.CLOSE
-    assert answers.misplaced("no rule", False).tell is Tell.KEEP
-    assert answers.unreadable("bad").tell is Tell.KEEP
+    assert answers.unrouted("no rule", True).action is Tell.CLOSE
+    assert answers.unrouted("no rule", False).action is Tell.KEEP
+    assert answers.unreadable("bad").action is Tell.KEEP
 
 
 def test_joining_fills_calls() -> None:
--- a/tests/forward/test_front.py
+++ b/tests/forward/test_front.py
@@ -39,7 +39,7 @@
                 and packed.content_type == events.PACKED
                 and one.engine.taken[1].key == "edge-0\nx"
             )
-            assert one.front.turns.held == 0
+            assert one.front.scheduler.held_bytes == 0
 
     run(work())
 
@@ -141,7 +141,7 @@
         async with stage(tmp_path) as one:
             assert await send(await one.line(), "c1", chunk("c1", tag)) == "closed"
             assert words in str(one.noted("forward_closed")[0]["reason"]) and not one.items()
-            assert one.front.turns.sources["edge-0"].until > 0
+            assert one.front.scheduler.sources["edge-0"].paused_until > 0
 
     run(work())
 
--- a/tests/forward/test_front_limits.py
+++ b/tests/forward/test_front_limits.py
@@ -24,11 +24,15 @@
             line = await one.line()
             line.writer.write(chunk("c1")[:-5])
             await asyncio.sleep(0.1)
-            assert one.front.turns.held > 0
+            assert one.front.scheduler.held_bytes > 0
             await asyncio.wait_for(asyncio.shield(line.task or asyncio.sleep(0)), 5.0)
             assert "not ended in time" in str(one.noted("forward_turned_away")[0]["reason"])
             await asyncio.sleep(0.05)
-            assert one.front.turns.held == 0 and not one.front.turns.readers and not one.front.readers
+            assert (
+                one.front.scheduler.held_bytes == 0
+                and not one.front.scheduler.readers
+                and not one.front.connection_by_reader
+            )
 
     run(work())
 
@@ -80,7 +84,7 @@
         async with stage(tmp_path) as one:
             data = chunk("c1", count=100_000)
             assert await send(await one.line(), "c1", data, 30.0) == "acked"
-            assert one.front.turns.held == 0
+            assert one.front.scheduler.held_bytes == 0
             too_many = chunk("c2", count=200_001)
             assert await send(one.lines[0], "c2", too_many, 30.0) == "acked"
             assert "more than 200000 entries" in one.items()[0].reason
@@ -130,10 +134,10 @@
             most = 0
             for _ in range(40):
                 await asyncio.sleep(0.02)
-                most = max(most, one.front.turns.held)
-            slices = count * one.front.turns.slice
+                most = max(most, one.front.scheduler.held_bytes)
+            slices = count * one.front.scheduler.read_slice
             assert room / 2 < most < room + slices + 200_000 * 2
-            held = [source.held for source in one.front.turns.sources.values()]
+            held = [source.held_bytes for source in one.front.scheduler.sources.values()]
             assert min(held) > 0, "nobody is shut out"
             one.engine.hold.set()
             waiting = []
@@ -141,7 +145,7 @@
                 for i in range(20):
                     waiting.append(line.acks.setdefault(f"c{i}", asyncio.get_running_loop().create_future()))
             await asyncio.wait_for(asyncio.gather(*waiting), 30.0)
-            assert len(one.engine.taken) == count * 20 and one.front.turns.held == 0
+            assert len(one.engine.taken) == count * 20 and one.front.scheduler.held_bytes == 0
 
     run(work())
 
--- /dev/null
+++ b/tests/forward/test_read_scheduler.py
@@ -0,0 +1,216 @@
+"""Who reads next, whatever the sources do."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from brassweir.forward.decide.read_scheduler import (
+    INITIAL_WINDOW_CHUNKS,
+    MAX_WINDOW_CHUNKS,
+    RECHECK_MS,
+    ReadScheduler,
+)
+
+CAPACITY = 1_000_000
+
+
+def test_one_greedy_source_leaves_room_and_takes_half_at_most() -> None:
+    scheduler = ReadScheduler(CAPACITY)
+    greedy = [scheduler.add_reader("greedy") for _ in range(100)]
+    scheduler.sources["greedy"].window = 1000.0
+    for reader in greedy:
+        if scheduler.may_read(reader, 0.0):
+            scheduler.chunk_received(reader, 20_000)
+    assert scheduler.held_bytes <= CAPACITY / 2 + 20_000
+    assert scheduler.may_read(scheduler.add_reader("late"), 0.0)
+
+
+def test_windows_grow_shrink_and_shrink_once_a_moment() -> None:
+    scheduler = ReadScheduler(CAPACITY)
+    reader = scheduler.add_reader("a")
+    for _ in range(int(INITIAL_WINDOW_CHUNKS)):
+        assert scheduler.may_read(reader, 0.0)
+        scheduler.chunk_received(reader, 10)
+    assert not scheduler.may_read(reader, 0.0)
+    scheduler.chunk_finished(reader, 10)
+    scheduler.delivered("a", 10.0, 100.0, 0.0)
+    assert scheduler.next(0.0) == ([reader], None)
+    for _ in range(3):
+        scheduler.refused("a", 500.0, 1000.0)
+    assert scheduler.sources["a"].window == pytest.approx(
+        (INITIAL_WINDOW_CHUNKS + 1 / INITIAL_WINDOW_CHUNKS) / 2
+    )
+    for _ in range(3):
+        scheduler.chunk_finished(reader, 10)
+    assert not scheduler.may_read(reader, 1100.0)
+    assert scheduler.next(1100.0) == ([], 1500.0)
+    assert scheduler.next(1500.0) == ([reader], None)
+    for _ in range(20_000):
+        scheduler.delivered("a", 10.0, 100.0, 2000.0)
+    assert scheduler.sources["a"].window == MAX_WINDOW_CHUNKS
+
+
+def test_windows_shrink_once_in_the_time_that_a_late_delivery_took() -> None:
+    scheduler = ReadScheduler(CAPACITY)
+    scheduler.add_reader("a")
+    scheduler.sources["a"].window = 16.0
+    for now in (1000.0, 1100.0, 1500.0, 1999.0):
+        scheduler.delivered("a", 1000.0, 500.0, now)
+    assert scheduler.sources["a"].window == 8.0
+    scheduler.delivered("a", 1000.0, 500.0, 2000.0)
+    assert scheduler.sources["a"].window == 4.0
+    for now in range(3000, 30_000, 1000):
+        scheduler.delivered("a", 900.0, 500.0, float(now))
+    assert scheduler.sources["a"].window == 1.0, "one chunk at a time always goes on"
+
+
+def test_windows_of_greedy_and_modest_sources_come_to_meet() -> None:
+    """Forty sources and one that always wants more share what takes a hundred chunks a second."""
+    scheduler, now = ReadScheduler(CAPACITY), 0.0
+    names = [f"s{i}" for i in range(41)]
+    readers = {name: scheduler.add_reader(name) for name in names}
+    queue: list[tuple[str, float]] = []
+    served = dict.fromkeys(names, 0)
+    for _ in range(6000):
+        now += 10.0
+        for name in names:
+            # A read begins a chunk for each that its source has ready: the greedy one always has.
+            want = 80 if name == "s0" else 8
+            while scheduler.sources[name].unanswered_chunks < want and scheduler.may_read(readers[name], now):
+                scheduler.chunk_received(readers[name], 10)
+                queue.append((name, now))
+        name, since = queue.pop(0)
+        served[name] += 1
+        scheduler.chunk_finished(readers[name], 10)
+        scheduler.delivered(name, now - since, 500.0, now)
+        scheduler.next(now)
+    mean = sum(served.values()) / len(served)
+    assert served["s0"] < 3.0 * mean and min(served.values()) > 0.6 * mean
+
+
+def test_halves_do_not_wait_for_each_other() -> None:
+    """A thousand sources, each within a chunk that is larger than its share of the room."""
+    scheduler = ReadScheduler(CAPACITY, read_slice=1000)
+    size, received_bytes = 20_000, dict[int, int]()
+    readers = [scheduler.add_reader(f"s{i}") for i in range(1000)]
+    resumed = [reader for reader in readers if scheduler.may_read(reader, 0.0)]
+    ended, now, max_held_bytes = 0, 0.0, 0
+    while ended < 1000:
+        assert resumed, "somebody may always go on"
+        for reader in resumed:
+            received_bytes[reader] = received_bytes.get(reader, 0) + 1000
+            if received_bytes[reader] >= size:
+                scheduler.update_partial(reader, 0)
+                scheduler.chunk_received(reader, size)
+                scheduler.chunk_finished(reader, size)
+                ended += 1
+            else:
+                scheduler.update_partial(reader, received_bytes[reader])
+        max_held_bytes = max(max_held_bytes, scheduler.held_bytes)
+        resumed = [
+            reader for reader in resumed if received_bytes[reader] < size and scheduler.may_read(reader, now)
+        ]
+        more, again = scheduler.next(now)
+        resumed += more
+        now = again if again is not None and not resumed else now
+    assert max_held_bytes <= CAPACITY + size and scheduler.held_bytes == 0
+
+
+def test_a_source_that_is_always_within_a_chunk_has_its_window_all_the_same() -> None:
+    scheduler = ReadScheduler(CAPACITY)
+    reader = scheduler.add_reader("a")
+    for _ in range(int(INITIAL_WINDOW_CHUNKS)):
+        scheduler.chunk_received(reader, 100)
+    scheduler.update_partial(reader, 50)
+    assert not scheduler.may_read(reader, 0.0)
+    other = scheduler.add_reader("b")
+    scheduler.update_partial(other, 10)
+    scheduler.held_bytes = (
+        scheduler.capacity + 10
+    )  # no room at all: the oldest begun that its own answers do not stop goes on
+    assert scheduler.may_read(other, 0.0) and scheduler.next(0.0)[0] == []
+    scheduler.held_bytes = 460
+    scheduler.chunk_finished(reader, 100)
+    assert scheduler.next(0.0)[0] == [reader]
+
+
+def test_answers_that_fill_the_room_stop_even_the_oldest() -> None:
+    scheduler = ReadScheduler(1000, read_slice=10)
+    first, second = scheduler.add_reader("a"), scheduler.add_reader("b")
+    scheduler.chunk_received(first, 1200)
+    scheduler.update_partial(second, 10)
+    assert not scheduler.may_read(second, 0.0)
+    scheduler.chunk_finished(first, 1200)
+    assert scheduler.next(0.0) == ([second], None)
+
+
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["open", "close", "part", "whole", "done", "yes", "no", "look"]),
+            st.integers(0, 9),
+            st.integers(1, 400),
+        ),
+        max_size=120,
+    )
+)
+@settings(max_examples=300, deadline=None)
+def test_books_stay_right_and_nobody_is_forgotten(steps: list[tuple[str, int, int]]) -> None:
+    scheduler, now = ReadScheduler(2000, read_slice=50), 0.0
+    live: dict[int, str] = {}
+    work: list[tuple[int, int]] = []
+    waiting: set[int] = set()
+    for action, index, amount in steps:
+        now += amount
+        names = sorted(live)
+        reader = names[index % len(names)] if names else 0
+        if action == "open":
+            name = f"s{index % 3}"
+            live[scheduler.add_reader(name)] = name
+        elif action == "look" or not reader:
+            pass
+        elif action == "close":
+            scheduler.remove_reader(reader)
+            del live[reader]
+            waiting.discard(reader)
+        elif action in ("part", "whole") and reader not in waiting:
+            if action == "part":
+                scheduler.update_partial(reader, scheduler.readers[reader].partial_bytes + amount)
+            else:
+                scheduler.update_partial(reader, 0)
+                scheduler.chunk_received(reader, amount)
+                work.append((reader, amount))
+            if not scheduler.may_read(reader, now):
+                waiting.add(reader)
+        elif action == "done" and work:
+            scheduler.chunk_finished(*work.pop(index % len(work)))
+        elif action == "yes":
+            scheduler.delivered(live[reader], float(amount), 200.0, now)
+        elif action == "no":
+            scheduler.refused(live[reader], float(amount), now)
+        resumed, _ = scheduler.next(now)
+        assert set(resumed) <= waiting, "only who waits is told to go on"
+        waiting -= set(resumed)
+        assert (
+            scheduler.held_bytes
+            == sum(source.held_bytes for source in scheduler.sources.values())
+            >= scheduler.processing_bytes
+            >= 0
+        )
+        assert scheduler.processing_bytes == sum(size for _, size in work)
+        assert set(scheduler.readers) == set(live) | {one for one, _ in work}
+    # All is answered and the waits are over: whoever waits is let go on before long.
+    for one in work:
+        scheduler.chunk_finished(*one)
+    for _ in range(50):
+        resumed, again = scheduler.next(now)
+        waiting -= set(resumed)
+        if not waiting:
+            break
+        for reader in resumed:  # what was begun is ended
+            if reader in live and scheduler.readers[reader].partial_bytes:
+                scheduler.update_partial(reader, 0)
+        now = max(now + RECHECK_MS, again or 0.0)
+    assert not waiting
