--- a/brassweir/forward/chunks.py
+++ b/brassweir/forward/chunks.py
@@ -17,7 +17,7 @@
 from brassweir.forward.decide.rules import Body, Route, find_route
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.message import Message
-from brassweir.forward.ports import Bounds, Counts, Note, Source, Submits
+from brassweir.forward.ports import Bounds, FrontMetrics, Note, Source, Submits
 from brassweir.interface import MessageClass
 from brassweir.undelivered.item import UndeliveredItem
 
@@ -31,16 +31,21 @@
     def __init__(
         self,
         classes: Mapping[str, MessageClass],
-        number_of: Callable[[str], int | None],
+        destination_number_of: Callable[[str], int | None],
         engine: Submits,
         offload: Offload,
         note: Note,
         bounds: Bounds,
         margin: float,
-        counts: Counts,
+        counts: FrontMetrics,
         scheduler: ReadScheduler,
     ) -> None:
-        self.classes, self.number_of, self.engine, self.offload = classes, number_of, engine, offload
+        self.classes, self.destination_number_of, self.engine, self.offload = (
+            classes,
+            destination_number_of,
+            engine,
+            offload,
+        )
         self.note, self.bounds, self.margin, self.counts, self.scheduler = (
             note,
             bounds,
@@ -61,7 +66,7 @@
         ack_requested = bool(received.chunk)
         identity = received.chunk or f"{_UNASKED_PREFIX}-{secrets.token_hex(12)}"
         route = find_route(source.rules, source.name, received.tag)
-        destination_number = self.number_of(route.destination) if route is not None else None
+        destination_number = self.destination_number_of(route.destination) if route is not None else None
         unrouted_item = UndeliveredItem(
             source.name,
             identity,
@@ -132,8 +137,8 @@
         """Decode and check a chunk, and return it in its route's format. Raises ForwardError."""
 
         def decode() -> tuple[Payload, int]:
-            entries = received.entries(self.bounds.unpacked)
-            entry_events = events.unpack(entries, self.bounds.entries)
+            entries = received.entries(self.bounds.unpacked_bytes)
+            entry_events = events.unpack(entries, self.bounds.max_entries)
             if route.body is Body.LINES:
                 content, count = events.lines(received.tag, entry_events)
                 payload = Payload(events.LINES, content, received.tag)
--- a/brassweir/forward/connection.py
+++ b/brassweir/forward/connection.py
@@ -61,13 +61,13 @@
         """Send HELO, or drop the connection if there are too many or the front is stopping."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
         self.peer = str(transport.get_extra_info("peername"))
-        if len(self.front.connections) >= self.front.bounds.connections or self.front.stopping:
+        if len(self.front.connections) >= self.front.bounds.max_connections or self.front.stopping:
             self.drop()
             if not self.front.stopping:
                 self.front.report_rejection(self, "too many connections")
             return
         self.front.connections.add(self)
-        self.set_timer(self.front.bounds.handshake_time)
+        self.set_timer(self.front.bounds.handshake_ms)
         self.transport.write(self.session.hello())
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -101,7 +101,7 @@
         elif self.in_chunk:
             self.front.report_rejection(self, "a chunk was begun and not ended in time")
         elif self.tasks:
-            self.set_timer(self.front.bounds.idle_time)
+            self.set_timer(self.front.bounds.idle_ms)
             return
         self.drop()
 
@@ -117,7 +117,7 @@
             return
         self.closing = True
         self.transport.close()
-        self.set_timer(self.front.bounds.write_time)
+        self.set_timer(self.front.bounds.write_ms)
 
     def close_if_idle(self) -> None:
         """Close unless a chunk is unanswered."""
@@ -135,13 +135,13 @@
         """Pause reading while the peer does not read our answers, and start the write timeout."""
         self.write_blocked = True
         self.pause()
-        self.set_timer(self.front.bounds.write_time)
+        self.set_timer(self.front.bounds.write_ms)
 
     def resume_writing(self) -> None:
         """Resume reading, if the scheduler allows it, once the write buffer has drained."""
         self.write_blocked = False
         if not self.closing:
-            self.set_timer(self.front.bounds.chunk_time if self.in_chunk else self.front.bounds.idle_time)
+            self.set_timer(self.front.bounds.chunk_ms if self.in_chunk else self.front.bounds.idle_ms)
             self.remaining = None
             self.update_reading()
 
@@ -174,7 +174,7 @@
         if bool(partial) != self.in_chunk:
             self.in_chunk = bool(partial)
             bounds = self.front.bounds
-            self.set_timer(bounds.chunk_time if self.in_chunk else bounds.idle_time)
+            self.set_timer(bounds.chunk_ms if self.in_chunk else bounds.idle_ms)
         self.update_reading()
 
     def _handle_event(self, event: Admitted | Denied | Came) -> None:
@@ -182,7 +182,7 @@
             self.send(event.say)
             self.reader_id = self.front.scheduler.add_reader(event.source)
             self.front.connection_by_reader[self.reader_id] = self
-            self.set_timer(self.front.bounds.idle_time)
+            self.set_timer(self.front.bounds.idle_ms)
         elif isinstance(event, Denied):
             self.front.report_rejection(self, event.reason)
             self.send(event.say)
--- a/brassweir/forward/front.py
+++ b/brassweir/forward/front.py
@@ -20,8 +20,8 @@
 from brassweir.forward.decide.read_scheduler import ReadScheduler
 from brassweir.forward.heartbeat import Heartbeat
 from brassweir.forward.message import Message
-from brassweir.forward.ports import Bounds, Counts, Keeps, NoCounts, Note, Source, Submits
-from brassweir.forward.session import Gatekeeper, Session
+from brassweir.forward.ports import Bounds, FrontMetrics, NoMetrics, Note, SaveUndelivered, Source, Submits
+from brassweir.forward.session import Authenticator, Session
 from brassweir.forward.undelivered import UndeliveredChunks
 from brassweir.interface import MessageClass
 from brassweir.undelivered.item import UndeliveredItem
@@ -31,34 +31,47 @@
     """Serves sources over TCP.
 
     ``margin`` (ms) is subtracted from each chunk's deadline, so that the ack can still reach the source.
-    ``number_of`` maps a destination's name to its number, or None if there is no such destination.
+    ``destination_number_of`` maps the name of a destination to its number, or None if it is unknown.
     """
 
     def __init__(
         self,
         sources: Mapping[str, Source],
-        gate: Gatekeeper,
+        authenticator: Authenticator,
         hostname: str,
         classes: Mapping[str, MessageClass],
-        number_of: Callable[[str], int | None],
+        destination_number_of: Callable[[str], int | None],
         engine: Submits,
         offload: Offload,
-        keeps: Keeps,
+        save_undelivered: SaveUndelivered,
         note: Note,
         bounds: Bounds | None = None,
         *,
         margin: float = 100.0,
-        counts: Counts | None = None,
+        counts: FrontMetrics | None = None,
     ) -> None:
-        self.sources, self.gate, self.hostname, self.offload = sources, gate, hostname, offload
+        self.sources, self.authenticator, self.hostname, self.offload = (
+            sources,
+            authenticator,
+            hostname,
+            offload,
+        )
         self.note, self.bounds = note, bounds or Bounds()
-        self.counts: Counts = counts or NoCounts()
-        self.scheduler = ReadScheduler(self.bounds.room)
+        self.counts: FrontMetrics = counts or NoMetrics()
+        self.scheduler = ReadScheduler(self.bounds.buffered_bytes)
         self.buffer = memoryview(bytearray(self.scheduler.read_slice))
         self.chunks = ChunkDelivery(
-            classes, number_of, engine, offload, note, self.bounds, margin, self.counts, self.scheduler
+            classes,
+            destination_number_of,
+            engine,
+            offload,
+            note,
+            self.bounds,
+            margin,
+            self.counts,
+            self.scheduler,
         )
-        self.undelivered = UndeliveredChunks(keeps, note, self.counts)
+        self.undelivered = UndeliveredChunks(save_undelivered, note, self.counts)
         self.connections: set[Connection] = set()
         self.connection_by_reader: dict[int, Connection] = {}  # by reader id of the scheduler
         self.listener: asyncio.Server | None = None
@@ -85,7 +98,11 @@
 
     def _connection(self, loop: asyncio.AbstractEventLoop) -> Connection:
         session = Session(
-            self.gate, self.hostname, secrets.token_bytes(16), secrets.token_bytes(16), self.bounds.chunk
+            self.authenticator,
+            self.hostname,
+            secrets.token_bytes(16),
+            secrets.token_bytes(16),
+            self.bounds.chunk_bytes,
         )
         return Connection(self, session, loop)
 
--- a/brassweir/forward/ports.py
+++ b/brassweir/forward/ports.py
@@ -18,15 +18,15 @@
 class Bounds:
     """Limits on what sources may send and how long they may take. Sizes in bytes, times in ms."""
 
-    chunk: int = 16_000_000  # one message as received
-    unpacked: int = 64_000_000  # one message's decompressed entries
-    entries: int = 200_000
-    room: int = 200_000_000  # partial and unanswered chunks of all sources together
-    connections: int = 2048
-    handshake_time: float = 10_000.0
-    chunk_time: float = 60_000.0  # from a chunk's first byte to its last, without pauses in reading
-    idle_time: float = 3_600_000.0
-    write_time: float = 30_000.0
+    chunk_bytes: int = 16_000_000  # one message as received
+    unpacked_bytes: int = 64_000_000  # one message's decompressed entries
+    max_entries: int = 200_000
+    buffered_bytes: int = 200_000_000  # partial and unanswered chunks of all sources together
+    max_connections: int = 2048
+    handshake_ms: float = 10_000.0
+    chunk_ms: float = 60_000.0  # from a chunk's first byte to its last, without pauses in reading
+    idle_ms: float = 3_600_000.0
+    write_ms: float = 30_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,14 +50,14 @@
         """Whether a submission would join a known message or get its final answer."""
 
 
-class Keeps(Protocol):
+class SaveUndelivered(Protocol):
     """The undelivered store."""
 
     def __call__(self, item: UndeliveredItem) -> Awaitable[None]:
         """Store a message; returns once it is on disk. Raises OSError."""
 
 
-class Counts(Protocol):
+class FrontMetrics(Protocol):
     """Metrics of the front."""
 
     def chunk(self, mode: str, entries: int, size: int) -> None:
@@ -70,7 +70,7 @@
         """Set the bytes buffered, the connections that wait to read, and all connections."""
 
 
-class NoCounts:
+class NoMetrics:
     """Counts nothing."""
 
     def chunk(self, mode: str, entries: int, size: int) -> None:
--- a/brassweir/forward/session.py
+++ b/brassweir/forward/session.py
@@ -36,7 +36,7 @@
     size: int
 
 
-class Gatekeeper(Protocol):
+class Authenticator(Protocol):
     """The keys and passwords of sources."""
 
     def keys(self, source: str) -> tuple[bytes, ...]:
@@ -52,9 +52,16 @@
 class Session:
     """One connection. ``nonce`` and ``salt`` are fresh random bytes; ``max_bytes`` bounds a message."""
 
-    def __init__(self, gate: Gatekeeper, hostname: str, nonce: bytes, salt: bytes, max_bytes: int) -> None:
-        self.gate, self.hostname, self.nonce, self.max_bytes = gate, hostname, nonce, max_bytes
-        self.salt = salt if gate.needs_user() else b""
+    def __init__(
+        self, authenticator: Authenticator, hostname: str, nonce: bytes, salt: bytes, max_bytes: int
+    ) -> None:
+        self.authenticator, self.hostname, self.nonce, self.max_bytes = (
+            authenticator,
+            hostname,
+            nonce,
+            max_bytes,
+        )
+        self.salt = salt if authenticator.needs_user() else b""
         # An unauthenticated peer can make us buffer no more than this.
         self.frames = Frames(handshake.MAX_FRAME_BYTES)
         self.source = ""
@@ -87,12 +94,12 @@
         except ForwardError as error:
             return self._denied(str(error))
         # An unknown source costs the same work and gets the same reply as a wrong key.
-        keys = self.gate.keys(ping.hostname)
+        keys = self.authenticator.keys(ping.hostname)
         matching_keys = [key for key in keys or (b"",) if ping.proves(self.nonce, key)]
         if not keys or not matching_keys:
             return self._denied("shared key mismatch", ping.hostname)
         if self.salt:
-            password = self.gate.password(ping.hostname, ping.username)
+            password = self.authenticator.password(ping.hostname, ping.username)
             expected = handshake.password_digest(self.salt, ping.username, password or b"")
             if password is None or not handshake.equal_constant_time(expected, ping.password):
                 return self._denied("username/password mismatch", ping.hostname)
--- a/brassweir/forward/undelivered.py
+++ b/brassweir/forward/undelivered.py
@@ -6,15 +6,15 @@
 
 from brassweir.forward.decide import answers
 from brassweir.forward.decide.answers import Tell, Told
-from brassweir.forward.ports import Counts, Keeps, Note
+from brassweir.forward.ports import FrontMetrics, Note, SaveUndelivered
 from brassweir.undelivered.item import UndeliveredItem
 
 
 class UndeliveredChunks:
-    """Stores chunks by ``keeps``, and logs and counts each."""
+    """Stores chunks by ``save_undelivered``, and logs and counts each."""
 
-    def __init__(self, keeps: Keeps, note: Note, counts: Counts) -> None:
-        self.keeps, self.note, self.counts = keeps, note, counts
+    def __init__(self, save_undelivered: SaveUndelivered, note: Note, counts: FrontMetrics) -> None:
+        self.save_undelivered, self.note, self.counts = save_undelivered, note, counts
 
     async def keep(self, reply: Told, item: UndeliveredItem, ack_requested: bool) -> Told:
         """Store a chunk for the operator; returns the reply to the source.
@@ -34,7 +34,7 @@
             item.content,
         )
         try:
-            await self.keeps(stored_item)
+            await self.save_undelivered(stored_item)
         except OSError as error:
             self.note(
                 "not_kept",
--- a/tests/forward/test_front_limits.py
+++ b/tests/forward/test_front_limits.py
@@ -20,7 +20,7 @@
 
 def test_half_a_chunk_then_silence(tmp_path: Path) -> None:
     async def work() -> None:
-        async with stage(tmp_path, Bounds(chunk_time=200.0)) as one:
+        async with stage(tmp_path, Bounds(chunk_ms=200.0)) as one:
             line = await one.line()
             line.writer.write(chunk("c1")[:-5])
             await asyncio.sleep(0.1)
@@ -39,7 +39,7 @@
 
 def test_no_handshake_in_time_and_wrong_ones(tmp_path: Path) -> None:
     async def work() -> None:
-        async with stage(tmp_path, Bounds(handshake_time=150.0)) as one:
+        async with stage(tmp_path, Bounds(handshake_ms=150.0)) as one:
             silent = socket.create_connection(("127.0.0.1", one.port))
             for name, key in (("edge-0", b"wrong"), ("nobody", b"key edge-0")):
                 with pytest.raises(ForwardError, match="shared key mismatch"):
@@ -120,8 +120,10 @@
     """Many sources push as fast as sockets take it while nothing is answered."""
 
     async def work() -> None:
-        room, count = 3_000_000, 60
-        async with stage(tmp_path, Bounds(room=room, chunk=200_000), sources=count) as one:
+        capacity, count = 3_000_000, 60
+        async with stage(
+            tmp_path, Bounds(buffered_bytes=capacity, chunk_bytes=200_000), sources=count
+        ) as one:
             one.engine.hold = asyncio.Event()
             data = [
                 message.packed_message("log.a", packb([1, {"x": "y" * 50_000}]), f"c{i}", 1)
@@ -131,12 +133,12 @@
             for line in lines:
                 for one_chunk in data:
                     line.writer.write(one_chunk)
-            most = 0
+            max_held_bytes = 0
             for _ in range(40):
                 await asyncio.sleep(0.02)
-                most = max(most, one.front.scheduler.held_bytes)
+                max_held_bytes = max(max_held_bytes, one.front.scheduler.held_bytes)
             slices = count * one.front.scheduler.read_slice
-            assert room / 2 < most < room + slices + 200_000 * 2
+            assert capacity / 2 < max_held_bytes < capacity + slices + 200_000 * 2
             held = [source.held_bytes for source in one.front.scheduler.sources.values()]
             assert min(held) > 0, "nobody is shut out"
             one.engine.hold.set()
