--- a/tests/forward/stage.py
+++ b/tests/forward/harness.py
@@ -1,4 +1,4 @@
-"""A forward front on loopback with a scripted engine behind it, and lines to it."""
+"""A forward front on loopback with a scripted engine, and connections to it."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 class Engine:
-    """A ledger, and answers as a test scripts them; ``hold`` keeps them back."""
+    """A ledger with scripted final answers, which wait for ``release`` if it is set."""
 
     def __init__(self) -> None:
         self.ledger = Ledger(CLASSES, 60_000.0, 1000)
         self.answers: dict[str, FinalAnswer] = {}
-        self.taken: list[Submission] = []
-        self.hold: asyncio.Event | None = None
+        self.submissions: list[Submission] = []
+        self.release: asyncio.Event | None = None
 
     @property
     def now(self) -> float:
@@ -57,19 +57,19 @@
     def submit(
         self, submission: Submission, waiter: Callable[[FinalAnswer], None]
     ) -> tuple[SubmitStatus, MessageRecord]:
-        how, record = self.ledger.accept(submission, self.now, waiter)
+        status, record = self.ledger.accept(submission, self.now, waiter)
         loop = asyncio.get_running_loop()
-        if how is SubmitStatus.ENDED:
+        if status is SubmitStatus.ENDED:
             assert record.answer is not None
             loop.call_soon(waiter, record.answer)
-        elif how is SubmitStatus.NEW:
-            self.taken.append(submission)
+        elif status is SubmitStatus.NEW:
+            self.submissions.append(submission)
             loop.create_task(self._end(record))
-        return how, record
+        return status, record
 
     async def _end(self, record: MessageRecord) -> None:
-        if self.hold is not None:
-            await self.hold.wait()
+        if self.release is not None:
+            await self.release.wait()
         answer = self.answers.get(record.submission.identity, DELIVERED)
         for waiter in self.ledger.finish(record.id, answer, self.now) or []:
             waiter(answer)
@@ -89,14 +89,14 @@
         return False
 
 
-class Stage:
-    """A front, its engine, and what it noted."""
+class FrontHarness:
+    """A front, its engine and its log entries."""
 
-    def __init__(self, folder: Path, bounds: Bounds, sources: int, acks: bool, kept: int) -> None:
-        self.engine, self.folder = Engine(), folder
-        self.notes: list[tuple[str, dict[str, object]]] = []
+    def __init__(self, directory: Path, bounds: Bounds, sources: int, acks: bool, kept: int) -> None:
+        self.engine, self.directory = Engine(), directory
+        self.log_entries: list[tuple[str, dict[str, object]]] = []
         names = [f"edge-{i}" for i in range(sources)]
-        self.kept = UndeliveredStore(folder, kept)
+        self.kept = UndeliveredStore(directory, kept)
         self.gate = Gate({name: f"key {name}".encode() for name in names})
         self.front = ForwardFront(
             {name: Source(name, RULES, acks) for name in names},
@@ -107,59 +107,59 @@
             self.engine,
             Offload(2),
             self._keep,
-            lambda event, details: self.notes.append((event, details)),
+            lambda event, details: self.log_entries.append((event, details)),
             bounds,
         )
         self.port = 0
-        self.lines: list[Line] = []
+        self.clients: list[Line] = []
 
     async def _keep(self, item: UndeliveredItem) -> None:
         await asyncio.to_thread(self.kept.save, item)
 
-    async def line(self, number: int = 0) -> Line:
-        one = await connect("127.0.0.1", self.port, f"edge-{number}", f"key edge-{number}".encode())
-        self.lines.append(one)
-        return one
+    async def connect_source(self, number: int = 0) -> Line:
+        client = await connect("127.0.0.1", self.port, f"edge-{number}", f"key edge-{number}".encode())
+        self.clients.append(client)
+        return client
 
-    def noted(self, event: str) -> list[dict[str, object]]:
-        return [details for name, details in self.notes if name == event]
+    def logged(self, event: str) -> list[dict[str, object]]:
+        return [details for name, details in self.log_entries if name == event]
 
     def items(self) -> list[UndeliveredItem]:
-        return [item for _, item in read_all(self.folder) if isinstance(item, UndeliveredItem)]
+        return [item for _, item in read_all(self.directory) if isinstance(item, UndeliveredItem)]
 
 
 @asynccontextmanager
-async def stage(
-    folder: Path,
+async def running_front(
+    directory: Path,
     bounds: Bounds | None = None,
     sources: int = 2,
     acks: bool = True,
     kept: int = 10_000_000,
     **kwargs: Any,
-) -> AsyncIterator[Stage]:
-    one = Stage(folder / "kept", bounds or Bounds(), sources, acks, kept)
-    one.port = await one.front.listen("127.0.0.1", 0, **kwargs)
+) -> AsyncIterator[FrontHarness]:
+    harness = FrontHarness(directory / "kept", bounds or Bounds(), sources, acks, kept)
+    harness.port = await harness.front.listen("127.0.0.1", 0, **kwargs)
     try:
-        yield one
+        yield harness
     finally:
-        for line in one.lines:
-            line.close()
-        one.front.abort()
-        one.front.offload.close()
+        for client in harness.clients:
+            client.close()
+        harness.front.abort()
+        harness.front.offload.close()
 
 
-def chunk(ident: str, tag: str = "log.a", mode: Mode = Mode.PACKED, count: int = 2) -> bytes:
+def chunk(chunk_id: str, tag: str = "log.a", mode: Mode = Mode.PACKED, count: int = 2) -> bytes:
     return message.build(
         mode,
         tag,
         [Event(EventTime(1_700_000_000), {"n": i}) for i in range(1 if mode is Mode.MESSAGE else count)],
-        ident,
+        chunk_id,
     )
 
 
-async def send(line: Line, ident: str, data: bytes, seconds: float = 5.0) -> str:
+async def send(client: Line, chunk_id: str, data: bytes, seconds: float = 5.0) -> str:
     waiting: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-    line.acks[ident] = waiting
-    line.writer.write(data)
+    client.acks[chunk_id] = waiting
+    client.writer.write(data)
     async with asyncio.timeout(seconds):
         return await waiting
--- a/tests/forward/test_carrier.py
+++ b/tests/forward/test_carrier.py
@@ -1,4 +1,4 @@
-"""The carrier against sinks that ack, spoil, hang, refuse, and do not know the key; and against a second front."""
+"""The carrier against servers that ack, send garbage, hang, refuse or lack the key, and against a front."""
 
 from __future__ import annotations
 
@@ -21,157 +21,169 @@
 from brassweir.net.limits import Limits
 from brassweir.net.pool_manager import PoolManager
 from tests.conftest import run
-from tests.forward.server import (
+from tests.forward.harness import running_front
+from tests.forward.scripted_server import (
     KEY,
-    Act,
-    Line,
-    Server,
+    ChunkHandler,
+    ScriptedServer,
+    ServerConnection,
     Urls,
     ack,
     attempt,
     carry,
     drop,
-    made,
-    outcomes,
+    make_carrier,
     payload,
+    run_attempts,
 )
-from tests.forward.stage import stage
 
 
-def test_an_ack_is_delivery_and_entries_go_on_as_they_came() -> None:
-    (one,), server = outcomes(ack)
-    assert one.result is Result.OK and not one.rejected
-    (got,) = server.got
-    assert (got.tag, got.chunk, got.data, got.size) == (
+def test_an_ack_is_delivery_and_entries_are_sent_unchanged() -> None:
+    (outcome,), server = run_attempts(ack)
+    assert outcome.result is Result.OK and not outcome.rejected
+    (received,) = server.received
+    assert (received.tag, received.chunk, received.data, received.size) == (
         "log.a",
         delivery_id("edge", "c0"),
         payload().content,
         2,
     )
-    assert server.lines[0].session.source == "s1"
+    assert server.connections[0].session.source == "s1"
 
 
 @pytest.mark.parametrize(
-    ("act", "result", "may_have_run"),
+    ("on_chunk", "result", "may_have_run"),
     [
         (drop, Result.RESET, True),
-        (lambda line, given: None, Result.TIMEOUT, True),
-        (lambda line, given: line.say(b"\xc1"), Result.ERROR, True),
-        (lambda line, given: line.say(message.ack("other")), Result.ERROR, True),
-        (lambda line, given: line.say(packb(["no", "ack"])), Result.ERROR, True),
-        (lambda line, given: line.say(message.ack(given.chunk)[:4]) or drop(line, given), Result.RESET, True),  # type: ignore[func-returns-value]
+        (lambda connection, received: None, Result.TIMEOUT, True),
+        (lambda connection, received: connection.say(b"\xc1"), Result.ERROR, True),
+        (lambda connection, received: connection.say(message.ack("other")), Result.ERROR, True),
+        (lambda connection, received: connection.say(packb(["no", "ack"])), Result.ERROR, True),
+        (
+            lambda connection, received: (
+                connection.say(message.ack(received.chunk)[:4]) or drop(connection, received)  # type: ignore[func-returns-value]
+            ),
+            Result.RESET,
+            True,
+        ),
     ],
 )
-def test_endings_after_the_first_byte_may_have_run(act: Act, result: Result, may_have_run: bool) -> None:
-    (one,), _ = outcomes(act, span=0.3)
-    assert (one.result, one.may_have_run) == (result, may_have_run)
+def test_failures_after_the_first_byte_may_have_run(
+    on_chunk: ChunkHandler, result: Result, may_have_run: bool
+) -> None:
+    (outcome,), _ = run_attempts(on_chunk, seconds=0.3)
+    assert (outcome.result, outcome.may_have_run) == (result, may_have_run)
 
 
-def test_who_is_not_let_in_has_sent_nothing() -> None:
-    (one,), server = outcomes(ack, key=b"wrong")
-    assert one.result is Result.NO_CONNECTION and "not let in" in one.reason and not server.got
-    (one,), server = outcomes(ack, mute=True)
-    assert one.result is Result.NO_CONNECTION and not server.got
+def test_without_authentication_no_chunk_is_sent() -> None:
+    (outcome,), server = run_attempts(ack, key=b"wrong")
+    assert outcome.result is Result.NO_CONNECTION and "not let in" in outcome.reason and not server.received
+    (outcome,), server = run_attempts(ack, silent=True)
+    assert outcome.result is Result.NO_CONNECTION and not server.received
 
 
 def test_a_server_that_does_not_know_the_key_gets_nothing() -> None:
-    """It lets everybody in and cannot prove the key: a chunk is not for it."""
+    """A server that accepts any PING but cannot prove the key in its PONG must not get chunks."""
 
     class Impostor(Session):
         def _admit(self, frame: bytes) -> Admitted | Denied:
-            given = handshake.read_ping(frame)
-            self.source = given.hostname
+            ping = handshake.read_ping(frame)
+            self.source = ping.hostname
             return Admitted(self.source, handshake.Pong(True, "", "sink", "0" * 128).encode())
 
     async def work() -> None:
-        server = Server(ack)
+        server = ScriptedServer(ack)
         url = await server.start()
-        original = Line.connection_made
+        original = ServerConnection.connection_made
 
-        def made_up(line: Line, transport: asyncio.BaseTransport) -> None:
-            line.session = Impostor(Keys(KEY), "sink", b"n", b"", 1000)
-            original(line, transport)
+        def impostor_connected(connection: ServerConnection, transport: asyncio.BaseTransport) -> None:
+            connection.session = Impostor(Keys(KEY), "sink", b"n", b"", 1000)
+            original(connection, transport)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Line, "connection_made", made_up)
-            (one,) = await carry(made(url), [attempt(1)])
+            patch.setattr(ServerConnection, "connection_made", impostor_connected)
+            (outcome,) = await carry(make_carrier(url), [attempt(1)])
         assert (
-            one.result is Result.NO_CONNECTION
-            and "does not know the shared key" in one.reason
-            and not server.got
+            outcome.result is Result.NO_CONNECTION
+            and "does not know the shared key" in outcome.reason
+            and not server.received
         )
         server.stop()
 
     run(work())
 
 
-def test_a_batch_shares_a_call_and_each_has_its_own_ending() -> None:
-    def act(line: Line, given: Message) -> None:
-        if given.chunk != delivery_id("edge", "c1"):
-            ack(line, given)
+def test_a_batch_shares_a_call_and_each_attempt_has_its_own_outcome() -> None:
+    def on_chunk(connection: ServerConnection, received: Message) -> None:
+        if received.chunk != delivery_id("edge", "c1"):
+            ack(connection, received)
 
-    found, server = outcomes(act, attempts=3, batch=4, span=0.4)
-    assert [one.result for one in found] == [Result.OK, Result.TIMEOUT, Result.OK]
-    assert len(server.lines) == 1 and len(server.got) == 3
-    found, server = outcomes(ack, attempts=5, batch=2)
-    assert [one.result for one in found] == [Result.OK] * 5 and len(server.lines) == 3
+    results, server = run_attempts(on_chunk, attempts=3, batch=4, seconds=0.4)
+    assert [outcome.result for outcome in results] == [Result.OK, Result.TIMEOUT, Result.OK]
+    assert len(server.connections) == 1 and len(server.received) == 3
+    results, server = run_attempts(ack, attempts=5, batch=2)
+    assert [outcome.result for outcome in results] == [Result.OK] * 5 and len(server.connections) == 3
 
 
-def test_a_connection_is_used_again_unless_acks_are_missing_or_the_server_says_no() -> None:
-    async def work(server: Server, calls: int) -> int:
-        carrier = made(await server.start())
+def test_a_connection_is_used_again_unless_acks_are_missing_or_keepalive_is_declined() -> None:
+    async def work(server: ScriptedServer, calls: int) -> int:
+        carrier = make_carrier(await server.start())
         for number in range(calls):
             await carry(carrier, [attempt(number, 0.2)])
             await asyncio.sleep(0.02)
         carrier.pools.close_all_idle()
         server.stop()
-        return len(server.lines)
+        return len(server.connections)
 
-    assert run(work(Server(ack), 3)) == 1
-    assert run(work(Server(ack, keepalive=False), 3)) == 3
-    assert run(work(Server(lambda line, given: None), 2)) == 2, "a late ack must not meet a later call"
+    assert run(work(ScriptedServer(ack), 3)) == 1
+    assert run(work(ScriptedServer(ack, keepalive=False), 3)) == 3
+    assert run(work(ScriptedServer(lambda connection, received: None), 2)) == 2, (
+        "a late ack must not meet a later call"
+    )
 
 
-def test_no_server_no_address_no_entries() -> None:
+def test_no_server_no_address_and_invalid_entries_are_no_connection() -> None:
     async def work() -> None:
-        server = Server(ack)
+        server = ScriptedServer(ack)
         url = await server.start()
         server.stop()
         await asyncio.sleep(0.05)
-        (one,) = await carry(made(url), [attempt(1)])
-        assert one.result is Result.NO_CONNECTION
-        (one,) = await carry(made(None), [attempt(1)])
-        assert one.result is Result.NO_CONNECTION
-        (one,) = await carry(made(url), [attempt(1, content=Payload(events.PACKED, b"\xc1", "t"))])
-        assert one.result is Result.NO_CONNECTION and "cannot be built" in one.reason
+        (outcome,) = await carry(make_carrier(url), [attempt(1)])
+        assert outcome.result is Result.NO_CONNECTION
+        (outcome,) = await carry(make_carrier(None), [attempt(1)])
+        assert outcome.result is Result.NO_CONNECTION
+        (outcome,) = await carry(
+            make_carrier(url), [attempt(1, content=Payload(events.PACKED, b"\xc1", "t"))]
+        )
+        assert outcome.result is Result.NO_CONNECTION and "cannot be built" in outcome.reason
 
     run(work())
 
 
 def test_an_open_server_without_a_key_is_served_without_a_handshake() -> None:
     async def work() -> None:
-        got = bytearray()
+        received = bytearray()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            got.extend(await reader.read(10_000))
-            writer.write(message.ack(message.read(bytes(got)).chunk))
+            received.extend(await reader.read(10_000))
+            writer.write(message.ack(message.read(bytes(received)).chunk))
 
         listener = await asyncio.start_server(serve, "127.0.0.1", 0)
         url = f"forward://127.0.0.1:{listener.sockets[0].getsockname()[1]}"
-        (one,) = await carry(made(url, key=b""), [attempt(1)])
-        assert one.result is Result.OK and message.read(bytes(got)).mode is Mode.PACKED
+        (outcome,) = await carry(make_carrier(url, key=b""), [attempt(1)])
+        assert outcome.result is Result.OK and message.read(bytes(received)).mode is Mode.PACKED
         listener.close()
 
     run(work())
 
 
-def test_a_chain_of_two(tmp_path: Path) -> None:
-    """What one sender carries, another takes: the ack of the second is the delivery of the first."""
+def test_a_carrier_delivers_to_another_front(tmp_path: Path) -> None:
+    """The ack of a downstream front is the delivery of the carrier's sender."""
 
     async def work() -> None:
-        async with stage(tmp_path) as second:
+        async with running_front(tmp_path) as downstream:
             carrier = ForwardCarrier(
-                Urls(f"forward://127.0.0.1:{second.port}"),
+                Urls(f"forward://127.0.0.1:{downstream.port}"),
                 PoolManager(Limits(), 8, 5000.0, 500.0),
                 Credentials("edge-0", b"key edge-0"),
                 Offload(1),
@@ -179,13 +191,13 @@
                 batch=8,
                 compress=True,
             )
-            found = await carry(carrier, [attempt(number) for number in range(4)])
-            assert [one.result for one in found] == [Result.OK] * 4
-            assert {given.identity for given in second.engine.taken} == {
+            results = await carry(carrier, [attempt(number) for number in range(4)])
+            assert [outcome.result for outcome in results] == [Result.OK] * 4
+            assert {chunk.identity for chunk in downstream.engine.submissions} == {
                 delivery_id("edge", f"c{number}") for number in range(4)
             }
-            again = await carry(carrier, [attempt(2)])
-            assert again[0].result is Result.OK and len(second.engine.taken) == 4, (
+            repeated = await carry(carrier, [attempt(2)])
+            assert repeated[0].result is Result.OK and len(downstream.engine.submissions) == 4, (
                 "a repeat has no second effect"
             )
             carrier.pools.close_all_idle()
@@ -193,16 +205,16 @@
     run(work())
 
 
-def test_one_that_may_not_begin_any_more_is_not_written_and_says_so_at_once() -> None:
+def test_an_attempt_that_may_no_longer_start_is_not_written_and_ends_at_once() -> None:
     async def work() -> None:
-        server = Server(ack)
-        carrier = made(await server.start(), batch=2)
+        server = ScriptedServer(ack)
+        carrier = make_carrier(await server.start(), batch=2)
         try:
             start_guard, over = attempt(0, 8.0), attempt(1, 8.0)
             over.start_guard.check = lambda: BlockReason.MESSAGE_OVER
-            one, other = await asyncio.wait_for(carry(carrier, [start_guard, over]), 4.0)
-            assert one.result is Result.OK and not other.may_have_run
-            assert [got.chunk for got in server.got] == [delivery_id("edge", "c0")]
+            outcome, blocked = await asyncio.wait_for(carry(carrier, [start_guard, over]), 4.0)
+            assert outcome.result is Result.OK and not blocked.may_have_run
+            assert [received.chunk for received in server.received] == [delivery_id("edge", "c0")]
         finally:
             carrier.pools.close_all_idle()
             server.stop()
--- a/tests/forward/test_codec.py
+++ b/tests/forward/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec against byte transcripts written from the specification, and against sizes that nobody meant."""
+"""The codec against byte transcripts written from the specification, and against malformed and oversized input."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
     ENTRIES,
     FORWARD,
     HELO,
+    LIMIT,
     MESSAGE,
     MESSAGE_ACK,
-    MOST,
     PACKED,
     PACKED_OLD,
     compressed,
 )
 
 
-def test_the_transcripts() -> None:
-    one = message.read(MESSAGE)
-    assert (one.mode, one.tag, one.chunk, one.size) == (Mode.MESSAGE, "my.ap", "", None)
-    assert list(events.unpack(one.entries(MOST), 9)) == [Event(EventTime(0x55ECDFE5), {"key": "val"})]
-    two = message.read(MESSAGE_ACK)
-    assert two.chunk == "iD1"
-    assert list(events.unpack(two.entries(MOST), 9)) == [Event(EventTime(0x55ECDFE5, 42), {"key": "val"})]
-    three = message.read(FORWARD)
-    assert (three.mode, three.chunk, three.size) == (Mode.FORWARD, "iD2", 2)
-    assert list(events.unpack(three.entries(MOST), 9)) == [
+def test_transcripts_are_decoded() -> None:
+    plain = message.read(MESSAGE)
+    assert (plain.mode, plain.tag, plain.chunk, plain.size) == (Mode.MESSAGE, "my.ap", "", None)
+    assert list(events.unpack(plain.entries(LIMIT), 9)) == [Event(EventTime(0x55ECDFE5), {"key": "val"})]
+    acked = message.read(MESSAGE_ACK)
+    assert acked.chunk == "iD1"
+    assert list(events.unpack(acked.entries(LIMIT), 9)) == [Event(EventTime(0x55ECDFE5, 42), {"key": "val"})]
+    listed = message.read(FORWARD)
+    assert (listed.mode, listed.chunk, listed.size) == (Mode.FORWARD, "iD2", 2)
+    assert list(events.unpack(listed.entries(LIMIT), 9)) == [
         Event(EventTime(0x55ECDFE5), {"key": 1}),
         Event(EventTime(0x55ECDFE6, 1_000_000), {"key": 2}),
     ]
@@ -49,15 +49,15 @@
         (compressed([ENTRIES]), Mode.COMPRESSED, "iD4"),
         (compressed([ENTRIES[:12], ENTRIES[12:]]), Mode.COMPRESSED, "iD4"),
     ):
-        got = message.read(frame)
-        assert (got.mode, got.chunk) == (mode, chunk)
-        assert got.entries(MOST) == ENTRIES
+        decoded = message.read(frame)
+        assert (decoded.mode, decoded.chunk) == (mode, chunk)
+        assert decoded.entries(LIMIT) == ENTRIES
     assert handshake.read_helo(HELO) == handshake.Helo(b"\x01\x02", b"", True)
     assert message.ack("iD1") == bytes.fromhex("81a361636ba3694431")
     assert message.read_ack(message.ack("iD1")) == "iD1"
 
 
-def test_digests_are_the_specifications() -> None:
+def test_digests_follow_the_specification() -> None:
     salt, nonce = b"\x00\x11", b"\xfe\xff"
     assert (
         handshake.digest(salt, "edge-1", nonce, b"secret")
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("mode", list(Mode))
 @pytest.mark.parametrize("integer_times", [False, True])
-def test_what_is_built_is_read_again(mode: Mode, integer_times: bool) -> None:
+def test_messages_round_trip(mode: Mode, integer_times: bool) -> None:
     entries = [
         Event(
             EventTime(1_700_000_000 + i, 0 if integer_times else i),
@@ -86,16 +86,16 @@
         )
         for i in range(1 if mode is Mode.MESSAGE else 50)
     ]
-    got = message.read(message.build(mode, "a.b", entries, "c1", integer_times=integer_times))
-    assert (got.mode, got.tag, got.chunk) == (mode, "a.b", "c1")
-    assert list(events.unpack(got.entries(MOST), 100)) == entries
+    decoded = message.read(message.build(mode, "a.b", entries, "c1", integer_times=integer_times))
+    assert (decoded.mode, decoded.tag, decoded.chunk) == (mode, "a.b", "c1")
+    assert list(events.unpack(decoded.entries(LIMIT), 100)) == entries
 
 
-def split_up(data: bytes, cuts: list[int], most: int = MOST) -> list[bytes]:
-    frames, out, last = Frames(most), [], 0
+def split_up(data: bytes, cuts: list[int], most: int = LIMIT) -> list[bytes]:
+    frames, out, start = Frames(most), [], 0
     for cut in [*sorted(cut % (len(data) + 1) for cut in cuts), len(data)]:
-        frames.feed(data[last:cut])
-        last = cut
+        frames.feed(data[start:cut])
+        start = cut
         while (frame := frames.next()) is not None:
             out.append(frame)
     return out
@@ -114,17 +114,17 @@
     assert split_up(data, list(range(0, len(data), 7))) == [MESSAGE, big, MESSAGE]
 
 
-def test_an_idle_stream_holds_nothing() -> None:
-    frames = Frames(10 * MOST)
+def test_an_idle_stream_buffers_nothing() -> None:
+    frames = Frames(10 * LIMIT)
     big = packb("x" * 3_000_000)
     frames.feed(big)
     assert frames.next() == big and frames.partial == 0
-    assert frames.stepper is None, "the stepper's buffer never shrinks, so it is not kept"
+    assert frames.stepper is None, "the stepper's buffer never shrinks, so it must be released"
 
 
-def test_a_claim_reserves_nothing_and_sizes_are_bounded() -> None:
+def test_claimed_sizes_allocate_nothing_and_values_are_bounded() -> None:
     frames = Frames(1000)
-    frames.feed(b"\xdd\xff\xff\xff\xff" + b"\xc0" * 900)  # an array of four thousand million
+    frames.feed(b"\xdd\xff\xff\xff\xff" + b"\xc0" * 900)  # an array header that claims 4,294,967,295 elements
     assert frames.next() is None
     frames.feed(b"\xc0" * 200)
     with pytest.raises(ForwardError, match="more than 1000 bytes"):
@@ -133,18 +133,18 @@
     frames.feed(packb("x" * 2000))
     with pytest.raises(ForwardError, match="more than 1000 bytes"):
         frames.next()
-    deep = Frames(MOST)
+    deep = Frames(LIMIT)
     deep.feed(b"\x91" * 5000)
     with pytest.raises(ForwardError, match="nested"):
         deep.next()
-    bad = Frames(MOST)
+    bad = Frames(LIMIT)
     bad.feed(b"\xc1")
     with pytest.raises(ForwardError, match="no msgpack"):
         bad.next()
 
 
 @pytest.mark.parametrize(
-    ("frame", "words"),
+    ("frame", "expected"),
     [
         (packb("x"), "no message"),
         (packb([]), "at least a tag"),
@@ -160,13 +160,13 @@
         (b"\x93\xa1\xff\x01\x80", "no UTF-8"),
     ],
 )
-def test_bad_messages(frame: bytes, words: str) -> None:
-    with pytest.raises(ForwardError, match=words):
+def test_bad_messages(frame: bytes, expected: str) -> None:
+    with pytest.raises(ForwardError, match=expected):
         message.read(frame)
 
 
 @pytest.mark.parametrize(
-    ("entries", "words"),
+    ("entries", "expected"),
     [
         (packb(7), "entry 0 is no array"),
         (packb([1, {}, 2]), "entry 0 is no array"),
@@ -186,27 +186,27 @@
         (b"\x92\x01\xdf\xff\xff\xff\xff", "cut off"),
     ],
 )
-def test_bad_entries(entries: bytes, words: str) -> None:
-    with pytest.raises(ForwardError, match=words):
+def test_bad_entries(entries: bytes, expected: str) -> None:
+    with pytest.raises(ForwardError, match=expected):
         list(events.unpack(entries, 100))
 
 
-def test_gzip_bombs_and_torn_members() -> None:
+def test_gzip_bombs_and_truncated_members() -> None:
     bomb = gzip.compress(b"\0" * 50_000_000)
     assert len(bomb) < 100_000
     with pytest.raises(ForwardError, match="when decompressed"):
-        events.gunzip(bomb, MOST)
+        events.gunzip(bomb, LIMIT)
     with pytest.raises(ForwardError, match="when decompressed"):
-        events.gunzip(gzip.compress(b"a" * 600_000) * 2, MOST)  # the second member goes over
-    for torn in (bomb[:-4], b"\x1f\x8b", b"nothing", gzip.compress(b"x") + b"tail"):
+        events.gunzip(gzip.compress(b"a" * 600_000) * 2, LIMIT)  # the second member exceeds the limit
+    for damaged in (bomb[:-4], b"\x1f\x8b", b"nothing", gzip.compress(b"x") + b"tail"):
         with pytest.raises(ForwardError):
-            events.gunzip(torn, 100_000_000)
-    assert events.gunzip(gzip.compress(b"a" * MOST), MOST) == b"a" * MOST
-    assert events.gunzip(b"", MOST) == b""
+            events.gunzip(damaged, 100_000_000)
+    assert events.gunzip(gzip.compress(b"a" * LIMIT), LIMIT) == b"a" * LIMIT
+    assert events.gunzip(b"", LIMIT) == b""
 
 
-def test_lines_hold_what_json_can() -> None:
-    odd = {
+def test_json_lines_convert_what_json_cannot_hold() -> None:
+    record = {
         "text": "ä",
         "raw": b"\xff\x00",
         7: "number",
@@ -215,7 +215,7 @@
         "nan": float("nan"),
         "ext": ExtType(9, b"z"),
     }
-    data = packb([ExtType(0, (1_700_000_000).to_bytes(4, "big") + (5).to_bytes(4, "big")), odd])
+    data = packb([ExtType(0, (1_700_000_000).to_bytes(4, "big") + (5).to_bytes(4, "big")), record])
     content, count = events.lines("t.x", events.unpack(data + packb([1, {"m": 1}]), 9))
     first, second = (json.loads(line) for line in content.splitlines())
     assert count == 2 and second == {
@@ -237,12 +237,12 @@
     assert json.loads(events.lines("t", events.unpack(bad, 9))[0])["record"] == {"a": "\ufffd\ufffd"}
 
 
-def test_documents_become_one_event_and_entries_stay() -> None:
+def test_payloads_become_one_event_and_entries_are_unchanged() -> None:
     tag, packed, count = events.of_payload(Payload(events.PACKED, ENTRIES, "my.tag"), "default", 5.0)
     assert (tag, packed, count) == ("my.tag", ENTRIES, 2)
     tag, packed, count = events.of_payload(Payload("application/json", b'{"a":1}', "s"), "default", 5.5)
-    (one,) = events.unpack(packed, 9)
-    assert (tag, count) == ("default", 1) and one.time == EventTime(5, 500_000_000)
-    assert one.record == {"content_type": "application/json", "subject": "s", "content": '{"a":1}'}
+    (decoded,) = events.unpack(packed, 9)
+    assert (tag, count) == ("default", 1) and decoded.time == EventTime(5, 500_000_000)
+    assert decoded.record == {"content_type": "application/json", "subject": "s", "content": '{"a":1}'}
     _, packed, _ = events.of_payload(Payload("application/pdf", b"\xff\xfe", ""), "d", 1.0)
     assert unpackb(packed, strict_map_key=False)[1]["content"] == b"\xff\xfe"
--- a/tests/forward/test_decide.py
+++ b/tests/forward/test_decide.py
@@ -1,4 +1,4 @@
-"""Rules, answers and joining."""
+"""Routing rules, replies and batching."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pattern", "yes", "no"),
+    ("pattern", "matching", "not_matching"),
     [
         ("a.b", ["a.b"], ["a", "a.b.c", "axb"]),
         ("a.*", ["a.b"], ["a", "a.b.c"]),
@@ -32,59 +32,59 @@
         ("a+(b)", ["a+(b)"], ["aab"]),
     ],
 )
-def test_patterns_match_as_fluentd_has_them(pattern: str, yes: list[str], no: list[str]) -> None:
-    found = compile_pattern(pattern)
-    assert [tag for tag in yes if not found.fullmatch(tag)] == []
-    assert [tag for tag in no if found.fullmatch(tag)] == []
+def test_patterns_match_as_in_fluentd(pattern: str, matching: list[str], not_matching: list[str]) -> None:
+    compiled = compile_pattern(pattern)
+    assert [tag for tag in matching if not compiled.fullmatch(tag)] == []
+    assert [tag for tag in not_matching if compiled.fullmatch(tag)] == []
 
 
 @pytest.mark.parametrize("pattern", ["", "  ", "a..b", ".a", "a.", "{a", "a}", "{a,}", "{a,{b}}"])
-def test_patterns_that_mean_nothing(pattern: str) -> None:
+def test_invalid_patterns_raise(pattern: str) -> None:
     with pytest.raises(ValueError):
         compile_pattern(pattern)
 
 
 @given(st.text("ab.*{},", max_size=12))
 @settings(max_examples=300, deadline=None)
-def test_no_pattern_breaks_the_maker(pattern: str) -> None:
+def test_any_pattern_compiles_or_raises_value_error(pattern: str) -> None:
     try:
         assert isinstance(compile_pattern(pattern), re.Pattern)
     except ValueError:
         pass
 
 
-def test_places() -> None:
+def test_routes() -> None:
     rules = (
         TagRule("pay.*", "order", "bank-{1}", Body.PACKED, "{tag}"),
         TagRule("log.**", "status", "logs", key="all"),
         TagRule("x.**", "status", "deep-{2}"),
         TagRule("y", "status", "all-{tag}"),
     )
-    one = find_route(rules, "edge", "pay.north")
-    assert one is not None and (one.destination, one.class_name, one.body, one.key) == (
+    route = find_route(rules, "edge", "pay.north")
+    assert route is not None and (route.destination, route.class_name, route.body, route.key) == (
         "bank-north",
         "order",
         Body.PACKED,
         "edge\npay.north",
     )
-    two = find_route(rules, "edge", "log.a.b")
-    assert two is not None and (two.destination, two.key) == ("logs", "edge\nall")
-    assert find_route(rules, "edge", "x.1") is None, "it has no third part"
-    three = find_route(rules, "edge", "y")
-    assert three is not None and three.destination == "all-y"
+    by_log_tag = find_route(rules, "edge", "log.a.b")
+    assert by_log_tag is not None and (by_log_tag.destination, by_log_tag.key) == ("logs", "edge\nall")
+    assert find_route(rules, "edge", "x.1") is None, "the tag has no third part"
+    by_whole_tag = find_route(rules, "edge", "y")
+    assert by_whole_tag is not None and by_whole_tag.destination == "all-y"
     assert find_route(rules, "edge", "other") is None
     with pytest.raises(ValueError):
         TagRule("a", "status", "{who}")
 
 
-def test_answers_promise_no_more_than_is_so() -> None:
+def test_only_a_delivery_is_acked_without_storing() -> None:
     refused = FinalAnswer(Answer.REFUSED, "not now", 700.0)
     assert answers.final(FinalAnswer(Answer.DELIVERED), True).action is Tell.ACK
-    told = answers.final(refused, True)
-    assert (told.action, told.pause_ms) == (Tell.CLOSE, 700.0)
+    reply = answers.final(refused, True)
+    assert (reply.action, reply.pause_ms) == (Tell.CLOSE, 700.0)
     assert answers.final(refused, False).action is Tell.KEEP, "nobody would send it again"
-    for asked in (True, False):
-        assert answers.final(FinalAnswer(Answer.FAILED, "no"), asked).action is Tell.KEEP, (
+    for ack_requested in (True, False):
+        assert answers.final(FinalAnswer(Answer.FAILED, "no"), ack_requested).action is Tell.KEEP, (
             "it may have run: never again"
         )
     assert answers.unrouted("no rule", True).action is Tell.CLOSE
@@ -92,10 +92,10 @@
     assert answers.unreadable("bad").action is Tell.KEEP
 
 
-def test_joining_fills_calls() -> None:
-    joining = Joining(2)
-    assert joining.add("a", 1) is None and joining.add("b", 2) is None
-    assert joining.add("a", 3) == [1, 3]
-    assert joining.add("a", 4) is None
-    assert joining.rest() == [("b", [2]), ("a", [4])] and joining.rest() == []
+def test_batches_fill_up_to_their_size() -> None:
+    batches = Joining(2)
+    assert batches.add("a", 1) is None and batches.add("b", 2) is None
+    assert batches.add("a", 3) == [1, 3]
+    assert batches.add("a", 4) is None
+    assert batches.rest() == [("b", [2]), ("a", [4])] and batches.rest() == []
     assert Joining(1).add("a", 1) == [1]
--- a/tests/forward/test_read_scheduler.py
+++ b/tests/forward/test_read_scheduler.py
@@ -1,4 +1,4 @@
-"""Who reads next, whatever the sources do."""
+"""The read scheduler: bounded memory, fair windows, no deadlock and no starvation."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 CAPACITY = 1_000_000
 
 
-def test_one_greedy_source_leaves_room_and_takes_half_at_most() -> None:
+def test_one_greedy_source_fills_at_most_half_the_capacity() -> None:
     scheduler = ReadScheduler(CAPACITY)
     greedy = [scheduler.add_reader("greedy") for _ in range(100)]
     scheduler.sources["greedy"].window = 1000.0
@@ -27,7 +27,7 @@
     assert scheduler.may_read(scheduler.add_reader("late"), 0.0)
 
 
-def test_windows_grow_shrink_and_shrink_once_a_moment() -> None:
+def test_windows_grow_and_shrink_once_per_interval() -> None:
     scheduler = ReadScheduler(CAPACITY)
     reader = scheduler.add_reader("a")
     for _ in range(int(INITIAL_WINDOW_CHUNKS)):
@@ -52,7 +52,7 @@
     assert scheduler.sources["a"].window == MAX_WINDOW_CHUNKS
 
 
-def test_windows_shrink_once_in_the_time_that_a_late_delivery_took() -> None:
+def test_late_deliveries_shrink_the_window_once_per_age() -> None:
     scheduler = ReadScheduler(CAPACITY)
     scheduler.add_reader("a")
     scheduler.sources["a"].window = 16.0
@@ -63,11 +63,11 @@
     assert scheduler.sources["a"].window == 4.0
     for now in range(3000, 30_000, 1000):
         scheduler.delivered("a", 900.0, 500.0, float(now))
-    assert scheduler.sources["a"].window == 1.0, "one chunk at a time always goes on"
+    assert scheduler.sources["a"].window == 1.0, "one chunk at a time is always allowed"
 
 
-def test_windows_of_greedy_and_modest_sources_come_to_meet() -> None:
-    """Forty sources and one that always wants more share what takes a hundred chunks a second."""
+def test_windows_of_greedy_and_modest_sources_converge() -> None:
+    """Forty modest sources and a greedy one share a rate of a hundred chunks a second."""
     scheduler, now = ReadScheduler(CAPACITY), 0.0
     names = [f"s{i}" for i in range(41)]
     readers = {name: scheduler.add_reader(name) for name in names}
@@ -76,9 +76,11 @@
     for _ in range(6000):
         now += 10.0
         for name in names:
-            # A read begins a chunk for each that its source has ready: the greedy one always has.
-            want = 80 if name == "s0" else 8
-            while scheduler.sources[name].unanswered_chunks < want and scheduler.may_read(readers[name], now):
+            # Each source sends while it has chunks ready; the greedy one has more of them.
+            ready_chunks = 80 if name == "s0" else 8
+            while scheduler.sources[name].unanswered_chunks < ready_chunks and scheduler.may_read(
+                readers[name], now
+            ):
                 scheduler.chunk_received(readers[name], 10)
                 queue.append((name, now))
         name, since = queue.pop(0)
@@ -90,15 +92,15 @@
     assert served["s0"] < 3.0 * mean and min(served.values()) > 0.6 * mean
 
 
-def test_halves_do_not_wait_for_each_other() -> None:
-    """A thousand sources, each within a chunk that is larger than its share of the room."""
+def test_partial_chunks_do_not_deadlock() -> None:
+    """A thousand sources each send a chunk that is larger than their share of the capacity."""
     scheduler = ReadScheduler(CAPACITY, read_slice=1000)
     size, received_bytes = 20_000, dict[int, int]()
     readers = [scheduler.add_reader(f"s{i}") for i in range(1000)]
     resumed = [reader for reader in readers if scheduler.may_read(reader, 0.0)]
     ended, now, max_held_bytes = 0, 0.0, 0
     while ended < 1000:
-        assert resumed, "somebody may always go on"
+        assert resumed, "some reader may always go on"
         for reader in resumed:
             received_bytes[reader] = received_bytes.get(reader, 0) + 1000
             if received_bytes[reader] >= size:
@@ -118,7 +120,7 @@
     assert max_held_bytes <= CAPACITY + size and scheduler.held_bytes == 0
 
 
-def test_a_source_that_is_always_within_a_chunk_has_its_window_all_the_same() -> None:
+def test_the_window_applies_within_a_chunk() -> None:
     scheduler = ReadScheduler(CAPACITY)
     reader = scheduler.add_reader("a")
     for _ in range(int(INITIAL_WINDOW_CHUNKS)):
@@ -127,16 +129,15 @@
     assert not scheduler.may_read(reader, 0.0)
     other = scheduler.add_reader("b")
     scheduler.update_partial(other, 10)
-    scheduler.held_bytes = (
-        scheduler.capacity + 10
-    )  # no room at all: the oldest begun that its own answers do not stop goes on
+    # With no free bytes, the oldest partial chunk of a source that is not throttled goes on.
+    scheduler.held_bytes = scheduler.capacity + 10
     assert scheduler.may_read(other, 0.0) and scheduler.next(0.0)[0] == []
     scheduler.held_bytes = 460
     scheduler.chunk_finished(reader, 100)
     assert scheduler.next(0.0)[0] == [reader]
 
 
-def test_answers_that_fill_the_room_stop_even_the_oldest() -> None:
+def test_processing_that_fills_the_capacity_stops_even_the_oldest() -> None:
     scheduler = ReadScheduler(1000, read_slice=10)
     first, second = scheduler.add_reader("a"), scheduler.add_reader("b")
     scheduler.chunk_received(first, 1200)
@@ -157,7 +158,7 @@
     )
 )
 @settings(max_examples=300, deadline=None)
-def test_books_stay_right_and_nobody_is_forgotten(steps: list[tuple[str, int, int]]) -> None:
+def test_accounting_stays_consistent_and_every_waiter_resumes(steps: list[tuple[str, int, int]]) -> None:
     scheduler, now = ReadScheduler(2000, read_slice=50), 0.0
     live: dict[int, str] = {}
     work: list[tuple[int, int]] = []
@@ -191,7 +192,7 @@
         elif action == "no":
             scheduler.refused(live[reader], float(amount), now)
         resumed, _ = scheduler.next(now)
-        assert set(resumed) <= waiting, "only who waits is told to go on"
+        assert set(resumed) <= waiting, "only waiting readers are resumed"
         waiting -= set(resumed)
         assert (
             scheduler.held_bytes
@@ -201,7 +202,7 @@
         )
         assert scheduler.processing_bytes == sum(size for _, size in work)
         assert set(scheduler.readers) == set(live) | {one for one, _ in work}
-    # All is answered and the waits are over: whoever waits is let go on before long.
+    # Once all chunks are answered and pauses are over, every waiting reader must resume.
     for one in work:
         scheduler.chunk_finished(*one)
     for _ in range(50):
@@ -209,7 +210,7 @@
         waiting -= set(resumed)
         if not waiting:
             break
-        for reader in resumed:  # what was begun is ended
+        for reader in resumed:  # partial chunks end
             if reader in live and scheduler.readers[reader].partial_bytes:
                 scheduler.update_partial(reader, 0)
         now = max(now + RECHECK_MS, again or 0.0)
--- a/tests/forward/test_session.py
+++ b/tests/forward/test_session.py
@@ -1,4 +1,4 @@
-"""Sessions: who is admitted, who is denied, and bytes that nobody meant."""
+"""Sessions: authentication, and malformed input."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     ENTRIES,
     FORWARD,
     HELO,
+    LIMIT,
     MESSAGE_ACK,
-    MOST,
     PACKED,
     compressed,
 )
@@ -34,28 +34,28 @@
         return True
 
 
-def session() -> Session:
-    return Session(Gate(), "hub", b"nonce", b"salt", MOST)
+def make_session() -> Session:
+    return Session(Gate(), "hub", b"nonce", b"salt", LIMIT)
 
 
-def greet(
-    one: Session, name: str = "edge", key: bytes = b"new", user: str = "ann", pw: bytes = b"pw"
+def authenticate(
+    session: Session, name: str = "edge", key: bytes = b"new", user: str = "ann", pw: bytes = b"pw"
 ) -> object:
-    helo = handshake.read_helo(one.hello())
-    one.feed(handshake.ping(helo, name, b"s", key, user, pw).encode())
-    return next(one.events())
+    helo = handshake.read_helo(session.hello())
+    session.feed(handshake.ping(helo, name, b"s", key, user, pw).encode())
+    return next(session.events())
 
 
-def test_sessions_admit_who_proves_the_key() -> None:
+def test_sources_that_prove_a_key_are_admitted() -> None:
     for key in (b"new", b"old"):
-        one = session()
-        verdict = greet(one, key=key)
+        session = make_session()
+        verdict = authenticate(session, key=key)
         assert isinstance(verdict, Admitted) and verdict.source == "edge"
         assert handshake.read_pong(verdict.say).proves(b"s", b"nonce", key)
-        one.feed(MESSAGE_ACK + b"\xc0")
-        came = list(one.events())
-        assert [type(event) for event in came] == [Came, Came]
-        assert isinstance(came[1], Came) and came[1].message is None
+        session.feed(MESSAGE_ACK + b"\xc0")
+        received = list(session.events())
+        assert [type(event) for event in received] == [Came, Came]
+        assert isinstance(received[1], Came) and received[1].message is None
 
 
 @pytest.mark.parametrize(
@@ -70,23 +70,23 @@
         {"user": ""},
     ],
 )
-def test_sessions_deny_the_rest_and_say_no_more_than_needed(kwargs: dict[str, object]) -> None:
-    one = session()
-    verdict = greet(one, **kwargs)  # type: ignore[arg-type]
+def test_denied_sources_learn_no_names_or_digests(kwargs: dict[str, object]) -> None:
+    session = make_session()
+    verdict = authenticate(session, **kwargs)  # type: ignore[arg-type]
     assert isinstance(verdict, Denied)
     pong = handshake.read_pong(verdict.say)
     assert not pong.good and pong.digest == "" and "edge" not in pong.reason
-    assert not one.source
+    assert not session.source
 
 
-def test_a_chunk_before_the_handshake_is_not_looked_at() -> None:
-    one = session()
-    one.feed(MESSAGE_ACK)
-    assert isinstance(next(one.events()), Denied)
-    two = session()
-    two.feed(b"\xc6\x00\xff\xff\xff" + b"x" * 5000)  # sixteen megabytes announced
+def test_chunks_before_the_handshake_are_rejected() -> None:
+    session = make_session()
+    session.feed(MESSAGE_ACK)
+    assert isinstance(next(session.events()), Denied)
+    other = make_session()
+    other.feed(b"\xc6\x00\xff\xff\xff" + b"x" * 5000)  # a header that claims 16 MB
     with pytest.raises(ForwardError, match="4096"):
-        list(two.events())
+        list(other.events())
 
 
 values = st.recursive(
@@ -104,14 +104,14 @@
 )
 
 
-def read_all(data: bytes) -> None:
-    """Everything that bytes from a source go through. Raises ForwardError at most."""
-    one = session()
-    assert isinstance(greet(one), Admitted)
-    one.feed(data)
-    for event in one.events():
+def decode_all(data: bytes) -> None:
+    """Pass bytes from a source through all decoders. Raises ForwardError and nothing else."""
+    session = make_session()
+    assert isinstance(authenticate(session), Admitted)
+    session.feed(data)
+    for event in session.events():
         if isinstance(event, Came) and event.message is not None:
-            entries = event.message.entries(MOST)
+            entries = event.message.entries(LIMIT)
             content, _ = events.lines(event.message.tag, events.unpack(entries, 1000))
             for line in content.splitlines():
                 if line:
@@ -134,9 +134,9 @@
 @example(PACKED[:-3])
 @example(b"\x93\xa1t\x90\xc1")
 @settings(max_examples=600, deadline=None)
-def test_fuzzing_raises_nothing_but_its_own_error(data: bytes) -> None:
+def test_fuzzed_input_raises_only_forward_error(data: bytes) -> None:
     try:
-        read_all(data)
+        decode_all(data)
     except ForwardError:
         pass
 
@@ -147,11 +147,14 @@
     st.sampled_from([MESSAGE_ACK, FORWARD, PACKED, compressed([ENTRIES]), HELO]),
 )
 @settings(max_examples=400, deadline=None)
-def test_damaged_transcripts_raise_nothing_else(noise: bytes, at: int, good: bytes) -> None:
-    at %= len(good)
-    for data in (good[:at] + noise + good[at:], good[:at] + noise + good[at + len(noise) :]):
-        for read in (
-            read_all,
+def test_damaged_transcripts_raise_only_forward_error(noise: bytes, at: int, transcript: bytes) -> None:
+    at %= len(transcript)
+    for data in (
+        transcript[:at] + noise + transcript[at:],
+        transcript[:at] + noise + transcript[at + len(noise) :],
+    ):
+        for decode in (
+            decode_all,
             message.read,
             message.read_ack,
             handshake.read_helo,
@@ -159,6 +162,6 @@
             handshake.read_pong,
         ):
             try:
-                read(data)
+                decode(data)
             except ForwardError:
                 pass
--- a/tests/forward/transcripts.py
+++ b/tests/forward/transcripts.py
@@ -4,9 +4,8 @@
 
 import gzip
 
-MOST = 1_000_000
+LIMIT = 1_000_000  # bytes
 
-# Written by hand from the specification's tables, byte by byte: fixarray, fixstr, uint32, fixmap and so on.
 MESSAGE = bytes.fromhex("93a56d792e6170ce55ecdfe581a36b6579a376616c")  # ["my.ap", t, {"key": "val"}]
 MESSAGE_ACK = bytes.fromhex(
     "94a56d792e6170d70055ecdfe50000002a81a36b6579a376616c81a56368756e6ba3694431"
@@ -44,7 +43,7 @@
 )
 ENTRIES = bytes.fromhex("92ce55ecdfe581a36b65790192ce55ecdfe681a36b657902")
 PACKED = bytes.fromhex("93a56d792e6170c418") + ENTRIES + bytes.fromhex("81a56368756e6ba3694433")
-PACKED_OLD = bytes.fromhex("92a56d792e6170b8") + ENTRIES  # as a raw string, as before there was bin
+PACKED_OLD = bytes.fromhex("92a56d792e6170b8") + ENTRIES  # as str, from peers older than the msgpack bin type
 HELO = bytes.fromhex("92a448454c4f83a56e6f6e6365c4020102a461757468c400a96b656570616c697665c3")
 
 
