--- a/brassweir/forward/carrier.py
+++ b/brassweir/forward/carrier.py
@@ -27,8 +27,8 @@
 class ForwardCarrier(TaskCarrier):
     """Carries attempts of one kind of endpoint.
 
-    ``batch`` is the maximum of attempts in a call. ``tag`` is the tag of payloads that have none. ``linger``
-    (ms) is how long after an attempt's time is over its ack is still awaited.
+    ``batch`` is the maximum of attempts in a call. ``tag`` is the tag of payloads that have none.
+    ``linger`` (ms) is how long after an attempt's time is over its ack is still awaited.
     """
 
     def __init__(
