--- a/brassweir/forward/carrier.py
+++ b/brassweir/forward/carrier.py
@@ -11,7 +11,7 @@
 from brassweir.core.ports import Attempt, Outcome, Payload, Urls
 from brassweir.core.task_carrier import Note, TaskCarrier
 from brassweir.forward import endings, events, message
-from brassweir.forward.decide.joining import Joining
+from brassweir.forward.decide.batching import CallBatcher
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.link import Credentials, ForwardLink, ForwardLinks
 from brassweir.interface import Result
@@ -28,7 +28,7 @@
     """Carries attempts of one kind of endpoint.
 
     ``batch`` is the maximum of attempts in a call. ``tag`` is the tag of payloads that have none.
-    ``linger`` (ms) is how long after an attempt's time is over its ack is still awaited.
+    ``linger_ms`` is how long after an attempt's time is over its ack is still awaited.
     """
 
     def __init__(
@@ -42,12 +42,12 @@
         batch: int = 1,
         tag: str = "brassweir",
         compress: bool = False,
-        linger: float = 2000.0,
+        linger_ms: float = 2000.0,
     ) -> None:
         super().__init__(urls, pools, note, credentials.hostname)
         self.pools, self.credentials, self.offload, self.tag = pools, credentials, offload, tag
-        self.compress, self.linger = compress, linger
-        self.joining = Joining(batch)
+        self.compress, self.linger_ms = compress, linger_ms
+        self.batcher = CallBatcher(batch)
         self.calls: dict[int, tuple[Attempt, Done]] = {}
         self.last_call_number = 0
         self.flush_scheduled = False
@@ -57,7 +57,7 @@
         loop = asyncio.get_running_loop()
         self.last_call_number += 1
         self.calls[self.last_call_number] = (attempt, done)
-        full = self.joining.add(attempt.endpoint.name, self.last_call_number)
+        full = self.batcher.add(attempt.endpoint.name, self.last_call_number)
         if full is not None:
             self._start_call(full)
         elif not self.flush_scheduled:
@@ -66,7 +66,7 @@
 
     def _flush(self) -> None:
         self.flush_scheduled = False
-        for _, call_numbers in self.joining.rest():
+        for _, call_numbers in self.batcher.flush():
             self._start_call(call_numbers)
 
     def _start_call(self, call_numbers: list[int]) -> None:
@@ -124,7 +124,7 @@
         if not built or url is None:
             return
         links = self.pools.pool(url, self._new_pool)
-        give_up_at = (max(attempt.abandon_at for attempt, _, _, _ in built) + self.linger) / 1000.0
+        give_up_at = (max(attempt.abandon_at for attempt, _, _, _ in built) + self.linger_ms) / 1000.0
         start_by = min(attempt.abandon_at for attempt, _ in calls) / 1000.0
         try:
             async with links.acquire(give_up_at, start_by) as link:
@@ -143,7 +143,7 @@
 
     async def _send(self, link: ForwardLink, attempt: Attempt, chunk: str, data: bytes, done: Done) -> None:
         """Send one chunk of a call and report its outcome."""
-        ack_deadline = (attempt.abandon_at + self.linger) / 1000.0
+        ack_deadline = (attempt.abandon_at + self.linger_ms) / 1000.0
         if not attempt.start_guard.begin():
             done(Outcome(Result.NO_CONNECTION, "called back before anything was written"))
             return
--- a/brassweir/forward/chunks.py
+++ b/brassweir/forward/chunks.py
@@ -12,12 +12,12 @@
 from brassweir.core.ports import FinalAnswer, Payload, Submission
 from brassweir.forward import events
 from brassweir.forward.decide import answers
-from brassweir.forward.decide.answers import Tell, Told
+from brassweir.forward.decide.answers import Reply, ReplyAction
 from brassweir.forward.decide.read_scheduler import ReadScheduler
 from brassweir.forward.decide.rules import Body, Route, find_route
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.message import Message
-from brassweir.forward.ports import Bounds, FrontMetrics, Note, Source, Submits
+from brassweir.forward.ports import FrontLimits, FrontMetrics, Note, Source, Submits
 from brassweir.interface import MessageClass
 from brassweir.undelivered.item import UndeliveredItem
 
@@ -26,7 +26,7 @@
 
 
 class ChunkDelivery:
-    """Submits chunks to the engine. ``margin`` (ms) is taken off each deadline, to leave time for the ack."""
+    """Submits chunks to the engine. ``margin_ms`` is taken off each deadline, to leave time for the ack."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         engine: Submits,
         offload: Offload,
         note: Note,
-        bounds: Bounds,
-        margin: float,
-        counts: FrontMetrics,
+        limits: FrontLimits,
+        margin_ms: float,
+        metrics: FrontMetrics,
         scheduler: ReadScheduler,
     ) -> None:
         self.classes, self.destination_number_of, self.engine, self.offload = (
@@ -46,18 +46,18 @@
             engine,
             offload,
         )
-        self.note, self.bounds, self.margin, self.counts, self.scheduler = (
+        self.note, self.limits, self.margin_ms, self.metrics, self.scheduler = (
             note,
-            bounds,
-            margin,
-            counts,
+            limits,
+            margin_ms,
+            metrics,
             scheduler,
         )
         self.key_order = KeyOrder()
 
     async def deliver(
         self, source: Source, received: Message, on_growth: Callable[[int], None]
-    ) -> tuple[Told, UndeliveredItem]:
+    ) -> tuple[Reply, UndeliveredItem]:
         """Deliver a chunk; returns the reply to its source and the item to store if the reply says so.
 
         ``on_growth`` is called with the payload's size in bytes once the chunk is decoded. Raises
@@ -79,7 +79,9 @@
             received.data,
         )
         if not ack_requested and source.acks_required:
-            return Told(Tell.CLOSE, "a chunk without an id, which could not be acknowledged"), unrouted_item
+            return Reply(
+                ReplyAction.CLOSE, "a chunk without an id, which could not be acknowledged"
+            ), unrouted_item
         if route is None or destination_number is None:
             reason = f"no rule for the tag {received.tag[:200]!r}"
             if route is not None:
@@ -106,19 +108,19 @@
                 identity,
                 route.class_name,
                 destination_number,
-                message_class.deadline - self.margin,
+                message_class.deadline - self.margin_ms,
                 route.key,
                 payload=payload,
             )
             self.engine.submit(submission, resolver(answer_future))
         answer = await answer_future
         reply = answers.final(answer, ack_requested)
-        if reply.action is Tell.ACK:
+        if reply.action is ReplyAction.ACK:
             now = loop.time()
             self.scheduler.delivered(
                 source.name, (now - submitted_at) * 1000.0, message_class.aim, now * 1000.0
             )
-        if reply.action is Tell.KEEP and payload is None:
+        if reply.action is ReplyAction.STORE and payload is None:
             payload = await self._decode(received, route)
         undelivered_payload = payload or Payload(events.PACKED, received.data, received.tag)
         return reply, UndeliveredItem(
@@ -137,8 +139,8 @@
         """Decode and check a chunk, and return it in its route's format. Raises ForwardError."""
 
         def decode() -> tuple[Payload, int]:
-            entries = received.entries(self.bounds.unpacked_bytes)
-            entry_events = events.unpack(entries, self.bounds.max_entries)
+            entries = received.entries(self.limits.unpacked_bytes)
+            entry_events = events.unpack(entries, self.limits.max_entries)
             if route.body is Body.LINES:
                 content, count = events.lines(received.tag, entry_events)
                 payload = Payload(events.LINES, content, received.tag)
@@ -152,5 +154,5 @@
         payload, count = await self.offload(decode) if len(received.data) > MAX_INLINE_BYTES else decode()
         if received.size is not None and received.size != count:
             self.note("forward_size", {"tag": received.tag[:200], "told": received.size, "counted": count})
-        self.counts.chunk(received.mode.value, count, len(received.data))
+        self.metrics.chunk_decoded(received.mode.value, count, len(received.data))
         return payload
--- a/brassweir/forward/connection.py
+++ b/brassweir/forward/connection.py
@@ -8,14 +8,14 @@
 from brassweir.forward.decide.read_scheduler import ReadScheduler
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.message import Message
-from brassweir.forward.ports import Bounds
-from brassweir.forward.session import Admitted, Came, Denied, Session
+from brassweir.forward.ports import FrontLimits
+from brassweir.forward.session import Admitted, Denied, ReceivedMessage, Session
 
 
 class Front(Protocol):
     """The part of the front that a connection needs."""
 
-    bounds: Bounds
+    limits: FrontLimits
     scheduler: ReadScheduler
     buffer: memoryview
     connections: set[Connection]
@@ -61,13 +61,13 @@
         """Send HELO, or drop the connection if there are too many or the front is stopping."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
         self.peer = str(transport.get_extra_info("peername"))
-        if len(self.front.connections) >= self.front.bounds.max_connections or self.front.stopping:
+        if len(self.front.connections) >= self.front.limits.max_connections or self.front.stopping:
             self.drop()
             if not self.front.stopping:
                 self.front.report_rejection(self, "too many connections")
             return
         self.front.connections.add(self)
-        self.set_timer(self.front.bounds.handshake_ms)
+        self.set_timer(self.front.limits.handshake_ms)
         self.transport.write(self.session.hello())
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -101,7 +101,7 @@
         elif self.in_chunk:
             self.front.report_rejection(self, "a chunk was begun and not ended in time")
         elif self.tasks:
-            self.set_timer(self.front.bounds.idle_ms)
+            self.set_timer(self.front.limits.idle_ms)
             return
         self.drop()
 
@@ -117,7 +117,7 @@
             return
         self.closing = True
         self.transport.close()
-        self.set_timer(self.front.bounds.write_ms)
+        self.set_timer(self.front.limits.write_ms)
 
     def close_if_idle(self) -> None:
         """Close unless a chunk is unanswered."""
@@ -135,13 +135,13 @@
         """Pause reading while the peer does not read our answers, and start the write timeout."""
         self.write_blocked = True
         self.pause()
-        self.set_timer(self.front.bounds.write_ms)
+        self.set_timer(self.front.limits.write_ms)
 
     def resume_writing(self) -> None:
         """Resume reading, if the scheduler allows it, once the write buffer has drained."""
         self.write_blocked = False
         if not self.closing:
-            self.set_timer(self.front.bounds.chunk_ms if self.in_chunk else self.front.bounds.idle_ms)
+            self.set_timer(self.front.limits.chunk_ms if self.in_chunk else self.front.limits.idle_ms)
             self.remaining = None
             self.update_reading()
 
@@ -173,19 +173,19 @@
         self.front.scheduler.update_partial(self.reader_id, partial)
         if bool(partial) != self.in_chunk:
             self.in_chunk = bool(partial)
-            bounds = self.front.bounds
-            self.set_timer(bounds.chunk_ms if self.in_chunk else bounds.idle_ms)
+            limits = self.front.limits
+            self.set_timer(limits.chunk_ms if self.in_chunk else limits.idle_ms)
         self.update_reading()
 
-    def _handle_event(self, event: Admitted | Denied | Came) -> None:
+    def _handle_event(self, event: Admitted | Denied | ReceivedMessage) -> None:
         if isinstance(event, Admitted):
-            self.send(event.say)
+            self.send(event.reply)
             self.reader_id = self.front.scheduler.add_reader(event.source)
             self.front.connection_by_reader[self.reader_id] = self
-            self.set_timer(self.front.bounds.idle_ms)
+            self.set_timer(self.front.limits.idle_ms)
         elif isinstance(event, Denied):
             self.front.report_rejection(self, event.reason)
-            self.send(event.say)
+            self.send(event.reply)
             self.close()
         elif event.message is not None:
             self.front.scheduler.chunk_received(self.reader_id, event.size)
--- a/brassweir/forward/decide/answers.py
+++ b/brassweir/forward/decide/answers.py
@@ -15,41 +15,45 @@
 UNROUTED_PAUSE_MS = 5000.0  # pause between retries of a chunk that has no route
 
 
-class Tell(Enum):
+class ReplyAction(Enum):
     """How to reply to the source."""
 
     ACK = auto()
-    KEEP = auto()  # save it in the undelivered store, then ack
+    STORE = auto()  # save it in the undelivered store, then ack
     CLOSE = auto()
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Reply:
     """A reply to the source. ``pause_ms``: after a CLOSE, how long the source is not read from."""
 
-    action: Tell
+    action: ReplyAction
     reason: str = ""
     pause_ms: float = 0.0
 
 
-def final(answer: FinalAnswer, asked: bool) -> Told:
-    """Return the reply for a final answer. ``asked``: the source wants an ack, and resends without one.
+def final(answer: FinalAnswer, ack_requested: bool) -> Reply:
+    """Return the reply for a final answer. ``ack_requested``: without an ack the source resends.
 
     A failed chunk is stored, never requested again: it may have taken effect at a destination that no longer
     drops its repeats, or the destination has rejected it for good.
     """
     if answer.answer is Answer.DELIVERED:
-        return Told(Tell.ACK)
-    if answer.answer is Answer.FAILED or not asked:
-        return Told(Tell.KEEP, answer.reason)
-    return Told(Tell.CLOSE, answer.reason, answer.retry_after)
+        return Reply(ReplyAction.ACK)
+    if answer.answer is Answer.FAILED or not ack_requested:
+        return Reply(ReplyAction.STORE, answer.reason)
+    return Reply(ReplyAction.CLOSE, answer.reason, answer.retry_after)
 
 
-def unreadable(reason: str) -> Told:
+def unreadable(reason: str) -> Reply:
     """Return the reply for a chunk whose entries cannot be decoded: stored, since a resend would fail too."""
-    return Told(Tell.KEEP, reason)
+    return Reply(ReplyAction.STORE, reason)
 
 
-def unrouted(reason: str, ack_requested: bool) -> Told:
+def unrouted(reason: str, ack_requested: bool) -> Reply:
     """Return the reply for a chunk without a rule or known destination; a later retry may find one."""
-    return Told(Tell.CLOSE, reason, UNROUTED_PAUSE_MS) if ack_requested else Told(Tell.KEEP, reason)
+    return (
+        Reply(ReplyAction.CLOSE, reason, UNROUTED_PAUSE_MS)
+        if ack_requested
+        else Reply(ReplyAction.STORE, reason)
+    )
--- a/brassweir/forward/decide/joining.py
+++ b/brassweir/forward/decide/batching.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Joining:
+class CallBatcher:
     """Attempts that wait for the end of the event loop iteration. ``batch`` is the maximum in a call."""
 
     batch: int
@@ -22,7 +22,7 @@
         batch.append(attempt)
         return self.waiting.pop(endpoint) if len(batch) >= self.batch else None
 
-    def rest(self) -> list[tuple[str, list[int]]]:
+    def flush(self) -> list[tuple[str, list[int]]]:
         """Remove and return all batches that are not full, with their endpoints."""
         remaining, self.waiting = self.waiting, {}
         return list(remaining.items())
--- a/brassweir/forward/front.py
+++ b/brassweir/forward/front.py
@@ -16,11 +16,19 @@
 from brassweir.forward import message
 from brassweir.forward.chunks import ChunkDelivery
 from brassweir.forward.connection import Connection
-from brassweir.forward.decide.answers import Tell, Told
+from brassweir.forward.decide.answers import Reply, ReplyAction
 from brassweir.forward.decide.read_scheduler import ReadScheduler
 from brassweir.forward.heartbeat import Heartbeat
 from brassweir.forward.message import Message
-from brassweir.forward.ports import Bounds, FrontMetrics, NoMetrics, Note, SaveUndelivered, Source, Submits
+from brassweir.forward.ports import (
+    FrontLimits,
+    FrontMetrics,
+    NoMetrics,
+    Note,
+    SaveUndelivered,
+    Source,
+    Submits,
+)
 from brassweir.forward.session import Authenticator, Session
 from brassweir.forward.undelivered import UndeliveredChunks
 from brassweir.interface import MessageClass
@@ -30,7 +38,7 @@
 class ForwardFront:
     """Serves sources over TCP.
 
-    ``margin`` (ms) is subtracted from each chunk's deadline, so that the ack can still reach the source.
+    ``margin_ms`` is subtracted from each chunk's deadline, so that the ack can still reach the source.
     ``destination_number_of`` maps the name of a destination to its number, or None if it is unknown.
     """
 
@@ -45,10 +53,10 @@
         offload: Offload,
         save_undelivered: SaveUndelivered,
         note: Note,
-        bounds: Bounds | None = None,
+        limits: FrontLimits | None = None,
         *,
-        margin: float = 100.0,
-        counts: FrontMetrics | None = None,
+        margin_ms: float = 100.0,
+        metrics: FrontMetrics | None = None,
     ) -> None:
         self.sources, self.authenticator, self.hostname, self.offload = (
             sources,
@@ -56,9 +64,9 @@
             hostname,
             offload,
         )
-        self.note, self.bounds = note, bounds or Bounds()
-        self.counts: FrontMetrics = counts or NoMetrics()
-        self.scheduler = ReadScheduler(self.bounds.buffered_bytes)
+        self.note, self.limits = note, limits or FrontLimits()
+        self.metrics: FrontMetrics = metrics or NoMetrics()
+        self.scheduler = ReadScheduler(self.limits.buffered_bytes)
         self.buffer = memoryview(bytearray(self.scheduler.read_slice))
         self.chunks = ChunkDelivery(
             classes,
@@ -66,12 +74,12 @@
             engine,
             offload,
             note,
-            self.bounds,
-            margin,
-            self.counts,
+            self.limits,
+            margin_ms,
+            self.metrics,
             self.scheduler,
         )
-        self.undelivered = UndeliveredChunks(save_undelivered, note, self.counts)
+        self.undelivered = UndeliveredChunks(save_undelivered, note, self.metrics)
         self.connections: set[Connection] = set()
         self.connection_by_reader: dict[int, Connection] = {}  # by reader id of the scheduler
         self.listener: asyncio.Server | None = None
@@ -80,18 +88,18 @@
         self.resume_handle: asyncio.Handle | None = None
 
     async def listen(
-        self, host: str, port: int, tls: SSLContext | None = None, *, beats: bool = False
+        self, host: str, port: int, tls: SSLContext | None = None, *, udp_heartbeats: bool = False
     ) -> int:
         """Start to listen and return the port. Raises OSError.
 
-        With ``beats``, UDP heartbeats are answered on the same port number.
+        With ``udp_heartbeats``, UDP heartbeats are answered on the same port number.
         """
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: self._connection(loop), host, port, ssl=tls, backlog=1024
         )
         port = int(self.listener.sockets[0].getsockname()[1])
-        if beats:
+        if udp_heartbeats:
             transport, _ = await loop.create_datagram_endpoint(Heartbeat, local_addr=(host, port))
             self.heartbeat_transport = transport
         return port
@@ -102,11 +110,11 @@
             self.hostname,
             secrets.token_bytes(16),
             secrets.token_bytes(16),
-            self.bounds.chunk_bytes,
+            self.limits.chunk_bytes,
         )
         return Connection(self, session, loop)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting connections and new chunks; chunks already received or begun are still answered."""
         self.stopping = True
         if self.listener is not None:
@@ -118,7 +126,7 @@
 
     def drain(self) -> None:
         """Stop accepting, and close each connection once it has no unanswered chunk."""
-        self.stop_taking()
+        self.stop_accepting()
         for connection in list(self.connections):
             connection.close_if_idle()
 
@@ -132,7 +140,7 @@
 
     def report_rejection(self, connection: Connection, reason: str) -> None:
         """Count and log a peer's connection or data that is rejected."""
-        self.counts.told("turned_away")
+        self.metrics.replied("turned_away")
         self.note(
             "forward_turned_away",
             {"peer": connection.peer, "source": connection.source, "reason": reason[:300]},
@@ -153,7 +161,7 @@
         if recheck_at is not None and self.resume_handle is None:
             self.resume_handle = loop.call_at(recheck_at / 1000.0 + 0.001, self._resume_readers)
         waiting = len(self.scheduler.queue) + len(self.scheduler.paused)
-        self.counts.held(self.scheduler.held_bytes, waiting, len(self.connections))
+        self.metrics.set_buffered(self.scheduler.held_bytes, waiting, len(self.connections))
 
     async def process_chunk(self, connection: Connection, received: Message, size: int) -> None:
         """Deliver one chunk of ``size`` bytes and ack it, or close the connection."""
@@ -167,7 +175,7 @@
 
         try:
             reply = await self.chunks.deliver(source, received, on_growth)
-            await self._tell(connection, received, reply)
+            await self._send_reply(connection, received, reply)
         except Exception as error:  # a fault here must not leave the source waiting
             self.note("forward_fault", {"source": source.name, "error": f"{type(error).__name__}: {error}"})
             connection.close()
@@ -178,28 +186,28 @@
             else:
                 self.schedule_resume()
 
-    async def _tell(
-        self, connection: Connection, given: Message, outcome: tuple[Told, UndeliveredItem]
+    async def _send_reply(
+        self, connection: Connection, received: Message, outcome: tuple[Reply, UndeliveredItem]
     ) -> None:
         reply, item = outcome
         name = connection.source
-        if reply.action is Tell.KEEP:
-            reply = await self.undelivered.keep(reply, item, bool(given.chunk))
-        if reply.action is Tell.CLOSE:
+        if reply.action is ReplyAction.STORE:
+            reply = await self.undelivered.keep(reply, item, bool(received.chunk))
+        if reply.action is ReplyAction.CLOSE:
             self.scheduler.refused(name, reply.pause_ms, asyncio.get_running_loop().time() * 1000.0)
-            self.counts.told("closed")
+            self.metrics.replied("closed")
             self.note(
                 "forward_closed",
                 {
                     "source": name,
-                    "tag": given.tag[:200],
-                    "chunk": given.chunk,
+                    "tag": received.tag[:200],
+                    "chunk": received.chunk,
                     "reason": reply.reason,
                     "pause_ms": round(reply.pause_ms),
                 },
             )
             connection.close()
             return
-        if given.chunk:
-            written = connection.send(message.ack(given.chunk))
-            self.counts.told("acked" if written else "ack_unheard")
+        if received.chunk:
+            written = connection.send(message.ack(received.chunk))
+            self.metrics.replied("acked" if written else "ack_unheard")
--- a/brassweir/forward/handshake.py
+++ b/brassweir/forward/handshake.py
@@ -66,14 +66,14 @@
 class Pong:
     """The server's decision and its own proof of the key."""
 
-    good: bool
+    accepted: bool
     reason: str
     hostname: str = ""
     digest: str = ""
 
     def encode(self) -> bytes:
         """Encode for the wire."""
-        return packed(["PONG", self.good, self.reason, self.hostname, self.digest])
+        return packed(["PONG", self.accepted, self.reason, self.hostname, self.digest])
 
     def proves(self, salt: bytes, nonce: bytes, key: bytes) -> bool:
         """Whether the server knows the key."""
--- a/brassweir/forward/link.py
+++ b/brassweir/forward/link.py
@@ -84,7 +84,7 @@
             pong = handshake.read_pong(await self._next_frame())
         except ForwardError as error:
             raise CallFailed(Stage.CONNECT, str(error)) from None
-        if not pong.good:
+        if not pong.accepted:
             raise CallFailed(Stage.CONNECT, f"not let in: {pong.reason[:200]}")
         if not pong.proves(salt, helo.nonce, credentials.key):
             raise CallFailed(Stage.CONNECT, "it does not know the shared key")
--- a/brassweir/forward/message.py
+++ b/brassweir/forward/message.py
@@ -14,7 +14,7 @@
 from brassweir.forward.events import Event, packed
 
 MAX_TAG_BYTES = 1024
-CHUNK = 256  # bytes of a chunk id
+MAX_CHUNK_ID_BYTES = 256  # bytes of a chunk id
 NIL = b"\xc0"  # a heartbeat over TCP
 
 
@@ -102,7 +102,7 @@
         return "", None, False
     if not isinstance(options, dict):
         raise ForwardError("the options are no map")
-    chunk = _text(options.get(b"chunk", b""), "the option chunk", CHUNK)
+    chunk = _text(options.get(b"chunk", b""), "the option chunk", MAX_CHUNK_ID_BYTES)
     size = options.get(b"size")
     if not isinstance(size, int) or isinstance(size, bool):
         size = None  # only a hint, so a bad one is ignored
@@ -177,4 +177,4 @@
         raise ForwardError(f"no ack: {error or type(error).__name__}") from None
     if not isinstance(reply, dict):
         raise ForwardError("an ack is a map")
-    return _text(reply.get(b"ack"), "ack", CHUNK)
+    return _text(reply.get(b"ack"), "ack", MAX_CHUNK_ID_BYTES)
--- a/brassweir/forward/ports.py
+++ b/brassweir/forward/ports.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class FrontLimits:
     """Limits on what sources may send and how long they may take. Sizes in bytes, times in ms."""
 
     chunk_bytes: int = 16_000_000  # one message as received
@@ -60,24 +60,24 @@
 class FrontMetrics(Protocol):
     """Metrics of the front."""
 
-    def chunk(self, mode: str, entries: int, size: int) -> None:
+    def chunk_decoded(self, mode: str, entries: int, size: int) -> None:
         """Count a decoded chunk."""
 
-    def told(self, what: str) -> None:
+    def replied(self, kind: str) -> None:
         """Count a reply to a source by its kind."""
 
-    def held(self, held: int, waiting: int, connections: int) -> None:
+    def set_buffered(self, buffered_bytes: int, waiting: int, connections: int) -> None:
         """Set the bytes buffered, the connections that wait to read, and all connections."""
 
 
 class NoMetrics:
     """Counts nothing."""
 
-    def chunk(self, mode: str, entries: int, size: int) -> None:
+    def chunk_decoded(self, mode: str, entries: int, size: int) -> None:
         """Do nothing."""
 
-    def told(self, what: str) -> None:
+    def replied(self, kind: str) -> None:
         """Do nothing."""
 
-    def held(self, held: int, waiting: int, connections: int) -> None:
+    def set_buffered(self, buffered_bytes: int, waiting: int, connections: int) -> None:
         """Do nothing."""
--- a/brassweir/forward/session.py
+++ b/brassweir/forward/session.py
@@ -14,22 +14,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The source is authenticated; ``say`` is the PONG to send."""
+    """The source is authenticated; ``reply`` is the PONG to send."""
 
     source: str
-    say: bytes
+    reply: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """Authentication failed; send ``say``, the PONG, and close the connection."""
+    """Authentication failed; send ``reply``, the PONG, and close the connection."""
 
     reason: str
-    say: bytes
+    reply: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
+class ReceivedMessage:
     """A complete message of ``size`` bytes. ``message`` is None for a heartbeat."""
 
     message: Message | None
@@ -74,14 +74,14 @@
         """Buffer received bytes. Raises ForwardError if a value exceeds 2 GiB."""
         self.frames.feed(data)
 
-    def events(self) -> Iterator[Admitted | Denied | Came]:
+    def events(self) -> Iterator[Admitted | Denied | ReceivedMessage]:
         """Yield what is complete in the bytes so far. After ForwardError the connection must be closed."""
         while (frame := self.frames.next()) is not None:
             if self.source:
                 if frame == message.NIL:
-                    yield Came(None, len(frame))
+                    yield ReceivedMessage(None, len(frame))
                 else:
-                    yield Came(message.read(frame), len(frame))
+                    yield ReceivedMessage(message.read(frame), len(frame))
                 continue
             verdict = self._admit(frame)
             yield verdict
--- a/brassweir/forward/undelivered.py
+++ b/brassweir/forward/undelivered.py
@@ -5,7 +5,7 @@
 import time
 
 from brassweir.forward.decide import answers
-from brassweir.forward.decide.answers import Tell, Told
+from brassweir.forward.decide.answers import Reply, ReplyAction
 from brassweir.forward.ports import FrontMetrics, Note, SaveUndelivered
 from brassweir.undelivered.item import UndeliveredItem
 
@@ -13,10 +13,10 @@
 class UndeliveredChunks:
     """Stores chunks by ``save_undelivered``, and logs and counts each."""
 
-    def __init__(self, save_undelivered: SaveUndelivered, note: Note, counts: FrontMetrics) -> None:
-        self.save_undelivered, self.note, self.counts = save_undelivered, note, counts
+    def __init__(self, save_undelivered: SaveUndelivered, note: Note, metrics: FrontMetrics) -> None:
+        self.save_undelivered, self.note, self.metrics = save_undelivered, note, metrics
 
-    async def keep(self, reply: Told, item: UndeliveredItem, ack_requested: bool) -> Told:
+    async def keep(self, reply: Reply, item: UndeliveredItem, ack_requested: bool) -> Reply:
         """Store a chunk for the operator; returns the reply to the source.
 
         If storing fails, the reply closes the connection, so that a source that wants acks sends the chunk
@@ -46,7 +46,9 @@
                     "lost": not ack_requested,
                 },
             )
-            return Told(Tell.CLOSE, f"{reply.reason}; and not kept: {error}", answers.UNROUTED_PAUSE_MS)
+            return Reply(
+                ReplyAction.CLOSE, f"{reply.reason}; and not kept: {error}", answers.UNROUTED_PAUSE_MS
+            )
         self.note(
             "kept",
             {
@@ -56,5 +58,5 @@
                 "reason": reply.reason,
             },
         )
-        self.counts.told("kept")
+        self.metrics.replied("kept")
         return reply
--- a/brassweir/lab/simulated/links.py
+++ b/brassweir/lab/simulated/links.py
@@ -8,7 +8,7 @@
 from brassweir.core.clock import SimClock, SimHandle
 from brassweir.core.identity import delivery_id
 from brassweir.core.ports import Attempt, Outcome
-from brassweir.forward.decide.joining import Joining
+from brassweir.forward.decide.batching import CallBatcher
 from brassweir.interface import Result
 from brassweir.lab.models.partner import Parcel, SimPartner
 
@@ -71,7 +71,7 @@
     def __init__(self, sender: SimSender, clock: Alive) -> None:
         self.sender, self.clock = sender, clock
         self.links: dict[str, Links] = {}
-        self.joining: dict[str, Joining] = {}
+        self.joining: dict[str, CallBatcher] = {}
         self.waiting: dict[int, tuple[Attempt, Callable[[Outcome], None]]] = {}
         self.numbers = 0
         self.flushing = False
@@ -81,7 +81,7 @@
         batch = self.sender.stage.day.batches.get(attempt.endpoint.kind, 1)
         self.numbers += 1
         self.waiting[self.numbers] = (attempt, done)
-        joining = self.joining.setdefault(attempt.endpoint.kind, Joining(batch))
+        joining = self.joining.setdefault(attempt.endpoint.kind, CallBatcher(batch))
         full = joining.add(attempt.endpoint.name, self.numbers)
         if full is not None:
             self._call(full)
@@ -92,7 +92,7 @@
     def _flush(self) -> None:
         self.flushing = False
         for joining in self.joining.values():
-            for _, numbers in joining.rest():
+            for _, numbers in joining.flush():
                 self._call(numbers)
 
     def close_idle(self, endpoint: str) -> None:
--- a/brassweir/lab/standins/shipper.py
+++ b/brassweir/lab/standins/shipper.py
@@ -86,7 +86,7 @@
     """Connect and pass the handshake. Raises OSError, and ForwardError where one side cannot prove the
     key."""
     reader, writer = await asyncio.open_connection(host, port)
-    frames = Frames(message.CHUNK + 4096)
+    frames = Frames(message.MAX_CHUNK_ID_BYTES + 4096)
 
     async def hear() -> bytes:
         while (frame := frames.next()) is None:
@@ -101,7 +101,7 @@
         salt = secrets.token_bytes(16)
         writer.write(handshake.ping(helo, name, salt, key, user, password).encode())
         pong = handshake.read_pong(await hear())
-        if not pong.good:
+        if not pong.accepted:
             raise ForwardError(f"not let in: {pong.reason}")
         if not pong.proves(salt, helo.nonce, key):
             raise ForwardError("the server does not know the key")
--- a/brassweir/lab/standins/sink.py
+++ b/brassweir/lab/standins/sink.py
@@ -10,7 +10,7 @@
 from brassweir.forward import events, message
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.message import Message
-from brassweir.forward.session import Admitted, Came, Denied, Session
+from brassweir.forward.session import Admitted, Denied, ReceivedMessage, Session
 from brassweir.lab.judges.tape import Arrival, Tape
 from brassweir.lab.models.desk import Manner
 from brassweir.lab.standins.works import SPOILT, Works
@@ -149,8 +149,8 @@
             self.session.feed(data)
             for event in self.session.events():
                 if isinstance(event, Admitted | Denied):
-                    self.say(event.say)
-                elif isinstance(event, Came) and event.message is not None:
+                    self.say(event.reply)
+                elif isinstance(event, ReceivedMessage) and event.message is not None:
                     task = asyncio.get_running_loop().create_task(self.sink.serve(self, event.message))
                     self.tasks.add(task)
                     task.add_done_callback(self.tasks.discard)
--- a/brassweir/service/forward_connector.py
+++ b/brassweir/service/forward_connector.py
@@ -106,19 +106,19 @@
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
 
-    def chunk(self, mode: str, entries: int, size: int) -> None:
+    def chunk_decoded(self, mode: str, entries: int, size: int) -> None:
         """Count a chunk that was read."""
         self.metrics.chunks.labels(mode).inc()
         self.metrics.chunk_events.inc(entries)
         self.metrics.chunk_bytes.inc(size)
 
-    def told(self, what: str) -> None:
+    def replied(self, kind: str) -> None:
         """Count an answer to a source."""
-        self.metrics.forward_answers.labels(what).inc()
+        self.metrics.forward_answers.labels(kind).inc()
 
-    def held(self, held: int, waiting: int, connections: int) -> None:
+    def set_buffered(self, buffered_bytes: int, waiting: int, connections: int) -> None:
         """Set the gauges of buffered bytes, waiting chunks and connections."""
-        self.metrics.forward_buffered.set(held)
+        self.metrics.forward_buffered.set(buffered_bytes)
         self.metrics.forward_waiting.set(waiting)
         self.metrics.forward_connections.set(connections)
 
@@ -148,7 +148,7 @@
                 batch=kind.batch,
                 tag=kind.tag,
                 compress=kind.compress,
-                linger=sender.linger_ms,
+                linger_ms=sender.linger_ms,
             )
             for kind in config.kinds
             if kind.carrier == "forward"
@@ -186,8 +186,8 @@
             self.undelivered,
             self.context.note,
             forward_limits(config),
-            margin=self.context.config.sender.answer_margin_ms,
-            counts=_FrontMetrics(self.context.metrics),
+            margin_ms=self.context.config.sender.answer_margin_ms,
+            metrics=_FrontMetrics(self.context.metrics),
         )
 
     async def start(self) -> dict[str, object]:
@@ -196,7 +196,7 @@
         if config is None or self.front is None:
             return {}
         host, _, port = config.listen.rpartition(":")
-        self.port = await self.front.listen(host, int(port), beats=config.heartbeat_udp)
+        self.port = await self.front.listen(host, int(port), udp_heartbeats=config.heartbeat_udp)
         return {
             "forward_listen": config.listen,
             "forward_port": self.port,
@@ -210,7 +210,7 @@
     def stop_accepting(self) -> None:
         """Read no new chunks."""
         if self.front is not None:
-            self.front.stop_taking()
+            self.front.stop_accepting()
 
     def drain(self) -> None:
         """Close each connection once its acks are written."""
--- a/brassweir/service/wiring.py
+++ b/brassweir/service/wiring.py
@@ -14,7 +14,7 @@
 from brassweir.config.load import ConfigError
 from brassweir.config.model import Config, CopyConfig, ForwardModel, ForwardSourceModel, PartnerModel
 from brassweir.forward.decide.rules import Body, TagRule
-from brassweir.forward.ports import Bounds
+from brassweir.forward.ports import FrontLimits
 from brassweir.net.limits import Limits
 from brassweir.service.keyfiles import load_certificate, load_private_key
 
@@ -148,9 +148,9 @@
     )
 
 
-def forward_limits(config: ForwardModel) -> Bounds:
+def forward_limits(config: ForwardModel) -> FrontLimits:
     """Return the limits of sizes and times for forward sources."""
-    return Bounds(
+    return FrontLimits(
         config.chunk_bytes,
         config.unpacked_bytes,
         config.entries,
--- a/tests/forward/harness.py
+++ b/tests/forward/harness.py
@@ -16,7 +16,7 @@
 from brassweir.forward.events import Event, EventTime
 from brassweir.forward.front import ForwardFront
 from brassweir.forward.message import Mode
-from brassweir.forward.ports import Bounds, Source
+from brassweir.forward.ports import FrontLimits, Source
 from brassweir.interface import Effect, MessageClass
 from brassweir.lab.standins.shipper import Line, connect
 from brassweir.undelivered.item import UndeliveredItem
@@ -92,7 +92,7 @@
 class FrontHarness:
     """A front, its engine and its log entries."""
 
-    def __init__(self, directory: Path, bounds: Bounds, sources: int, acks: bool, kept: int) -> None:
+    def __init__(self, directory: Path, bounds: FrontLimits, sources: int, acks: bool, kept: int) -> None:
         self.engine, self.directory = Engine(), directory
         self.log_entries: list[tuple[str, dict[str, object]]] = []
         names = [f"edge-{i}" for i in range(sources)]
@@ -131,13 +131,13 @@
 @asynccontextmanager
 async def running_front(
     directory: Path,
-    bounds: Bounds | None = None,
+    bounds: FrontLimits | None = None,
     sources: int = 2,
     acks: bool = True,
     kept: int = 10_000_000,
     **kwargs: Any,
 ) -> AsyncIterator[FrontHarness]:
-    harness = FrontHarness(directory / "kept", bounds or Bounds(), sources, acks, kept)
+    harness = FrontHarness(directory / "kept", bounds or FrontLimits(), sources, acks, kept)
     harness.port = await harness.front.listen("127.0.0.1", 0, **kwargs)
     try:
         yield harness
--- a/tests/forward/scripted_server.py
+++ b/tests/forward/scripted_server.py
@@ -13,7 +13,7 @@
 from brassweir.forward.events import Event, EventTime
 from brassweir.forward.link import Credentials
 from brassweir.forward.message import Message
-from brassweir.forward.session import Admitted, Came, Denied, Session
+from brassweir.forward.session import Admitted, Denied, ReceivedMessage, Session
 from brassweir.interface import EndpointInfo
 from brassweir.lab.standins.sink import Keys
 from brassweir.net.limits import Limits
@@ -41,10 +41,10 @@
         self.session.feed(data)
         for event in self.session.events():
             if isinstance(event, Admitted | Denied):
-                self.say(event.say if not self.server.silent else b"")
+                self.say(event.reply if not self.server.silent else b"")
                 if isinstance(event, Denied) and self.transport is not None:
                     self.transport.close()
-            elif isinstance(event, Came) and event.message is not None:
+            elif isinstance(event, ReceivedMessage) and event.message is not None:
                 self.server.received.append(event.message)
                 self.server.on_chunk(self, event.message)
 
@@ -126,7 +126,7 @@
         Offload(1),
         lambda event, _: (logged_events if logged_events is not None else []).append(event),
         batch=batch,
-        linger=100.0,
+        linger_ms=100.0,
     )
 
 
--- a/tests/forward/test_codec.py
+++ b/tests/forward/test_codec.py
@@ -72,7 +72,7 @@
         and not ping.proves(b"", b"secret")
     )
     pong = handshake.read_pong(handshake.pong(ping, "hub", nonce, b"secret").encode())
-    assert pong.good and pong.proves(salt, nonce, b"secret") and not pong.proves(salt, nonce, b"other")
+    assert pong.accepted and pong.proves(salt, nonce, b"secret") and not pong.proves(salt, nonce, b"other")
     assert pong.digest != ping.digest, "a server cannot prove the key by echoing"
 
 
--- a/tests/forward/test_decide.py
+++ b/tests/forward/test_decide.py
@@ -11,8 +11,8 @@
 from brassweir.config.tags import compile_pattern
 from brassweir.core.ports import Answer, FinalAnswer
 from brassweir.forward.decide import answers
-from brassweir.forward.decide.answers import Tell
-from brassweir.forward.decide.joining import Joining
+from brassweir.forward.decide.answers import ReplyAction
+from brassweir.forward.decide.batching import CallBatcher
 from brassweir.forward.decide.rules import Body, TagRule, find_route
 
 
@@ -79,23 +79,23 @@
 
 def test_only_a_delivery_is_acked_without_storing() -> None:
     refused = FinalAnswer(Answer.REFUSED, "not now", 700.0)
-    assert answers.final(FinalAnswer(Answer.DELIVERED), True).action is Tell.ACK
+    assert answers.final(FinalAnswer(Answer.DELIVERED), True).action is ReplyAction.ACK
     reply = answers.final(refused, True)
-    assert (reply.action, reply.pause_ms) == (Tell.CLOSE, 700.0)
-    assert answers.final(refused, False).action is Tell.KEEP, "nobody would send it again"
+    assert (reply.action, reply.pause_ms) == (ReplyAction.CLOSE, 700.0)
+    assert answers.final(refused, False).action is ReplyAction.STORE, "nobody would send it again"
     for ack_requested in (True, False):
-        assert answers.final(FinalAnswer(Answer.FAILED, "no"), ack_requested).action is Tell.KEEP, (
+        assert answers.final(FinalAnswer(Answer.FAILED, "no"), ack_requested).action is ReplyAction.STORE, (
             "it may have run: never again"
         )
-    assert answers.unrouted("no rule", True).action is Tell.CLOSE
-    assert answers.unrouted("no rule", False).action is Tell.KEEP
-    assert answers.unreadable("bad").action is Tell.KEEP
+    assert answers.unrouted("no rule", True).action is ReplyAction.CLOSE
+    assert answers.unrouted("no rule", False).action is ReplyAction.STORE
+    assert answers.unreadable("bad").action is ReplyAction.STORE
 
 
 def test_batches_fill_up_to_their_size() -> None:
-    batches = Joining(2)
+    batches = CallBatcher(2)
     assert batches.add("a", 1) is None and batches.add("b", 2) is None
     assert batches.add("a", 3) == [1, 3]
     assert batches.add("a", 4) is None
-    assert batches.rest() == [("b", [2]), ("a", [4])] and batches.rest() == []
-    assert Joining(1).add("a", 1) == [1]
+    assert batches.flush() == [("b", [2]), ("a", [4])] and batches.flush() == []
+    assert CallBatcher(1).add("a", 1) == [1]
--- a/tests/forward/test_front_limits.py
+++ b/tests/forward/test_front_limits.py
@@ -12,7 +12,7 @@
 from brassweir.forward import events, message
 from brassweir.forward.errors import ForwardError
 from brassweir.forward.events import Event, EventTime
-from brassweir.forward.ports import Bounds
+from brassweir.forward.ports import FrontLimits
 from brassweir.lab.standins.shipper import Line, connect
 from tests.conftest import run
 from tests.forward.harness import chunk, running_front, send
@@ -20,7 +20,7 @@
 
 def test_an_unfinished_chunk_times_out(tmp_path: Path) -> None:
     async def work() -> None:
-        async with running_front(tmp_path, Bounds(chunk_ms=200.0)) as harness:
+        async with running_front(tmp_path, FrontLimits(chunk_ms=200.0)) as harness:
             client = await harness.connect_source()
             client.writer.write(chunk("c1")[:-5])
             await asyncio.sleep(0.1)
@@ -39,7 +39,7 @@
 
 def test_missing_and_failed_handshakes_are_rejected(tmp_path: Path) -> None:
     async def work() -> None:
-        async with running_front(tmp_path, Bounds(handshake_ms=150.0)) as harness:
+        async with running_front(tmp_path, FrontLimits(handshake_ms=150.0)) as harness:
             silent = socket.create_connection(("127.0.0.1", harness.port))
             for name, key in (("edge-0", b"wrong"), ("nobody", b"key edge-0")):
                 with pytest.raises(ForwardError, match="shared key mismatch"):
@@ -126,7 +126,7 @@
     async def work() -> None:
         capacity, count = 3_000_000, 60
         async with running_front(
-            tmp_path, Bounds(buffered_bytes=capacity, chunk_bytes=200_000), sources=count
+            tmp_path, FrontLimits(buffered_bytes=capacity, chunk_bytes=200_000), sources=count
         ) as harness:
             harness.engine.release = asyncio.Event()
             data = [
@@ -165,7 +165,7 @@
             busy, idle = await harness.connect_source(), await harness.connect_source(1)
             waiting = asyncio.ensure_future(send(busy, "c1", chunk("c1")))
             await asyncio.sleep(0.05)
-            harness.front.stop_taking()
+            harness.front.stop_accepting()
             busy.writer.write(chunk("c2"))
             harness.front.drain()
             await asyncio.wait_for(asyncio.shield(idle.task or asyncio.sleep(0)), 5.0)
@@ -183,7 +183,7 @@
 
 def test_heartbeats(tmp_path: Path) -> None:
     async def work() -> None:
-        async with running_front(tmp_path, beats=True) as harness:
+        async with running_front(tmp_path, udp_heartbeats=True) as harness:
             client = await harness.connect_source()
             client.writer.write(b"\xc0\xc0")
             assert await send(client, "c1", chunk("c1")) == "acked"
--- a/tests/forward/test_session.py
+++ b/tests/forward/test_session.py
@@ -11,7 +11,7 @@
 
 from brassweir.forward import events, handshake, message
 from brassweir.forward.errors import ForwardError
-from brassweir.forward.session import Admitted, Came, Denied, Session
+from brassweir.forward.session import Admitted, Denied, ReceivedMessage, Session
 from tests.forward.transcripts import (
     ENTRIES,
     FORWARD,
@@ -51,11 +51,11 @@
         session = make_session()
         verdict = authenticate(session, key=key)
         assert isinstance(verdict, Admitted) and verdict.source == "edge"
-        assert handshake.read_pong(verdict.say).proves(b"s", b"nonce", key)
+        assert handshake.read_pong(verdict.reply).proves(b"s", b"nonce", key)
         session.feed(MESSAGE_ACK + b"\xc0")
         received = list(session.events())
-        assert [type(event) for event in received] == [Came, Came]
-        assert isinstance(received[1], Came) and received[1].message is None
+        assert [type(event) for event in received] == [ReceivedMessage, ReceivedMessage]
+        assert isinstance(received[1], ReceivedMessage) and received[1].message is None
 
 
 @pytest.mark.parametrize(
@@ -74,8 +74,8 @@
     session = make_session()
     verdict = authenticate(session, **kwargs)  # type: ignore[arg-type]
     assert isinstance(verdict, Denied)
-    pong = handshake.read_pong(verdict.say)
-    assert not pong.good and pong.digest == "" and "edge" not in pong.reason
+    pong = handshake.read_pong(verdict.reply)
+    assert not pong.accepted and pong.digest == "" and "edge" not in pong.reason
     assert not session.source
 
 
@@ -110,7 +110,7 @@
     assert isinstance(authenticate(session), Admitted)
     session.feed(data)
     for event in session.events():
-        if isinstance(event, Came) and event.message is not None:
+        if isinstance(event, ReceivedMessage) and event.message is not None:
             entries = event.message.entries(LIMIT)
             content, _ = events.lines(event.message.tag, events.unpack(entries, 1000))
             for line in content.splitlines():
--- a/tests/lab/test_forward_days.py
+++ b/tests/lab/test_forward_days.py
@@ -10,7 +10,7 @@
 from brassweir.core.ports import Answer, FinalAnswer
 from brassweir.forward import carrier
 from brassweir.forward.decide import answers
-from brassweir.forward.decide.answers import Tell, Told
+from brassweir.forward.decide.answers import Reply, ReplyAction
 from brassweir.forward.message import Mode
 from brassweir.lab.judges.verdict import Verdict
 from brassweir.lab.models.desk import Manner
@@ -66,9 +66,9 @@
     """A refusal is acked: the source forgets what nobody has."""
     right = answers.final
 
-    def final(answer: FinalAnswer, asked: bool) -> Told:
-        told = right(answer, asked)
-        return Told(Tell.ACK) if answer.answer is Answer.REFUSED else told
+    def final(answer: FinalAnswer, ack_requested: bool) -> Reply:
+        reply = right(answer, ack_requested)
+        return Reply(ReplyAction.ACK) if answer.answer is Answer.REFUSED else reply
 
     answers.final = final
 
@@ -77,14 +77,14 @@
     """Every third refusal is neither acked nor closed."""
     front = process.forward.front
     assert front is not None
-    right, count = front._tell, [0]
+    right, count = front._send_reply, [0]
 
-    async def tell(connection: Any, given: Any, outcome: Any) -> None:
+    async def send_reply(connection: Any, received: Any, outcome: Any) -> None:
         count[0] += 1
         if count[0] % 3:
-            await right(connection, given, outcome)
+            await right(connection, received, outcome)
 
-    front._tell = tell  # type: ignore[method-assign]
+    front._send_reply = send_reply  # type: ignore[method-assign]
 
 
 def fresh_ids(process: SenderProcess) -> None:
