--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -1,4 +1,4 @@
-"""Destinations that fold up when idle decide the same as ones that never do, and cost little meanwhile."""
+"""Tests that compacting idle destinations changes no decision and that compacted ones cost little."""
 
 from __future__ import annotations
 
@@ -20,22 +20,26 @@
 )
 
 
-class Sleepless(Sender):
-    """Never folds anything up."""
+class NeverCompacting(Sender):
+    """A sender that never compacts idle destinations."""
 
     def _compact(self, dest: Destination) -> None:
         pass
 
 
 def drive(seed: int, senders: tuple[type[Sender], ...], until: float = 90_000.0) -> list[Sender]:
-    """The same random day to each: busy and quiet spells, lists, every ending; all must act alike."""
+    """Feed the same random events to one sender of each class and assert that their actions are equal.
+
+    Busy and quiet periods alternate. The events cover list updates and attempt results of all kinds.
+    ``until`` is in ms.
+    """
     rng = Random(seed)
     kinds = (
         api.DestinationKind("a", separate_routes=True),
         api.DestinationKind("b", batch=2),
         api.DestinationKind("c"),
     )
-    sets = api.Settings(
+    settings = api.Settings(
         classes=CLASSES,
         slots=rng.choice([3, 8]),
         max_open=40,
@@ -47,24 +51,24 @@
         cold=rng.choice([0.0, 3000.0, 10000.0]),
         order_pause=100.0,
     )
-    made = [kind(sets, seed, 0.0) for kind in senders]
+    instances = [sender_class(settings, seed, 0.0) for sender_class in senders]
     infos = [
         api.EndpointInfo(f"e{d}-{i}", d, "abc"[d % 3], rate=rng.choice([0.0, 4.0, 20.0]))
         for d in range(8)
         for i in range(rng.randint(1, 3))
     ]
-    told = rng.random() < 0.5
+    reports_load = rng.random() < 0.5
     events: list[api.Event] = [api.ListUpdate(api.ListKind.FULL, tuple(infos))]
     pending: list[tuple[float, int, api.Event]] = []
-    now, messages, tries = 0.0, 0, dict[int, int]()
+    now, messages, attempts = 0.0, 0, dict[int, int]()
     while now < until:
-        replies = [sender.handle(now, list(events)) for sender in made]
+        replies = [sender.handle(now, list(events)) for sender in instances]
         assert all(reply == replies[0] for reply in replies), (seed, now, events, replies)
         for action in replies[0]:
             if isinstance(action, api.SetTimer):
                 pending.append((action.at, len(pending), api.TimerDue()))
             elif isinstance(action, api.Send):
-                number = tries[action.id] = tries.get(action.id, -1) + 1
+                number = attempts[action.id] = attempts.get(action.id, -1) + 1
                 at, result = now + rng.expovariate(1 / 100.0), api.Result.OK
                 if rng.random() < 0.25:
                     result = rng.choice(
@@ -73,7 +77,7 @@
                 if at >= action.abandon_at:
                     at, result = action.abandon_at, api.Result.TIMEOUT
                 wait = rng.choice([0.0, 300.0, 4000.0]) if result is api.Result.BUSY else 0.0
-                limit = rng.choice([5.0, 10.0]) if told else None
+                limit = rng.choice([5.0, 10.0]) if reports_load else None
                 ended = api.AttemptEnded(
                     action.id,
                     number,
@@ -82,7 +86,7 @@
                     at - now,
                     result is api.Result.OK,
                     wait,
-                    rng.random() if told else None,
+                    rng.random() if reports_load else None,
                     limit,
                 )
                 pending.append((at, len(pending), ended))
@@ -104,13 +108,13 @@
                     kind,
                     tuple(
                         api.EndpointInfo(
-                            one.name,
-                            one.destination if rng.random() < 0.95 else rng.randrange(8),
-                            one.kind,
+                            info.name,
+                            info.destination if rng.random() < 0.95 else rng.randrange(8),
+                            info.kind,
                             state=rng.choice(states),
-                            rate=one.rate,
+                            rate=info.rate,
                         )
-                        for one in infos
+                        for info in infos
                         if rng.random() < share
                     ),
                 )
@@ -128,32 +132,32 @@
                     key=str(rng.randrange(3)) if name == "keyed" else "",
                 )
             ]
-    return made
+    return instances
 
 
-def test_folding_changes_no_decision() -> None:
-    slept = 0
+def test_compaction_changes_no_decision() -> None:
+    compacted = 0
     for seed in range(12):
-        made = drive(seed, (Sender, Sleepless))
-        slept += len(made[0].compacted)
-    assert slept > 20, "the days were meant to let destinations sleep"
+        instances = drive(seed, (Sender, NeverCompacting))
+        compacted += len(instances[0].compacted)
+    assert compacted > 20, "too few destinations were compacted to compare"
 
 
-def test_a_fold_that_forgets_is_noticed() -> None:
-    class Forgetful(Sender):
+def test_compaction_that_loses_state_is_detected() -> None:
+    class LossyCompaction(Sender):
         def _compact(self, dest: Destination) -> None:
             dest.call_times.mean = dest.call_times.baseline = 0.0
             super()._compact(dest)
 
     with pytest.raises(AssertionError):
         for seed in range(12):
-            drive(seed, (Forgetful, Sleepless))
+            drive(seed, (LossyCompaction, NeverCompacting))
 
 
-def asleep(result: api.Result, **more: Any) -> tuple[Sender, api.EndpointInfo, float]:
-    """A sender whose one destination fell asleep after this ending."""
-    sets = api.Settings(classes=CLASSES, slots=4, max_open=40, max_retry_after=2000.0, cold=10_000.0)
-    sender = Sender(sets, 1, 0.0)
+def compacted_sender(result: api.Result, **more: Any) -> tuple[Sender, api.EndpointInfo, float]:
+    """Return a sender whose one destination was compacted after this result, its endpoint and the time in ms."""
+    settings = api.Settings(classes=CLASSES, slots=4, max_open=40, max_retry_after=2000.0, cold=10_000.0)
+    sender = Sender(settings, 1, 0.0)
     info = api.EndpointInfo("e", 1, "k")
     sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, (info,)), api.NewMessage(1, "unsafe", 1, 4000.0)])
     sender.handle(50.0, [api.AttemptEnded(1, 0, "e", result, 50.0, True, **more)])
@@ -165,28 +169,30 @@
     return sender, info, now
 
 
-def test_a_wait_outlives_the_sleep() -> None:
-    sender, _, now = asleep(api.Result.BUSY, wait=86_400_000.0)
+def test_a_requested_wait_survives_compaction() -> None:
+    sender, _, now = compacted_sender(api.Result.BUSY, wait=86_400_000.0)
     later = now + 3_600_000.0
     actions = sender.handle(later, [api.NewMessage(2, "safe", 1, 3000.0)])
-    assert not [one for one in actions if isinstance(one, api.Send)], "told to wait a day, an hour has passed"
+    assert not [action for action in actions if isinstance(action, api.Send)], (
+        "sent after an hour of a requested wait of a day"
+    )
 
 
-def test_an_outage_outlives_the_sleep() -> None:
-    sets = api.Settings(
+def test_an_open_circuit_survives_compaction() -> None:
+    settings = api.Settings(
         classes=CLASSES, slots=4, max_open=40, max_retry_after=2000.0, cold=10_000.0, senders=50
     )
-    sender = Sender(sets, 1, 0.0)
+    sender = Sender(settings, 1, 0.0)
     sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, (api.EndpointInfo("e", 1, "k"),))])
     for i in range(6):
         now = i * 700.0
         sent = [
-            one
-            for one in sender.handle(now, [api.NewMessage(i, "unsafe", 1, 4000.0)])
-            if isinstance(one, api.Send)
+            action
+            for action in sender.handle(now, [api.NewMessage(i, "unsafe", 1, 4000.0)])
+            if isinstance(action, api.Send)
         ]
-        for one in sent:
-            sender.handle(now + 10.0, [api.AttemptEnded(one.id, 0, "e", api.Result.RESET, 10.0, True)])
+        for send in sent:
+            sender.handle(now + 10.0, [api.AttemptEnded(send.id, 0, "e", api.Result.RESET, 10.0, True)])
     assert sender._destination(1).gate.circuit_open
     now = 4200.0
     while 1 in sender.destinations:
@@ -196,32 +202,34 @@
     actions = sender.handle(
         now + 86_400_000.0, [api.NewMessage(100 + i, "safe", 1, 3000.0) for i in range(5)]
     )
-    assert len([one for one in actions if isinstance(one, api.Send)]) == 1, (
-        "still shut: a single trial, a day later"
+    assert len([action for action in actions if isinstance(action, api.Send)]) == 1, (
+        "an open circuit allows one trial, even a day later"
     )
 
 
-def test_the_sweep_and_the_sleepers_cost_next_to_nothing() -> None:
-    sets = api.Settings(classes=CLASSES, slots=4, max_open=40)
-    sender = Sender(sets, 1, 0.0)
+def test_idle_destinations_are_compacted_and_leave_no_periodic_work() -> None:
+    settings = api.Settings(classes=CLASSES, slots=4, max_open=40)
+    sender = Sender(settings, 1, 0.0)
     infos = tuple(api.EndpointInfo(f"e{i}", i, "k") for i in range(2000))
     sender.handle(0.0, [api.ListUpdate(api.ListKind.FULL, infos)])
     assert len(sender.compacted) == 2000 and not sender.destinations and not sender.adjusting_gates
     for i in range(50):
         actions = sender.handle(10.0 + i, [api.NewMessage(i, "safe", i, 3000.0)])
-        for one in actions:
-            if isinstance(one, api.Send):
-                sender.handle(10.5 + i, [api.AttemptEnded(one.id, 0, one.endpoint, api.Result.OK, 0.5, True)])
+        for action in actions:
+            if isinstance(action, api.Send):
+                sender.handle(
+                    10.5 + i, [api.AttemptEnded(action.id, 0, action.endpoint, api.Result.OK, 0.5, True)]
+                )
     for second in range(1, 40):
         sender.handle(second * PERIOD_MS, [api.TimerDue()])
     assert not sender.destinations and not sender.idle_since and not sender.adjusting_gates, (
-        "all is folded up again"
+        "not all idle destinations were compacted again"
     )
 
 
-def test_a_drain_told_of_a_sleeper_is_heard() -> None:
-    sender, info, now = asleep(api.Result.OK)
-    gone = api.EndpointInfo(info.name, 1, "k", state=api.EntryState.DRAINING)
-    sender.handle(now, [api.ListUpdate(api.ListKind.DELTA, (gone,))])
+def test_a_compacted_destination_is_drained_by_a_list_update() -> None:
+    sender, info, now = compacted_sender(api.Result.OK)
+    draining = api.EndpointInfo(info.name, 1, "k", state=api.EntryState.DRAINING)
+    sender.handle(now, [api.ListUpdate(api.ListKind.DELTA, (draining,))])
     actions = sender.handle(now + 1.0, [api.NewMessage(2, "safe", 1, 3000.0)])
-    assert not [one for one in actions if isinstance(one, api.Send)]
+    assert not [action for action in actions if isinstance(action, api.Send)]
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -1,4 +1,4 @@
-"""The check on long files, on a small tree of its own."""
+"""Tests of .ci/check_lengths.py on small generated git repositories."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 CHECK = Path(__file__).parents[1] / ".ci" / "check_lengths.py"
 
 
-def tree(folder: Path, files: dict[str, int], listed: str) -> Path:
-    """A checkout with files of so many lines."""
+def make_repository(directory: Path, files: dict[str, int], listed: str) -> Path:
+    """Create a git repository with files of the given line counts and return its path."""
     for name, count in files.items():
-        path = folder / name
+        path = directory / name
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text("pass\n" * count)
-    (folder / ".ci").mkdir()
-    (folder / ".ci" / "long-files").write_text(listed)
-    subprocess.run(["git", "init", "-q"], cwd=folder, check=True)
-    subprocess.run(["git", "add", "."], cwd=folder, check=True)
-    return folder
+    (directory / ".ci").mkdir()
+    (directory / ".ci" / "long-files").write_text(listed)
+    subprocess.run(["git", "init", "-q"], cwd=directory, check=True)
+    subprocess.run(["git", "add", "."], cwd=directory, check=True)
+    return directory
 
 
 @pytest.mark.parametrize(
-    ("files", "listed", "told"),
+    ("files", "listed", "error"),
     [
         (
             {"brassweir/a.py": 250, "brassweir/b.py": 300, "journal/c.py": 900, "docs/d.md": 900},
@@ -49,11 +49,14 @@
         ({"brassweir/b.py": 300}, "brassweir/b.py 300\nbrassweir/b.py 400\n", "long-files:2:"),
     ],
 )
-def test_a_long_file_is_refused_and_the_list_only_shrinks(
-    tmp_path: Path, files: dict[str, int], listed: str, told: str
+def test_new_long_files_grown_files_and_invalid_list_entries_are_reported(
+    tmp_path: Path, files: dict[str, int], listed: str, error: str
 ) -> None:
-    done = subprocess.run(
-        [sys.executable, CHECK, tree(tmp_path, files, listed)], capture_output=True, text=True, timeout=60
+    completed = subprocess.run(
+        [sys.executable, CHECK, make_repository(tmp_path, files, listed)],
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
-    assert done.returncode == (1 if told else 0) and done.stdout == ""
-    assert told in done.stderr and done.stderr.count("\n") == (1 if told else 0)
+    assert completed.returncode == (1 if error else 0) and completed.stdout == ""
+    assert error in completed.stderr and completed.stderr.count("\n") == (1 if error else 0)
