--- a/brassweir/lab/judges/__init__.py
+++ b/brassweir/lab/judges/__init__.py
@@ -1,1 +1,1 @@
-"""Judges: what was seen, and which rules it broke; nothing here knows the code under test."""
+"""Checks recorded traffic against the rules of delivery, independently of the code under test."""
--- a/brassweir/lab/judges/platform_rules.py
+++ b/brassweir/lab/judges/platform_rules.py
@@ -1,4 +1,4 @@
-"""What broke the platform's rules, by what its stand-ins noted; knows nothing of the code under test."""
+"""Checks the platform's rules of delivery against what its stand-ins recorded."""
 
 from __future__ import annotations
 
@@ -9,40 +9,46 @@
 from brassweir.lab.standins.platform import Call
 from brassweir.lab.standins.relay_client import HandIn
 
-SLACK = 350.0  # ms past a message's time in which its end still counts
+SLACK = 350.0  # ms after a message's deadline in which its end still counts
 
 
 @dataclass(slots=True)
 class Seen:
-    """All that passed."""
+    """The traffic that the stand-ins recorded."""
 
     hand_ins: list[HandIn] = field(default_factory=list)
-    calls: list[tuple[int, Call]] = field(default_factory=list)  # with the destination that got it
+    calls: list[tuple[int, Call]] = field(default_factory=list)  # with the destination that received it
     delivered: list[str] = field(default_factory=list)
     notices: list[tuple[float, dict[str, Any]]] = field(default_factory=list)
 
 
 def broken(seen: Seen, unsafe: frozenset[str], now: float) -> list[str]:
-    """What broke the platform's rules, in words; empty if nothing did.
+    """Return one line per violation of the platform's rules; ``now`` is in ms.
 
-    Every message taken on ends by a delivery or a notice in its time; calls carry what was handed in to where
-    it was to go; one that may not be repeated is delivered once.
+    Every accepted message must end with a delivery, or with a notice before its deadline. Every call must
+    carry a submitted message, unchanged, to its destination. A message of a class in ``unsafe`` may be
+    delivered only once.
     """
     problems = []
-    given = {one.id: one for one in seen.hand_ins}
-    done, told = Counter(seen.delivered), {one["ref"]: at for at, one in seen.notices}
-    for one in seen.hand_ins:
-        if not one.line.startswith(b"+"):
+    submissions = {submission.id: submission for submission in seen.hand_ins}
+    deliveries, notified_at = Counter(seen.delivered), {notice["ref"]: at for at, notice in seen.notices}
+    for submission in seen.hand_ins:
+        if not submission.line.startswith(b"+"):
             continue
-        due = one.at + one.span + SLACK
-        if not done[one.id] and (told.get(one.id, now) > due or (one.id not in told and now > due)):
-            problems.append(f"{one.id} was taken on and lost")
-        if one.class_name in unsafe and done[one.id] > 1:
-            problems.append(f"{one.id} may not be repeated and was delivered {done[one.id]} times")
+        deadline = submission.at + submission.span + SLACK
+        if not deliveries[submission.id] and (
+            notified_at.get(submission.id, now) > deadline
+            or (submission.id not in notified_at and now > deadline)
+        ):
+            problems.append(f"{submission.id} was taken on and lost")
+        if submission.class_name in unsafe and deliveries[submission.id] > 1:
+            problems.append(
+                f"{submission.id} may not be repeated and was delivered {deliveries[submission.id]} times"
+            )
     for destination, call in seen.calls:
-        sent = given.get(call.id)
-        if sent is None:
+        submitted = submissions.get(call.id)
+        if submitted is None:
             problems.append(f"{call.id} was never handed in")
-        elif (sent.destination, sent.key, sent.body) != (destination, call.key, call.body):
+        elif (submitted.destination, submitted.key, submitted.body) != (destination, call.key, call.body):
             problems.append(f"{call.id} came changed, or to the wrong destination")
     return problems
--- a/brassweir/lab/judges/tape.py
+++ b/brassweir/lab/judges/tape.py
@@ -1,6 +1,7 @@
-"""What clients, partners and the publisher of the list saw, in the order seen. Times are wall seconds.
+"""The record of a run as clients, partners and the publisher of the endpoint list observed it.
 
-The checker reads a tape and nothing else: no log, metric or state of a sender is on it.
+Times (``at``) are in seconds of the wall clock. The checker reads only this record, which holds no log,
+metric or state of a sender.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandIn:
-    """A client begins to post a message; ``left`` is how many seconds it gives it."""
+    """A client starts to post a message, with ``left`` seconds until its deadline."""
 
     at: float
     client: str
@@ -26,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A client has an answer (delivered, refused, failed, rejected, accepted) or none (lost, dropped)."""
+    """A client received an answer (delivered, refused, failed, rejected, accepted) or none (lost, dropped).
+
+    ``retry_after`` is in seconds; ``by_receipt`` marks an answer that came as a receipt (MDN).
+    """
 
     at: float
     client: str
@@ -41,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A whole request has come to a partner's endpoint."""
+    """A partner's endpoint received a complete request."""
 
     at: float
     number: int
@@ -54,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """A partner has carried a payment out."""
+    """A partner executed a payment."""
 
     at: float
     partner: str
@@ -64,7 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """What a partner made of an arrival: its answer, ``waited`` the seconds it told, or how it was spoilt."""
+    """The end of a request at a partner.
+
+    ``how`` is its answer or the fault that prevented one; ``waited`` is the requested wait in seconds.
+    """
 
     at: float
     number: int
@@ -76,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unheard:
-    """An answer met a connection that its caller's end had broken: what it told, nobody was told."""
+    """The caller had closed the connection, so an answer, with any requested wait, did not reach it."""
 
     at: float
     partner: str
@@ -85,9 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A partner's outage has begun, or, with ``over``, ended.
+    """A partner's outage started or, with ``over``, ended.
 
-    ``cold`` says that it comes back cold; ``hidden`` that it cannot see who calls it meanwhile.
+    ``cold`` marks a partner that returns cold; ``hidden`` one that cannot record who calls it
+    during the outage.
     """
 
     at: float
@@ -99,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tipped:
-    """A returning partner fell over; ``by`` counts the calls of each sender in the span that pushed it."""
+    """A returning partner was overloaded; ``by`` counts the calls per sender in the period before it."""
 
     at: float
     partner: str
@@ -108,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """The list was written: endpoints by state."""
+    """The endpoint list was published; ``states`` maps each endpoint to its state."""
 
     at: float
     states: dict[str, str]
@@ -119,10 +127,10 @@
 
 @dataclass(slots=True)
 class Tape:
-    """All that was seen."""
+    """The observations of a run, in the order of recording."""
 
     seen: list[Seen] = field(default_factory=list)
 
     def add(self, one: Seen) -> None:
-        """Note one thing."""
+        """Record an observation."""
         self.seen.append(one)
--- a/brassweir/lab/judges/verdict.py
+++ b/brassweir/lab/judges/verdict.py
@@ -1,4 +1,4 @@
-"""What a judge excuses, what it knows of a class, and what it says."""
+"""The checker's tolerances, its settings of message classes, and its result."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Grace figures in seconds."""
+    """Tolerances of the checker, in seconds unless stated otherwise."""
 
-    answer: float = 1.0  # a final answer's way back to the client beyond the time the client gave
-    drain: float = 1.0  # from the list's writing until nothing new may arrive
-    flight: float = 0.3  # a call under way while its partner's other answer, or a drain, was on its way
-    overlap: float = 0.25  # two messages of one key within this of each other are surely at once
-    gap: float = 0.05  # two hand-ins of one key closer than this have no certain order
-    again: int = 0  # times a receipt may be brought beyond its posts, where its sender is killed
-    blame: float = 2 / 3  # share of the pushing calls that came from senders which saw the outage
+    answer: float = 1.0  # from a message's deadline until its final answer must have reached the client
+    drain: float = 1.0  # from publishing a drain until no new request may arrive
+    flight: float = 0.3  # a request or answer that crosses another one on the network
+    overlap: float = 0.25  # calls of one key that start closer together than this overlap
+    gap: float = 0.05  # submissions of one key closer together than this have no certain order
+    again: int = 0  # count: receipts allowed beyond the number of posts, where senders are killed
+    blame: float = 2 / 3  # share: calls by senders that saw the outage, from which they are at fault
 
 
 @dataclass(frozen=True, slots=True)
 class ClassFigures:
-    """What the checker knows of a class; ``window`` in seconds."""
+    """The settings of a message class that the rules depend on.
+
+    ``window`` is the time in seconds in which a message with a key may be repeated.
+    """
 
     effect: str
     window: float = 0.0
@@ -29,16 +32,16 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Broken rules with what was seen, and how often each rule was put to the test."""
+    """Violations by rule number, and how many situations tested each rule."""
 
     broken: dict[int, list[str]] = field(default_factory=lambda: {rule: [] for rule in range(1, 7)})
     tested: dict[int, int] = field(default_factory=lambda: {rule: 0 for rule in range(1, 7)})
 
     @property
     def clean(self) -> bool:
-        """Was no rule broken?"""
+        """Tell whether no rule was violated."""
         return not any(self.broken.values())
 
     def say(self, rule: int, what: str) -> None:
-        """Note a break."""
+        """Record a violation of a rule."""
         self.broken[rule].append(what)
