--- a/brassweir/lab/judges/checker.py
+++ b/brassweir/lab/judges/checker.py
@@ -16,10 +16,10 @@
     Ended,
     HandIn,
     Outage,
+    Overloaded,
     Published,
     Tape,
-    Tipped,
-    Unheard,
+    UndeliveredAnswer,
 )
 from brassweir.lab.judges.verdict import ClassFigures, Figures, Verdict
 
@@ -167,7 +167,7 @@
             aware[event.partner].add(event.sender)
         elif isinstance(event, Ended) and event.how in ("hung", "fallen", "reset"):
             aware[event.partner].add(event.sender)
-        elif isinstance(event, Tipped):
+        elif isinstance(event, Overloaded):
             total = sum(event.by.values())
             aware_calls = sum(count for name, count in event.by.items() if name in aware[event.partner])
             if aware_calls >= figures.blame * total:
@@ -227,7 +227,7 @@
 def _check_waits(seen: list, figures: Figures, verdict: Verdict) -> None:  # type: ignore[type-arg]
     """Rule 6: a sender sends a partner nothing until the wait that the partner requested is over."""
     waits: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
-    lost_answers = {(event.partner, event.number) for event in _of_type(seen, Unheard)}
+    lost_answers = {(event.partner, event.number) for event in _of_type(seen, UndeliveredAnswer)}
     for event in seen:
         if (
             isinstance(event, Ended)
--- a/brassweir/lab/judges/platform_rules.py
+++ b/brassweir/lab/judges/platform_rules.py
@@ -9,11 +9,11 @@
 from brassweir.lab.standins.platform import Call
 from brassweir.lab.standins.relay_client import HandIn
 
-SLACK = 350.0  # ms after a message's deadline in which its end still counts
+SLACK_MS = 350.0  # ms after a message's deadline in which its end still counts
 
 
 @dataclass(slots=True)
-class Seen:
+class RecordedTraffic:
     """The traffic that the stand-ins recorded."""
 
     hand_ins: list[HandIn] = field(default_factory=list)
@@ -22,7 +22,7 @@
     notices: list[tuple[float, dict[str, Any]]] = field(default_factory=list)
 
 
-def broken(seen: Seen, unsafe: frozenset[str], now: float) -> list[str]:
+def find_violations(seen: RecordedTraffic, unsafe: frozenset[str], now: float) -> list[str]:
     """Return one line per violation of the platform's rules; ``now`` is in ms.
 
     Every accepted message must end with a delivery, or with a notice before its deadline. Every call must
@@ -35,7 +35,7 @@
     for submission in seen.hand_ins:
         if not submission.line.startswith(b"+"):
             continue
-        deadline = submission.at + submission.span + SLACK
+        deadline = submission.at + submission.span + SLACK_MS
         if not deliveries[submission.id] and (
             notified_at.get(submission.id, now) > deadline
             or (submission.id not in notified_at and now > deadline)
--- a/brassweir/lab/judges/tape.py
+++ b/brassweir/lab/judges/tape.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unheard:
+class UndeliveredAnswer:
     """The caller had closed the connection, so an answer, with any requested wait, did not reach it."""
 
     at: float
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tipped:
+class Overloaded:
     """A returning partner was overloaded; ``by`` counts the calls per sender in the period before it."""
 
     at: float
@@ -122,7 +122,7 @@
     states: dict[str, str]
 
 
-Seen = HandIn | Answered | Arrival | Effect | Ended | Unheard | Outage | Tipped | Published
+Seen = HandIn | Answered | Arrival | Effect | Ended | UndeliveredAnswer | Outage | Overloaded | Published
 
 
 @dataclass(slots=True)
--- a/brassweir/lab/models/partner.py
+++ b/brassweir/lab/models/partner.py
@@ -11,7 +11,7 @@
 from brassweir.core.clock import SimClock
 from brassweir.core.ports import Outcome
 from brassweir.interface import Result
-from brassweir.lab.judges.tape import Arrival, Effect, Ended, Outage, Tape, Tipped, Unheard
+from brassweir.lab.judges.tape import Arrival, Effect, Ended, Outage, Overloaded, Tape, UndeliveredAnswer
 from brassweir.lab.models.day import Home, Strike
 from brassweir.lab.models.desk import Desk
 
@@ -118,7 +118,7 @@
             return
         by = self.desk.tips(now, sender)
         if by is not None:
-            self.tape.add(Tipped(now, self.home.name, by))
+            self.tape.add(Overloaded(now, self.home.name, by))
         if by is not None or now < self.desk.fallen:
             say(Outcome(Result.ERROR, "status 500"), "fallen")
             return
@@ -175,7 +175,7 @@
     def unheard(self, numbers: list[int]) -> None:
         """The caller was gone when the answer came."""
         for number in numbers:
-            self.tape.add(Unheard(self.clock.now() / 1000.0, self.home.name, number))
+            self.tape.add(UndeliveredAnswer(self.clock.now() / 1000.0, self.home.name, number))
 
     def _effect(self, parcel: Parcel) -> None:
         now = self.clock.now() / 1000.0
--- a/brassweir/lab/rigs/idle_judge.py
+++ b/brassweir/lab/rigs/idle_judge.py
@@ -12,8 +12,8 @@
     Effect,
     Ended,
     Outage,
+    Overloaded,
     Tape,
-    Tipped,
 )
 from brassweir.lab.judges.verdict import ClassFigures
 from brassweir.lab.rigs.idle_setup import Plan
@@ -52,7 +52,7 @@
         elif kind == "effect":
             tape.add(Effect(at, f"hook-{rest[0]}", rest[1], rest[1]))
         else:
-            tape.add(Tipped(at, f"hook-{rest[0]}", {"idle": rest[1]}))
+            tape.add(Overloaded(at, f"hook-{rest[0]}", {"idle": rest[1]}))
     for one in plan.strikes:
         if one.kind == "hang":
             for number in range(one.first, min(one.last, plan.mix.busy + plan.mix.idle)):
--- a/brassweir/lab/standins/platform.py
+++ b/brassweir/lab/standins/platform.py
@@ -1,6 +1,6 @@
 """Stand-ins for the platform around a ``node``: endpoints, discovery with notices, and clients, on loopback.
 
-Each notes what passed on its sockets; :func:`broken` judges from these notes alone, and knows nothing of the
+Each records its traffic; :func:`find_violations` judges from these records alone, and knows nothing of the
 program under test. Times are wall milliseconds.
 """
 
--- a/brassweir/lab/standins/works.py
+++ b/brassweir/lab/standins/works.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from brassweir.lab.judges.tape import Effect, Ended, Outage, Tape, Tipped
+from brassweir.lab.judges.tape import Effect, Ended, Outage, Overloaded, Tape
 from brassweir.lab.models.desk import Desk, Manner
 
 SPOILT = ("lost", "reset_after", "cut_head", "cut_receipt")  # the payment is done, its receipt is lost
@@ -103,7 +103,7 @@
         """Is it pushed over by this call? Only while it comes back."""
         by = self.desk.tips(now, sender)
         if by is not None:
-            self.tape.add(Tipped(now, self.name, by))
+            self.tape.add(Overloaded(now, self.name, by))
         return by is not None
 
     async def carry_out(self, document: dict[str, str], ident: str, slow: float) -> bool:
--- a/tests/lab/models/test_fleet.py
+++ b/tests/lab/models/test_fleet.py
@@ -11,7 +11,7 @@
 from brassweir import interface as api
 from brassweir.config.load import load
 from brassweir.control.gate import Gate
-from brassweir.lab.judges.tape import Tipped
+from brassweir.lab.judges.tape import Overloaded
 from brassweir.lab.models.day import Strike
 from brassweir.lab.models.deployment import Deployment
 from brassweir.lab.models.drawing import draw
@@ -40,9 +40,9 @@
     return run, {home: answers.count("delivered") / len(answers) for home, answers in to.items()}
 
 
-def pushed(run: runs.Run) -> list[Tipped]:
+def pushed(run: runs.Run) -> list[Overloaded]:
     """When a cold destination was pushed over."""
-    return [one for one in run.stage.tape.seen if isinstance(one, Tipped)]
+    return [one for one in run.stage.tape.seen if isinstance(one, Overloaded)]
 
 
 @pytest.mark.parametrize("trouble", ["crowded", "crash", "hang"])
--- a/tests/relay/test_node_deaths.py
+++ b/tests/relay/test_node_deaths.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from brassweir.lab.judges.platform_rules import SLACK
+from brassweir.lab.judges.platform_rules import SLACK_MS
 from brassweir.lab.standins.platform import SERVING, Call, Endpoint, answer, good, hang
 from tests.relay.scenarios import run_all, run_alone
 from tests.relay.world import World
@@ -125,7 +125,9 @@
         notices = [(notice["ref"], notice["result"]) for _, notice in world.discovery.notices]
         assert notices == [("m1", "bounced")] * 2 and "m1" not in world.endpoints[0].delivered
         first = world.clients[0].sent[0]
-        assert world.discovery.notices[0][0] <= first.at + first.span + SLACK, "the first notice was in time"
+        assert world.discovery.notices[0][0] <= first.at + first.span + SLACK_MS, (
+            "the first notice was in time"
+        )
 
     run_alone(tmp_path, scenario, Endpoint("a", 1, hang), judged=False)
 
--- a/tests/relay/test_node_program.py
+++ b/tests/relay/test_node_program.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from brassweir.lab.judges.platform_rules import Seen, broken
+from brassweir.lab.judges.platform_rules import RecordedTraffic, find_violations
 from brassweir.lab.standins.platform import Call
 from tests.relay.world import UNSAFE, configuration
 
@@ -65,11 +65,11 @@
 
     submission = HandIn(0.0, "m", "pay", 1, 1000.0, "", b"x", b"+OK\r\n")
     call = Call(5.0, "a", "m", "", "1m", b"x", 1)
-    assert broken(Seen([submission], [(1, call)], ["m"]), UNSAFE, 9999.0) == []
-    assert broken(Seen([submission]), UNSAFE, 9999.0) == ["m was taken on and lost"]
-    assert broken(Seen([submission], notices=[(2000.0, {"ref": "m"})]), UNSAFE, 9999.0) == [
-        "m was taken on and lost"
-    ]
-    assert len(broken(Seen([submission], [(1, call)], ["m", "m"]), UNSAFE, 9999.0)) == 1
-    assert len(broken(Seen([submission], [(2, call)], ["m"]), UNSAFE, 9999.0)) == 1
-    assert broken(Seen([], [(1, call)]), UNSAFE, 9999.0) == ["m was never handed in"]
+    assert find_violations(RecordedTraffic([submission], [(1, call)], ["m"]), UNSAFE, 9999.0) == []
+    assert find_violations(RecordedTraffic([submission]), UNSAFE, 9999.0) == ["m was taken on and lost"]
+    assert find_violations(
+        RecordedTraffic([submission], notices=[(2000.0, {"ref": "m"})]), UNSAFE, 9999.0
+    ) == ["m was taken on and lost"]
+    assert len(find_violations(RecordedTraffic([submission], [(1, call)], ["m", "m"]), UNSAFE, 9999.0)) == 1
+    assert len(find_violations(RecordedTraffic([submission], [(2, call)], ["m"]), UNSAFE, 9999.0)) == 1
+    assert find_violations(RecordedTraffic([], [(1, call)]), UNSAFE, 9999.0) == ["m was never handed in"]
--- a/tests/relay/world.py
+++ b/tests/relay/world.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from brassweir.lab.judges.platform_rules import Seen, broken
+from brassweir.lab.judges.platform_rules import RecordedTraffic, find_violations
 from brassweir.lab.rigs.handle import free_port
 from brassweir.lab.standins.discovery import Discovery
 from brassweir.lab.standins.platform import Endpoint, wall
@@ -162,9 +162,9 @@
         """Return the sender's log."""
         return (self.directory / "log").read_text()
 
-    def seen(self) -> Seen:
+    def seen(self) -> RecordedTraffic:
         """Return everything that the stand-ins recorded."""
-        return Seen(
+        return RecordedTraffic(
             [one for client in self.clients for one in client.sent],
             [(endpoint.destination, call) for endpoint in self.endpoints for call in endpoint.calls],
             [ident for endpoint in self.endpoints for ident in endpoint.delivered],
@@ -189,5 +189,5 @@
         await self.discovery.stop()
         for client in self.clients:
             await client.close()
-        problems = broken(self.seen(), UNSAFE, wall())
+        problems = find_violations(self.seen(), UNSAFE, wall())
         assert not judged or problems == [], problems
