--- a/benchmarks/capacity/events.py
+++ b/benchmarks/capacity/events.py
@@ -67,7 +67,7 @@
         "all shown dead after {zone_lost_known} s, all alive {zone_back_known} s after they start",
         (
             "tests/peers/test_liveness.py::test_after_any_faults_all_are_alive_everywhere",
-            "tests/sites/test_world.py::test_verdict_return_and_worth",
+            "tests/sites/test_world.py::test_detection_and_return_are_fast_and_runs_are_reproducible",
         ),
     ),
     Event(
